--- a/core/engine/engine.go
+++ b/core/engine/engine.go
@@ -19,25 +19,25 @@
 	// PerContextToken is added to a step for each token of context of those requests.
 	PerContextToken float64 `json:"per_context_token_s"`
 	// PerToken is the time to read a prompt token.
-	PerToken float64 `json:"per_token_s"`
+	PerPromptToken float64 `json:"per_token_s"`
 	// PerPair is added for each pair of a prompt token and one before it.
 	PerPair float64 `json:"per_pair_s"`
 	// Stride is the number of steps of a pass.
-	Stride int64 `json:"stride"`
+	StepsPerPass int64 `json:"stride"`
 }
 
 // Read is the time that an idle engine takes to read a prompt.
-func (t *Timing) Read(tokens int64) float64 {
+func (t *Timing) PrefillTime(tokens int64) float64 {
 	n := float64(tokens)
-	return n*t.PerToken + n*n/2*t.PerPair
+	return n*t.PerPromptToken + n*n/2*t.PerPair
 }
 
 // Pass is the length of a pass in which so many requests write, with their contexts
 // together in tokens, and nothing is read.
-func (t *Timing) Pass(writers int, contexts int64) float64 {
+func (t *Timing) PassTime(writers int, contexts int64) float64 {
 	step := t.Step + float64(writers)*t.PerSequence + float64(contexts)*t.PerContextToken
-	return float64(t.Stride) * step
+	return float64(t.StepsPerPass) * step
 }
 
-// Seconds turns seconds into a duration.
-func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+// Duration turns seconds into a duration.
+func Duration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/core/engine/pace_test.go
+++ b/core/engine/pace_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-func TestPaceOfAReport(t *testing.T) {
+func TestSlowdown(t *testing.T) {
 	for reported, want := range map[float64]float64{0: 1, 1: 1, 1.2: 1, 1.3: 1.3, 4.5: 4.5} {
-		if got := Pace(reported); got != want {
+		if got := Slowdown(reported); got != want {
 			t.Errorf("a report of %v counts as %v, want %v", reported, got, want)
 		}
 	}
--- a/core/routing/blind.go
+++ b/core/routing/blind.go
@@ -7,16 +7,16 @@
 // looks best, with the most writers packed on it or simply the first of those in its data
 // centre. After a loss of power of all hosts a few engines would get nearly all calls.
 
-// blindSpread is the range of the chance that blind decisions are made with, in seconds: more
+// maxJitter is the range of the chance that blind decisions are made with, in seconds: more
 // than what a few calls of its own make of a difference between two engines, and less than what
 // a target in another data centre costs by default.
-const blindSpread = 0.015
+const maxJitter = 0.015
 
-// chance is a blind decision's random cost of a target, the same each time that the decision
+// jitter is a blind decision's random cost of a target, the same each time that the decision
 // is made.
-func chance(r *Request, t *Target) float64 {
-	if !r.Blind {
+func jitter(r *Request, t *Target) float64 {
+	if !r.Uncoordinated {
 		return 0
 	}
-	return blindSpread * float64(tie(r.Seed, t)) / math.MaxUint64
+	return maxJitter * float64(tieBreaker(r.Seed, t)) / math.MaxUint64
 }
--- a/core/routing/blind_test.go
+++ b/core/routing/blind_test.go
@@ -7,16 +7,16 @@
 	"doorstack.dev/core/rendezvous"
 )
 
-// spreadOf places a call by each of so many daemons that know of no other call, and returns
+// maxCallsPerTarget places a call by each of so many daemons that know of no other call, and returns
 // the most that one target gets.
-func spreadOf(daemons int, blind bool, prompt int64, p *Params, targets []Target) int {
+func maxCallsPerTarget(daemons int, blind bool, prompt int64, p *Params, targets []Target) int {
 	var s Scratch
 	got := map[string]int{}
 	most := 0
 	for i := range daemons {
 		r := &Request{
 			PromptTokens: prompt, OutputTokens: 1900, DataCentre: "dc0", Goal: 0.4, GapGoal: 0.3,
-			Seed: rendezvous.Score(fmt.Sprint("d", i), "attempt"), Blind: blind,
+			Seed: rendezvous.Score(fmt.Sprint("d", i), "attempt"), Uncoordinated: blind,
 		}
 		d := s.Decide(r, p, targets)
 		got[d.Chosen]++
@@ -25,11 +25,11 @@
 	return most
 }
 
-// TestDaemonsThatDecideAloneSpread: 60 daemons that lost their coordinator each place a chat
+// TestUncoordinatedDaemonsSpreadCalls: 60 daemons that lost their coordinator each place a chat
 // over 30 engines, or a call over as many plain targets, of their own data centre and 30 of
 // another one. No target gets more than a fifth of them. They all chose the same engine, and
 // one of four plain targets.
-func TestDaemonsThatDecideAloneSpread(t *testing.T) {
+func TestUncoordinatedDaemonsSpreadCalls(t *testing.T) {
 	const daemons, most = 60, 12
 	llm, plain := engines(60), make([]Target, 60)
 	for i := range llm {
@@ -46,18 +46,18 @@
 		"chats":       {4960, params, llm},
 		"plain calls": {0, &Params{RemotePenalty: 0.02}, plain},
 	} {
-		if got := spreadOf(daemons, true, c.prompt, c.params, c.targets); got > most {
+		if got := maxCallsPerTarget(daemons, true, c.prompt, c.params, c.targets); got > most {
 			t.Errorf("%s: one target gets %d of %d", what, got, daemons)
 		}
-		if got := spreadOf(daemons, false, c.prompt, c.params, c.targets); got <= most {
+		if got := maxCallsPerTarget(daemons, false, c.prompt, c.params, c.targets); got <= most {
 			t.Errorf("%s: who knows all calls spreads them anyhow, the test shows nothing", what)
 		}
 	}
 }
 
-// TestABlindChoiceStaysNear: chance alone sends nothing to another data centre, and a decision
+// TestUncoordinatedDecisionStaysLocalAndReplays: chance alone sends nothing to another data centre, and a decision
 // made again from its record comes out the same.
-func TestABlindChoiceStaysNear(t *testing.T) {
+func TestUncoordinatedDecisionStaysLocalAndReplays(t *testing.T) {
 	targets := engines(20)
 	for i := range targets {
 		targets[i].DataCentre = fmt.Sprint("dc", i%2)
@@ -66,7 +66,7 @@
 	params.RemotePenalty = 0.02
 	var s Scratch
 	for seed := range uint64(100) {
-		r := &Request{PromptTokens: 4960, OutputTokens: 1900, DataCentre: "dc1", Goal: 0.4, GapGoal: 0.3, Seed: seed, Blind: true}
+		r := &Request{PromptTokens: 4960, OutputTokens: 1900, DataCentre: "dc1", Goal: 0.4, GapGoal: 0.3, Seed: seed, Uncoordinated: true}
 		d := s.Decide(r, params, targets)
 		if d.Candidates[0].Target.DataCentre != "dc1" {
 			t.Fatalf("seed %d: sent to %s", seed, d.Candidates[0].Target.DataCentre)
--- a/core/routing/filter.go
+++ b/core/routing/filter.go
@@ -19,9 +19,9 @@
 	FilterReserved    Filter = "reserved"
 )
 
-// room tells whether the filter rejects a target that works but takes no call more: it may read a part
+// memoryLimit tells whether the filter rejects a target that works but takes no call more: it may read a part
 // of a prompt that another one answers.
-func (f Filter) room() bool {
+func (f Filter) lacksRoom() bool {
 	return f == FilterMemory || f == FilterConcurrency || f == FilterLimit
 }
 
@@ -40,7 +40,7 @@
 }
 
 // waitable is the number of targets that only lacked room.
-func (r *Rejections) waitable() int {
+func (r *Rejections) temporary() int {
 	return r.Concurrency + r.Limit + r.Memory + r.Backlog + r.Long + r.Reserved
 }
 
@@ -89,15 +89,15 @@
 		return FilterExcluded
 	case t.MaxConcurrent > 0 && t.Load.Requests >= t.MaxConcurrent:
 		return FilterConcurrency
-	case t.exhausted(r):
+	case t.rateLimited(r):
 		return FilterLimit
 	case t.MemoryTokens == 0:
 		return "" // A plain service has no memory and reads no prompt.
-	case t.Load.MemoryTokens+r.MemoryTokens() > room(p, long, t.MemoryTokens):
+	case t.Load.MemoryTokens+r.MemoryTokens() > memoryLimit(p, long, t.MemoryTokens):
 		return FilterMemory
 	case t.ReservedFor != "" && t.ReservedFor != r.ID:
 		return FilterReserved
-	case long && !longFits(p, longHolders, t):
+	case long && !longPrefillFits(p, longHolders, t):
 		return FilterLong
 	case !long && float64(t.Load.BacklogTokens) > p.MaxBacklog*t.PrefillRate && t.Load.LongPrefills == 0:
 		return FilterBacklog
@@ -105,19 +105,19 @@
 	return ""
 }
 
-// room is the memory that a request may fill up to. Long requests leave the
+// memoryLimit is the memory that a request may fill up to. Long requests leave the
 // headroom free, so that short ones find a place beside them.
-func room(p *Params, long bool, memory int64) int64 {
+func memoryLimit(p *Params, long bool, memory int64) int64 {
 	if long {
 		return int64(float64(memory) * (1 - p.MemoryHeadroom))
 	}
 	return memory
 }
 
-// longFits tells whether one more long prefill may go to the target: it must
+// longPrefillFits tells whether one more long prefill may go to the target: it must
 // have a place left, and if it holds none yet, the pool must allow one more
 // target to hold some.
-func longFits(p *Params, longHolders int, t *Target) bool {
+func longPrefillFits(p *Params, longHolders int, t *Target) bool {
 	if t.Load.LongPrefills >= p.LongPerTarget {
 		return false
 	}
--- a/core/routing/pick.go
+++ b/core/routing/pick.go
@@ -36,11 +36,11 @@
 	best     []ranked
 	rejected []rejected
 	// readers and chosen are indices of targets that may read, or will read, a part.
-	readers, chosen []int
+	prefillers, chosen []int
 	// opening is what the answer costs an engine that has no close writers, in seconds.
-	opening float64
+	packingCost float64
 	// harms are the targets that may read a part, with what that disturbs.
-	harms []harmed
+	disturbances []disturbance
 }
 
 // Decide makes a routing decision over the targets of one pool. The result
@@ -54,16 +54,16 @@
 }
 
 func (s *Scratch) decide(r *Request, p *Params, targets []Target, holders int) Decision {
-	if timed(r, p) {
+	if hasTiming(r, p) {
 		return s.decideTimed(r, p, targets)
 	}
 	d := Decision{Request: *r, Params: *p, Considered: len(targets), LongHolders: holders}
 	long := p.IsLong(r.PromptTokens)
 	largest := s.scan(r, p, long, targets, &d)
-	s.applyCached(r, p, long, holders, targets)
-	d.Candidates = s.record(r, p, long, targets)
+	s.rankCached(r, p, long, holders, targets)
+	d.Candidates = s.recordCandidates(r, p, long, targets)
 	if len(s.best) == 0 {
-		d.Verdict = emptyVerdict(r, p, long, largest, &d.Rejections)
+		d.Verdict = verdictWithoutTarget(r, p, long, largest, &d.Rejections)
 		return d
 	}
 	d.Verdict = Place
@@ -114,7 +114,7 @@
 }
 
 // applyCached ranks again the few targets that hold a prefix of the prompt.
-func (s *Scratch) applyCached(r *Request, p *Params, long bool, holders int, targets []Target) {
+func (s *Scratch) rankCached(r *Request, p *Params, long bool, holders int, targets []Target) {
 	for _, c := range r.Cached {
 		if c.Target < 0 || c.Target >= len(targets) {
 			continue
@@ -142,11 +142,11 @@
 	return best[min(rng.IntN(width), rng.IntN(width))].index
 }
 
-func emptyVerdict(r *Request, p *Params, long bool, largest int64, n *Rejections) Verdict {
-	if largest > 0 && r.MemoryTokens() > room(p, long, largest) {
+func verdictWithoutTarget(r *Request, p *Params, long bool, largest int64, n *Rejections) Verdict {
+	if largest > 0 && r.MemoryTokens() > memoryLimit(p, long, largest) {
 		return Group
 	}
-	if n.waitable() > 0 {
+	if n.temporary() > 0 {
 		return Wait
 	}
 	return None
@@ -166,11 +166,11 @@
 const examplesPerFilter = 2
 
 // record copies the best candidates, then examples of rejected ones.
-func (s *Scratch) record(r *Request, p *Params, long bool, targets []Target) []Candidate {
+func (s *Scratch) recordCandidates(r *Request, p *Params, long bool, targets []Target) []Candidate {
 	list := make([]Candidate, 0, min(len(s.best)+len(s.rejected), MaxRecorded))
 	for _, b := range s.best {
 		t := &targets[b.index]
-		c := Candidate{Target: *t, CachedTokens: cachedAt(r, b.index)}
+		c := Candidate{Target: *t, CachedTokens: cachedTokensAt(r, b.index)}
 		c.Scores.score(r, p, long, t)
 		c.Scores.PrefixSaved = prefixSaved(r, p, t, c.CachedTokens)
 		list = append(list, c)
@@ -184,7 +184,7 @@
 	return list
 }
 
-func cachedAt(r *Request, index int) int64 {
+func cachedTokensAt(r *Request, index int) int64 {
 	for _, c := range r.Cached {
 		if c.Target == index {
 			return c.Tokens
--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -25,9 +25,9 @@
 	// Live targets take work.
 	Live State = iota
 	// Leaving targets finish what they have and take nothing new.
-	Leaving
+	Draining
 	// Gone targets are no longer on the host list, or do not answer.
-	Gone
+	Unavailable
 )
 
 // Load is an amount of work at a target.
@@ -87,37 +87,37 @@
 	ReservedFor string `json:"reserved_for,omitempty"`
 	// Reading is the time, in seconds, that the engine still reads before it has read
 	// all prompts that it was given; for engines of known timing.
-	Reading float64 `json:"reading_s,omitempty"`
+	PendingPrefill float64 `json:"reading_s,omitempty"`
 	// Fresh is the reading time, in seconds, of what it was given within its last pass: an engine
 	// that writes reads all of that in its next one, however little it has to read else.
-	Fresh float64 `json:"fresh_s,omitempty"`
+	RecentPrefill float64 `json:"fresh_s,omitempty"`
 	// GapGoal is the least goal for the pause between two events among the requests at
 	// the target, in seconds; zero where none has one. Tight is the number of requests
 	// with a goal that a pass full of reading would miss by far.
-	GapGoal float64 `json:"gap_goal_s,omitempty"`
-	Tight   int     `json:"tight,omitempty"`
+	GapGoal      float64 `json:"gap_goal_s,omitempty"`
+	GapSensitive int     `json:"tight,omitempty"`
 	// Writers are the requests at the target by their goals for the pause between two
 	// events, the closest first, but for those whose goal has been missed already.
-	Writers []Writers `json:"writers,omitempty"`
+	DecodeGroups []DecodeGroup `json:"writers,omitempty"`
 	// UnreadTokens is the length of the prompts that the target has not read its part of,
 	// and HoldUp how long, in seconds, all of them can be held up and still be answered in
 	// time; what is given to an engine to read for another one goes before them.
-	UnreadTokens int64   `json:"unread_tokens,omitempty"`
-	HoldUp       float64 `json:"hold_up_s,omitempty"`
+	PendingPromptTokens int64   `json:"unread_tokens,omitempty"`
+	PrefillSlack        float64 `json:"hold_up_s,omitempty"`
 	// Trouble counts the target's lately failed calls; older ones count less.
-	Trouble float64 `json:"trouble,omitempty"`
+	RecentFailures float64 `json:"trouble,omitempty"`
 	// Pace is the factor by which the target's work takes longer than its timing says; zero
 	// and one are a sound target's.
-	Pace float64 `json:"pace,omitempty"`
+	Slowdown float64 `json:"pace,omitempty"`
 	// Limit is set while the target names how many calls it takes from all daemons.
-	Limit *RateLimit `json:"limit,omitempty"`
+	RateLimit *RateLimit `json:"limit,omitempty"`
 	// Unloaded is true while the target does not serve the pool's model.
 	Unloaded bool `json:"unloaded,omitempty"`
 }
 
-// Writers are requests at a target that have the same goal for the pause between two
+// DecodeGroup are requests at a target that have the same goal for the pause between two
 // events of their streams.
-type Writers struct {
+type DecodeGroup struct {
 	// GapGoal is that goal, in seconds.
 	GapGoal float64 `json:"gap_goal_s"`
 	// Tokens is the length of the requests, taken together.
@@ -152,26 +152,26 @@
 	// Waited is how long the request has waited, in seconds.
 	Waited float64 `json:"waited_s,omitempty"`
 	// LetWait is true where an earlier look has let it wait for its turn.
-	LetWait bool `json:"let_wait,omitempty"`
+	WaitAccepted bool `json:"let_wait,omitempty"`
 	// Left is the time until its deadline, in seconds.
-	Left float64 `json:"left_s,omitempty"`
+	UntilDeadline float64 `json:"left_s,omitempty"`
 	// Ahead is the reading time of the long prompts that wait before it, in seconds.
-	Ahead float64 `json:"ahead_s,omitempty"`
+	PrefillAhead float64 `json:"ahead_s,omitempty"`
 	// Recorded means that the candidates of a decision to wait need no record, as one of a
 	// moment before has them.
-	Recorded bool `json:"-"`
+	OmitCandidates bool `json:"-"`
 	// Retry is true where the request has been placed before: it is not refused for being late, and
 	// does not wait for a better place. Begun is true where its caller has a part of the answer: it
 	// is not refused at all.
-	Retry bool `json:"retry,omitempty"`
-	Begun bool `json:"begun,omitempty"`
+	Retry         bool `json:"retry,omitempty"`
+	AnswerStarted bool `json:"begun,omitempty"`
 	// Seed makes the pick; it differs from daemon to daemon.
 	Seed uint64 `json:"seed"`
 	// Blind is true where a daemon that does not place the pool's calls for all decides
 	// alone: it knows its own calls at the targets and none of the others'.
-	Blind bool `json:"blind,omitempty"`
+	Uncoordinated bool `json:"blind,omitempty"`
 	// Sharers is the number of daemons that share the targets, this one among them.
-	Sharers int `json:"sharers,omitempty"`
+	DaemonCount int `json:"sharers,omitempty"`
 }
 
 // MemoryTokens is the KV cache that the request takes when it is done.
@@ -217,32 +217,32 @@
 	Group Verdict = "group"
 )
 
-// Ticket is memory to be set aside at a target.
-type Ticket struct {
+// MemoryReservation is memory to be set aside at a target.
+type MemoryReservation struct {
 	Target string `json:"target"`
 	Tokens int64  `json:"tokens"`
 }
 
 // Scores are the parts of a target's estimated time to first token, in seconds.
 type Scores struct {
-	Backlog     float64 `json:"backlog_s"`
-	Prefill     float64 `json:"prefill_s"`
-	Batch       float64 `json:"batch_s"`
-	Memory      float64 `json:"memory_s"`
-	LongMix     float64 `json:"long_mix_s"`
-	Locality    float64 `json:"locality_s"`
-	PrefixSaved float64 `json:"prefix_saved_s"`
-	Packing     float64 `json:"packing_s,omitempty"`
-	Trouble     float64 `json:"trouble_s,omitempty"`
+	Backlog      float64 `json:"backlog_s"`
+	Prefill      float64 `json:"prefill_s"`
+	Batch        float64 `json:"batch_s"`
+	Memory       float64 `json:"memory_s"`
+	Interference float64 `json:"long_mix_s"`
+	Locality     float64 `json:"locality_s"`
+	PrefixSaved  float64 `json:"prefix_saved_s"`
+	Packing      float64 `json:"packing_s,omitempty"`
+	Failures     float64 `json:"trouble_s,omitempty"`
 	// Lateness is the cost of a time that is likely to pass the caller's goal.
 	Lateness float64 `json:"lateness_s,omitempty"`
 	// Chance keeps daemons that decide alone from all choosing the same target.
-	Chance float64 `json:"chance_s,omitempty"`
+	Jitter float64 `json:"chance_s,omitempty"`
 }
 
 // Total is the estimated time to first token in seconds.
 func (s *Scores) Total() float64 {
-	return s.Backlog + s.Prefill + s.Batch + s.Memory + s.LongMix + s.Locality + s.Packing + s.Trouble + s.Lateness + s.Chance - s.PrefixSaved
+	return s.Backlog + s.Prefill + s.Batch + s.Memory + s.Interference + s.Locality + s.Packing + s.Failures + s.Lateness + s.Jitter - s.PrefixSaved
 }
 
 // Candidate is a target with what the filters and scorers said of it.
@@ -268,20 +268,20 @@
 	Helpers []string `json:"helpers,omitempty"`
 	// Tickets are the parts of the prompt's memory that helpers set aside, where one
 	// target has no room for the whole.
-	Tickets []Ticket `json:"tickets,omitempty"`
+	Reservations []MemoryReservation `json:"tickets,omitempty"`
 	// Forced means that the prompt goes beside writers whose callers do not bear it,
 	// because it outweighs them.
 	Forced bool `json:"forced,omitempty"`
 	// Reading is the time to read the whole prompt, and Part that of each part, in
 	// seconds; for engines of known timing.
-	Reading float64 `json:"reading_s,omitempty"`
-	Part    float64 `json:"part_s,omitempty"`
+	PrefillTime     float64 `json:"reading_s,omitempty"`
+	PartPrefillTime float64 `json:"part_s,omitempty"`
 	// Foreseen is the time to the first event that a prompt which waits can expect, from
 	// its arrival, in seconds.
-	Foreseen float64 `json:"foreseen_s,omitempty"`
+	PredictedFirstEvent float64 `json:"foreseen_s,omitempty"`
 	// ComeBack is the time, in seconds, after which a refused request's turn would have come; zero
 	// where that is not foreseen.
-	ComeBack float64 `json:"come_back_s,omitempty"`
+	RetryAfter float64 `json:"come_back_s,omitempty"`
 	// Pool sums up the targets of known timing that the decision was made from.
 	Pool *PoolState `json:"pool,omitempty"`
 	// Considered is the number of targets looked at.
@@ -299,13 +299,13 @@
 type PoolState struct {
 	// Live is the number of live targets, Close that of those with writers whose
 	// callers wait closely, and Deep that of those with a deep part to read.
-	Live  int `json:"live"`
-	Close int `json:"close"`
-	Deep  int `json:"deep"`
+	Live         int `json:"live"`
+	GapSensitive int `json:"close"`
+	HeavyPrefill int `json:"deep"`
 	// Writers is the number of calls at them.
-	Writers int `json:"writers"`
+	Requests int `json:"writers"`
 	// Reading is the time that they will read, taken together, in seconds.
-	Reading float64 `json:"reading_s"`
+	PendingPrefill float64 `json:"reading_s"`
 }
 
 // MaxRecorded bounds the candidates kept in a decision.
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -27,7 +27,7 @@
 		verdict Verdict
 	}{
 		{"free", 1000, func(*Target) {}, "", Place},
-		{"leaving", 1000, func(x *Target) { x.State = Leaving }, FilterState, None},
+		{"leaving", 1000, func(x *Target) { x.State = Draining }, FilterState, None},
 		{"breaker", 1000, func(x *Target) { x.BreakerOpen = true }, FilterBreaker, None},
 		{"excluded", 1000, func(x *Target) { x.ID = "used" }, FilterExcluded, None},
 		{"model not loaded", 1000, func(x *Target) { x.Unloaded = true }, FilterUnloaded, None},
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestLongPromptsLeaveTargetsFree(t *testing.T) {
+func TestLongTargetsBoundsTargetsWithLongPrefills(t *testing.T) {
 	targets := []Target{testTarget("a"), testTarget("b"), testTarget("c")}
 	targets[0].Load.LongPrefills, targets[1].Load.LongPrefills = 1, 1
 	r := Request{ID: "r", PromptTokens: 50_000, DataCentre: "a"}
--- a/core/routing/score.go
+++ b/core/routing/score.go
@@ -9,12 +9,12 @@
 	secondsPerRunning = 0.0005
 	// memoryKnee is the share of memory in use from which pressure counts.
 	memoryKnee = 0.8
-	// secondsAtFull is the cost of a target whose memory is full.
-	secondsAtFull = 0.5
-	// secondsPerFailure is added for each lately failed call, up to mostFailures of them:
+	// secondsAtFullMemory is the cost of a target whose memory is full.
+	secondsAtFullMemory = 0.5
+	// secondsPerFailure is added for each lately failed call, up to maxFailures of them:
 	// a target that loses some of its answers looks healthy to everybody else.
 	secondsPerFailure = 0.05
-	mostFailures      = 4
+	maxFailures       = 4
 	// secondsPerLong is added to a short request for each long prefill beside it.
 	secondsPerLong = 0.1
 )
@@ -22,7 +22,7 @@
 // score estimates the time to first token of the request at the target. It writes
 // to s, because copying a result for each of 2,300 targets takes half the time.
 func (s *Scores) score(r *Request, p *Params, long bool, t *Target) {
-	*s = Scores{Trouble: trouble(t), Chance: chance(r, t)}
+	*s = Scores{Failures: failurePenalty(t), Jitter: jitter(r, t)}
 	s.Batch = secondsPerRunning * float64(t.Load.Requests)
 	if t.DataCentre != r.DataCentre {
 		s.Locality = p.RemotePenalty
@@ -32,23 +32,23 @@
 	}
 	secondsPerToken := 1 / t.PrefillRate
 	s.Prefill = float64(r.PromptTokens) * secondsPerToken
-	s.Backlog = backlog(p, long, t) * secondsPerToken
+	s.Backlog = backlogAhead(p, long, t) * secondsPerToken
 	if !long {
-		s.LongMix = secondsPerLong * float64(t.Load.LongPrefills)
+		s.Interference = secondsPerLong * float64(t.Load.LongPrefills)
 	}
 	knee := memoryKnee * float64(t.MemoryTokens)
 	if used := float64(t.Load.MemoryTokens); used > knee {
-		s.Memory = secondsAtFull * (used - knee) / (float64(t.MemoryTokens) - knee)
+		s.Memory = secondsAtFullMemory * (used - knee) / (float64(t.MemoryTokens) - knee)
 	}
 }
 
-// trouble is the cost of a target whose calls failed lately.
-func trouble(t *Target) float64 { return secondsPerFailure * min(t.Trouble, mostFailures) }
+// failurePenalty is the cost of a target whose calls failed lately.
+func failurePenalty(t *Target) float64 { return secondsPerFailure * min(t.RecentFailures, maxFailures) }
 
-// backlog is the part of a target's unread prompt tokens that stands before the
+// backlogAhead is the part of a target's unread prompt tokens that stands before the
 // request. Engines honour priorities, so a short request passes long prefills;
 // what remains before it is bounded by what the daemons let through.
-func backlog(p *Params, long bool, t *Target) float64 {
+func backlogAhead(p *Params, long bool, t *Target) float64 {
 	if long || t.Load.LongPrefills == 0 {
 		return float64(t.Load.BacklogTokens)
 	}
--- a/core/routing/settle.go
+++ b/core/routing/settle.go
@@ -7,28 +7,28 @@
 
 // Which of the engines that read a prompt answers, and where its memory is.
 const (
-	// ticketShare is the part of a target's free memory that a ticket may take, and
-	// ticketMargin what is asked for beyond the need, since memory comes in blocks.
-	ticketShare  = 0.9
-	ticketMargin = 1.02
+	// reservationShare is the part of a target's free memory that a ticket may take, and
+	// reservationMargin what is asked for beyond the need, since memory comes in blocks.
+	reservationShare  = 0.9
+	reservationMargin = 1.02
 )
 
 // settle takes the target that answers: one with room for the whole prompt and the
 // fewest writers whose callers wait closely. Where none has the room, the one with the
 // most keeps what it can, and helpers set memory aside for the rest.
-func (s *Scratch) settle(r *Request, targets []Target, chosen []int, d *Decision) bool {
+func (s *Scratch) chooseAnswering(r *Request, targets []Target, chosen []int, d *Decision) bool {
 	first := -1
 	for _, i := range chosen {
 		t := &targets[i]
-		if t.free() < r.MemoryTokens() || t.full() || t.exhausted(r) {
+		if t.freeMemory() < r.MemoryTokens() || t.full() || t.rateLimited(r) {
 			continue
 		}
-		if first < 0 || compareFirst(t, &targets[first]) < 0 {
+		if first < 0 || compareAnswering(t, &targets[first]) < 0 {
 			first = i
 		}
 	}
 	if first < 0 {
-		first = s.divide(r, targets, chosen, d)
+		first = s.divideMemory(r, targets, chosen, d)
 	}
 	if first < 0 {
 		return false
@@ -43,14 +43,14 @@
 	return true
 }
 
-// compareFirst prefers a target whose calls did not fail lately, then the one with the
+// compareAnswering prefers a target whose calls did not fail lately, then the one with the
 // fewest writers whose callers wait closely, and then the one with the most requests: where
 // long prompts write beside each other, more engines are free for parts that no writer
 // bears.
-func compareFirst(a, b *Target) int {
+func compareAnswering(a, b *Target) int {
 	return cmp.Or(
-		cmp.Compare(int(a.Trouble), int(b.Trouble)),
-		cmp.Compare(a.Tight, b.Tight),
+		cmp.Compare(int(a.RecentFailures), int(b.RecentFailures)),
+		cmp.Compare(a.GapSensitive, b.GapSensitive),
 		cmp.Compare(b.Load.Requests, a.Load.Requests),
 	)
 }
@@ -59,32 +59,32 @@
 // answers, and tickets at as few helpers as can be, since each ticket is ordered,
 // renewed and released. It returns -1 where there is not enough, or where the prompt
 // would fit one target once that is less full.
-func (s *Scratch) divide(r *Request, targets []Target, chosen []int, d *Decision) int {
+func (s *Scratch) divideMemory(r *Request, targets []Target, chosen []int, d *Decision) int {
 	order := slices.Clone(chosen)
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(targets[b].free(), targets[a].free()) })
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(targets[b].freeMemory(), targets[a].freeMemory()) })
 	// A ticket takes no call, so one that is exhausted may hold one.
-	if first := slices.IndexFunc(order, func(i int) bool { return !targets[i].exhausted(r) }); first > 0 {
+	if first := slices.IndexFunc(order, func(i int) bool { return !targets[i].rateLimited(r) }); first > 0 {
 		leader := order[first]
 		order = slices.Insert(slices.Delete(order, first, first+1), 0, leader)
 	}
-	if len(order) == 0 || targets[order[0]].full() || targets[order[0]].exhausted(r) || r.MemoryTokens() <= targets[order[0]].MemoryTokens {
+	if len(order) == 0 || targets[order[0]].full() || targets[order[0]].rateLimited(r) || r.MemoryTokens() <= targets[order[0]].MemoryTokens {
 		return -1
 	}
-	left := int64(float64(r.MemoryTokens())*ticketMargin) - int64(float64(targets[order[0]].free())*ticketShare)
-	d.Tickets = nil
+	left := int64(float64(r.MemoryTokens())*reservationMargin) - int64(float64(targets[order[0]].freeMemory())*reservationShare)
+	d.Reservations = nil
 	for _, i := range order[1:] {
 		if left <= 0 {
 			break
 		}
-		tokens := min(left, int64(float64(targets[i].free())*ticketShare))
+		tokens := min(left, int64(float64(targets[i].freeMemory())*reservationShare))
 		if tokens <= 0 {
 			break
 		}
-		d.Tickets = append(d.Tickets, Ticket{Target: targets[i].ID, Tokens: tokens})
+		d.Reservations = append(d.Reservations, MemoryReservation{Target: targets[i].ID, Tokens: tokens})
 		left -= tokens
 	}
 	if left > 0 {
-		d.Tickets = nil
+		d.Reservations = nil
 		return -1
 	}
 	return order[0]
--- a/core/routing/settle_test.go
+++ b/core/routing/settle_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// TestLongPromptsWriteBesideEachOther: six long prompts come one after the other, each while
+// TestLongPromptsAreAnsweredByFewEngines: six long prompts come one after the other, each while
 // those before it write. They are answered by three engines, two by each, which is what
 // their memory allows, so that 15 of 18 are free of writers for a prompt that needs deep
 // parts. Answered by whichever engine came first, they wrote on four.
-func TestLongPromptsWriteBesideEachOther(t *testing.T) {
+func TestLongPromptsAreAnsweredByFewEngines(t *testing.T) {
 	list := engines(18)
 	answering := map[string]int{}
 	for i := range 6 {
-		r := referral(150_000, 0)
+		r := longRequest(150_000, 0)
 		r.Seed = uint64(i) + 1 // Each comes from another daemon.
 		d := decide(r, list)
 		if d.Verdict != Place {
@@ -21,7 +21,7 @@
 			if list[i].ID == d.Chosen {
 				list[i].Load.Requests++
 				list[i].Load.MemoryTokens += d.Request.MemoryTokens()
-				list[i].GapGoal, list[i].Writers = longGap, []Writers{{GapGoal: longGap, Tokens: 150_800}}
+				list[i].GapGoal, list[i].DecodeGroups = longGapGoal, []DecodeGroup{{GapGoal: longGapGoal, Tokens: 150_800}}
 			}
 		}
 	}
--- a/core/routing/timed_bench_test.go
+++ b/core/routing/timed_bench_test.go
@@ -9,15 +9,15 @@
 func busyEngines(n int) []Target {
 	list := engines(n)
 	for i := range list {
-		list[i].write(8+i%8, int64(8+i%8)*7_000)
-		list[i].Reading = float64(i%5) * 0.15
+		list[i].addChats(8+i%8, int64(8+i%8)*7_000)
+		list[i].PendingPrefill = float64(i%5) * 0.15
 	}
 	return list
 }
 
 // The time of one decision about a long prompt that waits, and about a chat.
-func BenchmarkLongPromptWaits(b *testing.B) { benchmarkTimed(b, referral(225_000, 0.2)) }
-func BenchmarkChat(b *testing.B)            { benchmarkTimed(b, chat()) }
+func BenchmarkLongPromptWaits(b *testing.B) { benchmarkTimed(b, longRequest(225_000, 0.2)) }
+func BenchmarkChat(b *testing.B)            { benchmarkTimed(b, chatRequest()) }
 
 func benchmarkTimed(b *testing.B, r *Request) {
 	for _, n := range []int{18, 60, 330} {
@@ -33,17 +33,17 @@
 	}
 }
 
-// TestLookingAgainIsCheap: a prompt that waits is looked at with each event of its pool;
+// TestRepeatedWaitDecisionAllocatesLittle: a prompt that waits is looked at with each event of its pool;
 // only the first looks of a time record the targets.
-func TestLookingAgainIsCheap(t *testing.T) {
+func TestRepeatedWaitDecisionAllocatesLittle(t *testing.T) {
 	list := busyEngines(60)
-	r := referral(225_000, 0.2)
+	r := longRequest(225_000, 0.2)
 	p := timedParams()
 	var s Scratch
 	if d := s.Decide(r, p, list); d.Verdict != Wait || len(d.Candidates) == 0 {
 		t.Fatalf("verdict %s with %d candidates", d.Verdict, len(d.Candidates))
 	}
-	r.Recorded = true
+	r.OmitCandidates = true
 	const most = 4 // The pool's state and what sorting needs.
 	if n := testing.AllocsPerRun(100, func() { s.Decide(r, p, list) }); n > most {
 		t.Errorf("%v allocations for a look", n)
--- a/core/routing/timed_test.go
+++ b/core/routing/timed_test.go
@@ -8,20 +8,20 @@
 	"doorstack.dev/core/engine"
 )
 
-// usersTiming are the costs of the users' engines.
-var usersTiming = engine.Timing{
+// productionTiming are the costs of the users' engines.
+var productionTiming = engine.Timing{
 	Step: 0.85e-3, PerSequence: 0.00425e-3, PerContextToken: 0.00285e-6,
-	PerToken: 1 / 177_000.0, PerPair: 0.184e-9, Stride: 51,
+	PerPromptToken: 1 / 177_000.0, PerPair: 0.184e-9, StepsPerPass: 51,
 }
 
 func timedParams() *Params {
-	return &Params{LongPromptTokens: 32_000, RemotePenalty: 0.002, Timing: &usersTiming}
+	return &Params{LongPromptTokens: 32_000, RemotePenalty: 0.002, Timing: &productionTiming}
 }
 
-// chatGap and longGap are the users' goals for pauses between two events, in seconds.
+// chatGapGoal and longGapGoal are the users' goals for pauses between two events, in seconds.
 const (
-	chatGap = 0.25
-	longGap = 1.0
+	chatGapGoal = 0.25
+	longGapGoal = 1.0
 )
 
 // engines makes idle engines.
@@ -34,19 +34,19 @@
 }
 
 // write puts chats of so many tokens together on an engine.
-func (t *Target) write(chats int, tokens int64) {
+func (t *Target) addChats(chats int, tokens int64) {
 	t.Load.Requests += chats
 	t.Load.MemoryTokens += tokens
-	t.GapGoal, t.Tight = chatGap, chats
-	t.Writers = []Writers{{GapGoal: chatGap, Tokens: tokens}}
+	t.GapGoal, t.GapSensitive = chatGapGoal, chats
+	t.DecodeGroups = []DecodeGroup{{GapGoal: chatGapGoal, Tokens: tokens}}
 }
 
-func chat() *Request {
-	return &Request{ID: "chat", PromptTokens: 5_000, OutputTokens: 1_700, DataCentre: "a", Goal: 0.3, GapGoal: chatGap}
+func chatRequest() *Request {
+	return &Request{ID: "chat", PromptTokens: 5_000, OutputTokens: 1_700, DataCentre: "a", Goal: 0.3, GapGoal: chatGapGoal}
 }
 
-func referral(tokens int64, waited float64) *Request {
-	return &Request{ID: "referral", PromptTokens: tokens, OutputTokens: 800, DataCentre: "a", Goal: 3, GapGoal: longGap, Waited: waited}
+func longRequest(tokens int64, waited float64) *Request {
+	return &Request{ID: "referral", PromptTokens: tokens, OutputTokens: 800, DataCentre: "a", Goal: 3, GapGoal: longGapGoal, Waited: waited}
 }
 
 func decide(r *Request, targets []Target) Decision {
@@ -56,18 +56,18 @@
 
 func TestChatsArePacked(t *testing.T) {
 	list := engines(3)
-	list[1].write(5, 30_000)
-	if d := decide(chat(), list); d.Chosen != "e01" {
+	list[1].addChats(5, 30_000)
+	if d := decide(chatRequest(), list); d.Chosen != "e01" {
 		t.Errorf("a chat goes to %s, want the engine that has chats already", d.Chosen)
 	}
-	list[1].Reading = 0.5
-	if d := decide(chat(), list); d.Chosen == "e01" {
+	list[1].PendingPrefill = 0.5
+	if d := decide(chatRequest(), list); d.Chosen == "e01" {
 		t.Error("a chat goes behind half a second of reading though engines are idle")
 	}
 	for i := range list {
-		list[i].write(16, 100_000)
+		list[i].addChats(16, 100_000)
 	}
-	r := chat()
+	r := chatRequest()
 	if d := decide(r, list); d.Verdict != Wait {
 		t.Errorf("with all engines full the verdict is %s, want wait", d.Verdict)
 	}
@@ -77,122 +77,122 @@
 	}
 }
 
-func TestALongPromptIsReadByIdleEngines(t *testing.T) {
-	d := decide(referral(154_000, 0), engines(18))
+func TestLongPromptIsSplitOverIdleEngines(t *testing.T) {
+	d := decide(longRequest(154_000, 0), engines(18))
 	if d.Verdict != Place || len(d.Helpers) != MaxParts-1 || d.Forced {
 		t.Fatalf("verdict %s with %d helpers, forced %v; want all that may help", d.Verdict, len(d.Helpers), d.Forced)
 	}
-	if d.Foreseen < d.Part || d.Foreseen > 0.5 {
-		t.Errorf("foreseen %.2f s for parts of %.2f s", d.Foreseen, d.Part)
+	if d.PredictedFirstEvent < d.PartPrefillTime || d.PredictedFirstEvent > 0.5 {
+		t.Errorf("foreseen %.2f s for parts of %.2f s", d.PredictedFirstEvent, d.PartPrefillTime)
 	}
 }
 
-// TestWritersThatBearIt: a part that fits into the pause that chats bear goes
+// TestPartsWithinGapGoalsArePlacedAtOnce: a part that fits into the pause that chats bear goes
 // beside them at once.
-func TestWritersThatBearIt(t *testing.T) {
+func TestPartsWithinGapGoalsArePlacedAtOnce(t *testing.T) {
 	list := engines(18)
 	for i := range list {
-		list[i].write(4, 28_000)
+		list[i].addChats(4, 28_000)
 	}
-	if d := decide(referral(110_000, 0), list); d.Verdict != Place || d.Forced {
+	if d := decide(longRequest(110_000, 0), list); d.Verdict != Place || d.Forced {
 		t.Errorf("verdict %s, forced %v; parts of 0.1 s are borne by chats", d.Verdict, d.Forced)
 	}
 }
 
-// TestAfterASwing: chats that end leave each engine with a few writers for seconds. A
+// TestLongPromptMayDisturbFewerTokens: chats that end leave each engine with a few writers for seconds. A
 // long prompt that weighs more than the least of them goes beside those.
-func TestAfterASwing(t *testing.T) {
+func TestLongPromptMayDisturbFewerTokens(t *testing.T) {
 	swing := func(chats int) []Target {
 		list := engines(18)
 		for i := range list {
-			list[i].write(chats, int64(chats)*7_000)
+			list[i].addChats(chats, int64(chats)*7_000)
 		}
 		return list
 	}
-	d := decide(referral(225_000, 0), swing(2))
+	d := decide(longRequest(225_000, 0), swing(2))
 	if d.Verdict != Wait {
 		t.Errorf("verdict %s at the arrival, want wait", d.Verdict)
 	}
-	d = decide(referral(225_000, 0.1), swing(2))
+	d = decide(longRequest(225_000, 0.1), swing(2))
 	if d.Verdict != Place || !d.Forced {
 		t.Fatalf("verdict %s, forced %v; want to be placed beside the writers", d.Verdict, d.Forced)
 	}
-	if d.Foreseen > inTime*3 {
-		t.Errorf("foreseen %.2f s, over the goal", d.Foreseen)
+	if d.PredictedFirstEvent > inTimeShare*3 {
+		t.Errorf("foreseen %.2f s, over the goal", d.PredictedFirstEvent)
 	}
 	if harm := int64(1+len(d.Helpers)) * 14_000; harm > 225_000*35/100 {
 		t.Errorf("%d tokens of chats are disturbed", harm)
 	}
-	if d = decide(referral(225_000, 0.1), swing(12)); d.Verdict != Wait {
+	if d = decide(longRequest(225_000, 0.1), swing(12)); d.Verdict != Wait {
 		t.Errorf("verdict %s beside 84,000 tokens of chats an engine, want wait", d.Verdict)
 	}
 }
 
-// TestLeastDisturbed: engines without writers that suffer come first, and writers of
+// TestLeastDisturbedTargetsAreChosen: engines without writers that suffer come first, and writers of
 // long prompts weigh more than chats.
-func TestLeastDisturbed(t *testing.T) {
+func TestLeastDisturbedTargetsAreChosen(t *testing.T) {
 	list := engines(18)
 	for i := range list {
-		list[i].write(2, 14_000)
+		list[i].addChats(2, 14_000)
 	}
-	list[3].Writers = []Writers{{GapGoal: longGap, Tokens: 150_000}}
+	list[3].DecodeGroups = []DecodeGroup{{GapGoal: longGapGoal, Tokens: 150_000}}
 	list[3].Load.MemoryTokens = 150_000
-	list[3].GapGoal, list[3].Tight = longGap, 0
-	d := decide(referral(225_000, 0.1), list)
+	list[3].GapGoal, list[3].GapSensitive = longGapGoal, 0
+	d := decide(longRequest(225_000, 0.1), list)
 	if d.Verdict != Place || !d.Forced {
 		t.Fatalf("verdict %s, forced %v", d.Verdict, d.Forced)
 	}
 	for _, id := range append(d.Helpers, d.Chosen) {
 		if id == "e03" {
-			t.Errorf("parts of %.2f s go beside a long prompt's answer", d.Part)
+			t.Errorf("parts of %.2f s go beside a long prompt's answer", d.PartPrefillTime)
 		}
 	}
 }
 
-// TestNobodyIsDisturbedForNothing: where a prompt cannot be in time, it waits.
-func TestNobodyIsDisturbedForNothing(t *testing.T) {
+// TestNoGapGoalIsMissedForALatePrompt: where a prompt cannot be in time, it waits.
+func TestNoGapGoalIsMissedForALatePrompt(t *testing.T) {
 	list := engines(4)
 	for i := range list {
-		list[i].write(1, 6_000)
+		list[i].addChats(1, 6_000)
 	}
-	if d := decide(referral(280_000, 0.2), list); d.Verdict != Wait {
+	if d := decide(longRequest(280_000, 0.2), list); d.Verdict != Wait {
 		t.Errorf("verdict %s for 9 s of reading on four engines, want wait", d.Verdict)
 	}
-	if d := decide(referral(280_000, refuseAfter*3+0.01), list); d.Verdict != Refuse {
+	if d := decide(longRequest(280_000, refuseAfter*3+0.01), list); d.Verdict != Refuse {
 		t.Error("it is not refused while another attempt can still be in time")
 	}
 }
 
-// TestDecisionsCanBeRecorded: also where nothing is foreseen, as no engine is without
+// TestDecisionWithoutPredictionMarshals: also where nothing is foreseen, as no engine is without
 // close writers.
-func TestDecisionsCanBeRecorded(t *testing.T) {
+func TestDecisionWithoutPredictionMarshals(t *testing.T) {
 	list := engines(2)
 	for i := range list {
-		list[i].write(8, 200_000)
+		list[i].addChats(8, 200_000)
 	}
-	if _, err := json.Marshal(decide(referral(300_000, 0), list)); err != nil {
+	if _, err := json.Marshal(decide(longRequest(300_000, 0), list)); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestChatsLeaveACrowdedEngine: a chat that is likely to be late on the packed engine
+// TestChatAvoidsPackedEngineThatWouldBeLate: a chat that is likely to be late on the packed engine
 // opens another one.
-func TestChatsLeaveACrowdedEngine(t *testing.T) {
+func TestChatAvoidsPackedEngineThatWouldBeLate(t *testing.T) {
 	list := engines(2)
-	list[0].write(12, 80_000)
-	list[0].Reading = 0.07
-	if d := decide(chat(), list); d.Chosen != "e01" {
+	list[0].addChats(12, 80_000)
+	list[0].PendingPrefill = 0.07
+	if d := decide(chatRequest(), list); d.Chosen != "e01" {
 		t.Errorf("a chat with a goal of 0.3 s goes to %s, behind 0.07 s of reading and 12 writers", d.Chosen)
 	}
 }
 
-// TestOverOneEnginesMemory: the memory beyond the first engine is asked of helpers, and
+// TestPromptBeyondOneEngineReservesMemoryAtHelpers: the memory beyond the first engine is asked of helpers, and
 // not where there is none.
-func TestOverOneEnginesMemory(t *testing.T) {
+func TestPromptBeyondOneEngineReservesMemoryAtHelpers(t *testing.T) {
 	list := engines(18)
-	d := decide(referral(400_000, 0), list)
+	d := decide(longRequest(400_000, 0), list)
 	sum := int64(0)
-	for _, ticket := range d.Tickets {
+	for _, ticket := range d.Reservations {
 		sum += ticket.Tokens
 	}
 	if d.Verdict != Place || sum < 400_000-315_000 {
@@ -201,24 +201,24 @@
 	for i := range list {
 		list[i].Load.MemoryTokens = 310_000
 	}
-	if d = decide(referral(400_000, 0), list); d.Verdict == Place {
+	if d = decide(longRequest(400_000, 0), list); d.Verdict == Place {
 		t.Error("it is placed on engines without memory")
 	}
 }
 
-// TestDeepPartsLeaveEnginesFree: parts of seconds stay on a part of the engines, so that
+// TestHeavyPartsLeaveEnginesFree: parts of seconds stay on a part of the engines, so that
 // chats can come back.
-func TestDeepPartsLeaveEnginesFree(t *testing.T) {
-	d := decide(referral(500_000, 0), engines(18))
-	if d.Verdict != Place || d.Part <= deepPart || 1+len(d.Helpers) > 7 {
-		t.Errorf("verdict %s, %d parts of %.1f s, want at most 7 of 18 engines", d.Verdict, 1+len(d.Helpers), d.Part)
+func TestHeavyPartsLeaveEnginesFree(t *testing.T) {
+	d := decide(longRequest(500_000, 0), engines(18))
+	if d.Verdict != Place || d.PartPrefillTime <= heavyPart || 1+len(d.Helpers) > 7 {
+		t.Errorf("verdict %s, %d parts of %.1f s, want at most 7 of 18 engines", d.Verdict, 1+len(d.Helpers), d.PartPrefillTime)
 	}
 }
 
-// TestPartsGoBeforeWhatIsUnread: an engine reads the newest part first, so a part goes
+// TestPartsAvoidTargetsWithoutPrefillSlack: an engine reads the newest part first, so a part goes
 // where the prompts that are not read yet can be held up by it, and elsewhere if there is
 // room.
-func TestPartsGoBeforeWhatIsUnread(t *testing.T) {
+func TestPartsAvoidTargetsWithoutPrefillSlack(t *testing.T) {
 	for name, c := range map[string]struct {
 		holdUp float64
 		avoid  bool
@@ -228,9 +228,9 @@
 	} {
 		list := engines(6)
 		for i := range 3 {
-			list[i].Reading, list[i].UnreadTokens, list[i].HoldUp = 0.05, 100_000, c.holdUp
+			list[i].PendingPrefill, list[i].PendingPromptTokens, list[i].PrefillSlack = 0.05, 100_000, c.holdUp
 		}
-		d := decide(referral(154_000, 0), list)
+		d := decide(longRequest(154_000, 0), list)
 		if d.Verdict != Place {
 			t.Fatalf("%s: %s", name, d.Verdict)
 		}
@@ -246,47 +246,47 @@
 	}
 }
 
-// TestHeldUpPromptsCountAsDisturbed: where there is no other room, a prompt goes before
+// TestDelayedPromptsCountAsDisturbed: where there is no other room, a prompt goes before
 // those that weigh less and would be late.
-func TestHeldUpPromptsCountAsDisturbed(t *testing.T) {
+func TestDelayedPromptsCountAsDisturbed(t *testing.T) {
 	for _, c := range []struct {
 		unread int64
 		want   Verdict
 	}{{1_000, Place}, {50_000, Wait}} {
 		list := engines(17)
 		for i := range list {
-			list[i].Reading, list[i].UnreadTokens, list[i].HoldUp = 0.05, c.unread, 0.01
+			list[i].PendingPrefill, list[i].PendingPromptTokens, list[i].PrefillSlack = 0.05, c.unread, 0.01
 		}
-		if d := decide(referral(120_000, 0.2), list); d.Verdict != c.want {
+		if d := decide(longRequest(120_000, 0.2), list); d.Verdict != c.want {
 			t.Errorf("before %d unread tokens an engine: %s, want %s", c.unread, d.Verdict, c.want)
 		}
 	}
 }
 
-// TestAFewEnginesReadALargePrompt: engines are kept free of deep parts only as far as the
+// TestLargePromptIsPlacedOnFewEngines: engines are kept free of deep parts only as far as the
 // prompt's memory can be had without them; an idle pool does not turn it away for ever.
-func TestAFewEnginesReadALargePrompt(t *testing.T) {
+func TestLargePromptIsPlacedOnFewEngines(t *testing.T) {
 	for n := 2; n <= 4; n++ {
 		list := engines(n)
 		for i := range list {
 			list[i].MemoryTokens = 100_000
 		}
-		d := decide(referral(150_000, 0), list)
-		if d.Verdict != Place || len(d.Tickets) == 0 {
-			t.Errorf("%d idle engines: %s with %d tickets", n, d.Verdict, len(d.Tickets))
+		d := decide(longRequest(150_000, 0), list)
+		if d.Verdict != Place || len(d.Reservations) == 0 {
+			t.Errorf("%d idle engines: %s with %d tickets", n, d.Verdict, len(d.Reservations))
 		}
 	}
 }
 
-// TestSlowEnginesReadNoParts: three of 18 engines take 4.5 times as long. A long prompt is
+// TestSlowEnginesPrefillNoParts: three of 18 engines take 4.5 times as long. A long prompt is
 // read when its last part is; with parts on the slow ones its first event was foreseen in
 // time and came 4.5 times as late.
-func TestSlowEnginesReadNoParts(t *testing.T) {
+func TestSlowEnginesPrefillNoParts(t *testing.T) {
 	list := engines(18)
 	for i := range 3 {
-		list[i].Pace = 4.5
+		list[i].Slowdown = 4.5
 	}
-	d := decide(referral(150_000, 0), list)
+	d := decide(longRequest(150_000, 0), list)
 	if d.Verdict != Place {
 		t.Fatalf("%+v", d)
 	}
@@ -295,13 +295,13 @@
 			t.Errorf("%s is slow and reads a part", id)
 		}
 	}
-	if d := decide(chat(), list); d.Chosen == "e00" || d.Chosen == "e01" || d.Chosen == "e02" {
+	if d := decide(chatRequest(), list); d.Chosen == "e00" || d.Chosen == "e01" || d.Chosen == "e02" {
 		t.Errorf("a chat goes to %s, which is slow", d.Chosen)
 	}
 	for i := range list {
-		list[i].Pace = 2
+		list[i].Slowdown = 2
 	}
-	if d := decide(referral(150_000, 0), list); d.Verdict != Place || len(d.Helpers) < 5 {
+	if d := decide(longRequest(150_000, 0), list); d.Verdict != Place || len(d.Helpers) < 5 {
 		t.Errorf("where all are slow: %s with %d helpers", d.Verdict, len(d.Helpers))
 	}
 }
--- a/core/settings/tree.go
+++ b/core/settings/tree.go
@@ -150,9 +150,9 @@
 		Step:            c.StepMS * perMS,
 		PerSequence:     c.PerSequenceMS * perMS,
 		PerContextToken: c.ContextMSPerK * perMS * perKilo,
-		PerToken:        1 / k.PrefillTokensPerSecond,
+		PerPromptToken:  1 / k.PrefillTokensPerSecond,
 		PerPair:         c.PairsMSPerM * perMS * perMega,
-		Stride:          max(minSteps, c.Stride),
+		StepsPerPass:    max(minSteps, c.Stride),
 	}
 }
 
--- a/node/blackboard/queues.go
+++ b/node/blackboard/queues.go
@@ -195,7 +195,7 @@
 	ahead := 0.0 // reading time of the long prompts that wait before the next one
 	placed := p.queue.Dispatch(at, func(it *admission.Item) bool {
 		ticket := it.Owner.(*Ticket)
-		ticket.Request.Ahead = ahead
+		ticket.Request.PrefillAhead = ahead
 		if place(ticket, targets, at) {
 			return true
 		}
@@ -218,11 +218,11 @@
 	for _, it := range p.queue.InOrder(at) {
 		ticket := it.Owner.(*Ticket)
 		r := &ticket.Request
-		r.Waited, r.Left = at.Sub(it.Arrived).Seconds(), ticket.Deadline.Sub(at).Seconds()
-		d, refused := routing.RefuseExhausted(r, before, limited)
+		r.Waited, r.UntilDeadline = at.Sub(it.Arrived).Seconds(), ticket.Deadline.Sub(at).Seconds()
+		d, refused := routing.RefuseRateLimited(r, before, limited)
 		if !refused {
 			before++
-			r.LetWait = true
+			r.WaitAccepted = true
 			continue
 		}
 		p.queue.Remove(it)
@@ -235,7 +235,7 @@
 	params := ticket.Params
 	params.LongTargets += ageingSteps(ticket, at)
 	ticket.Request.Waited = at.Sub(ticket.Item.Arrived).Seconds()
-	ticket.Request.Recorded = at.Sub(ticket.recorded) < recordEvery
+	ticket.Request.OmitCandidates = at.Sub(ticket.recorded) < recordEvery
 	placement := targets.Place(ticket.Pool.Name, ticket.Attempt, &ticket.Request, &params, ticket.Holders, at)
 	ticket.looks++
 	switch placement.Decision.Verdict {
@@ -263,7 +263,7 @@
 
 // note keeps a decision to wait that has its candidates, for the explanation.
 func (t *Ticket) note(d *routing.Decision, at time.Time) {
-	if !t.Request.Recorded || t.waited == nil {
+	if !t.Request.OmitCandidates || t.waited == nil {
 		t.waited, t.recorded = d, at
 	}
 }
--- a/node/blackboard/reading_test.go
+++ b/node/blackboard/reading_test.go
@@ -23,15 +23,15 @@
 	reader := write("reader", 0.5)
 	var view routing.Target
 	s.refreshTimed(&view, now)
-	if view.Tight != 1 || view.GapGoal != 0.25 || len(view.Writers) != 3 {
-		t.Fatalf("before: %d close writers, least goal %v, %v", view.Tight, view.GapGoal, view.Writers)
+	if view.GapSensitive != 1 || view.GapGoal != 0.25 || len(view.DecodeGroups) != 3 {
+		t.Fatalf("before: %d close writers, least goal %v, %v", view.GapSensitive, view.GapGoal, view.DecodeGroups)
 	}
 	s.reading.give(reader, 0.6, now)
 	s.markDisturbed(reader, now)
 	write("new chat", 0.25)
 	s.refreshTimed(&view, now)
-	if view.Tight != 1 || len(view.Writers) != 3 || view.Writers[0].Tokens != 7_000 {
-		t.Errorf("after: %d close writers, %v; want the new chat, the reader and the long one", view.Tight, view.Writers)
+	if view.GapSensitive != 1 || len(view.DecodeGroups) != 3 || view.DecodeGroups[0].Tokens != 7_000 {
+		t.Errorf("after: %d close writers, %v; want the new chat, the reader and the long one", view.GapSensitive, view.DecodeGroups)
 	}
 	if !s.calls["chat"].disturbed || s.calls["long"].disturbed || reader.disturbed {
 		t.Error("the wrong calls count as disturbed")
@@ -50,31 +50,31 @@
 	}
 	var view routing.Target
 	s.refreshTimed(&view, now)
-	if view.UnreadTokens != 0 || view.HoldUp != 0 {
+	if view.PendingPromptTokens != 0 || view.PrefillSlack != 0 {
 		t.Fatalf("nothing is unread: %+v", view)
 	}
-	near := func(want float64) bool { return view.HoldUp > want-0.001 && view.HoldUp < want+0.001 }
+	near := func(want float64) bool { return view.PrefillSlack > want-0.001 && view.PrefillSlack < want+0.001 }
 	give("long", 150_000, 3, 0.5, 0.09)
 	s.refreshTimed(&view, now)
-	if view.UnreadTokens != 150_000 || !near(2.5-view.Reading-toFirstEvent) {
+	if view.PendingPromptTokens != 150_000 || !near(2.5-view.PendingPrefill-toFirstEvent) {
 		t.Errorf("one prompt: %+v", view)
 	}
 	give("chat", 5_000, 0.5, 0, 0.027)
 	s.refreshTimed(&view, now)
-	if view.UnreadTokens != 155_000 || !near(0.5-view.Reading-toFirstEvent) {
+	if view.PendingPromptTokens != 155_000 || !near(0.5-view.PendingPrefill-toFirstEvent) {
 		t.Errorf("two prompts: %+v", view)
 	}
 	s.reading.end("chat", now)
 	s.reading.end("long", now)
 	give("late", 1_000, 1, 2, 0.09)
 	s.refreshTimed(&view, now)
-	if !near(lateGoals - 1 - view.Reading - toFirstEvent) {
+	if !near(lateGoals - 1 - view.PendingPrefill - toFirstEvent) {
 		t.Errorf("a late one: %+v", view)
 	}
 	give("no goal", 1_000, 0, 0, 0.09)
-	before := view.UnreadTokens
+	before := view.PendingPromptTokens
 	s.refreshTimed(&view, now)
-	if view.UnreadTokens != before {
+	if view.PendingPromptTokens != before {
 		t.Errorf("without a goal there is nothing to miss: %+v", view)
 	}
 }
@@ -95,7 +95,7 @@
 // pass, and reads it all in that one: two prompts given 30 ms apart make one pause of both, though
 // the first would have been read meanwhile by an engine that reads all the time.
 func TestWhatIsGivenWithinAPassIsReadTogether(t *testing.T) {
-	timing := engine.Timing{Step: 1e-3, Stride: 50}
+	timing := engine.Timing{Step: 1e-3, StepsPerPass: 50}
 	now := time.Now()
 	s := &targetState{pool: &targetPool{timing: &timing}, calls: map[string]*ownCall{}}
 	give := func(id string, at time.Time) {
@@ -107,11 +107,11 @@
 	give("second", now.Add(30*time.Millisecond))
 	var view routing.Target
 	s.refreshTimed(&view, now.Add(31*time.Millisecond))
-	if view.Fresh < 0.0499 || view.Reading > 0.03 {
-		t.Errorf("%.3f s given within a pass, %.3f s left to read", view.Fresh, view.Reading)
+	if view.RecentPrefill < 0.0499 || view.PendingPrefill > 0.03 {
+		t.Errorf("%.3f s given within a pass, %.3f s left to read", view.RecentPrefill, view.PendingPrefill)
 	}
 	s.refreshTimed(&view, now.Add(120*time.Millisecond))
-	if view.Fresh != 0 {
-		t.Errorf("%.3f s given within a pass, two passes later", view.Fresh)
+	if view.RecentPrefill != 0 {
+		t.Errorf("%.3f s given within a pass, two passes later", view.RecentPrefill)
 	}
 }
--- a/node/blackboard/started_anew_test.go
+++ b/node/blackboard/started_anew_test.go
@@ -41,12 +41,12 @@
 			host.Incarnation = c.incarnation
 			table.Sync([]hostlist.Host{host}, tree, now)
 			view := table.Views("svc", now)[0]
-			if anew := view.Load.Requests == 0 && !view.BreakerOpen && view.Pace <= 1; anew != c.anew {
+			if anew := view.Load.Requests == 0 && !view.BreakerOpen && view.Slowdown <= 1; anew != c.anew {
 				t.Fatalf("%+v", view)
 			}
 			// The calls of the earlier process end without a trace at the later one.
 			table.Finish("x", CallFailed, now)
-			if view := table.Views("svc", now)[0]; c.anew && (view.Load.Requests != 0 || view.Trouble != 0) {
+			if view := table.Views("svc", now)[0]; c.anew && (view.Load.Requests != 0 || view.RecentFailures != 0) {
 				t.Errorf("the end of an earlier call counts: %+v", view)
 			}
 			if table.Active("x") || !table.Active("y") {
@@ -100,7 +100,7 @@
 			}
 			table.Finish("early", CallFailed, after)
 			table.Occupy("a", "next", routing.Load{Requests: 1}, after)
-			if view := table.Views("svc", after)[0]; view.Load.Requests != 1 || view.Trouble != 0 {
+			if view := table.Views("svc", after)[0]; view.Load.Requests != 1 || view.RecentFailures != 0 {
 				t.Errorf("%+v", view)
 			}
 			if table.Started("a", 100, after) || table.Started("a", 0, after) || table.Started("nobody", started, after) {
@@ -132,12 +132,12 @@
 		named := forward.Word{Notice: forward.Notice{Limit: forward.NamedLimit(2)}, Sent: now, At: now.Add(time.Millisecond)}
 		table.Notice("a", named)
 		startAnew(table)
-		if view := table.Views("svc", now)[0]; view.Limit == nil {
+		if view := table.Views("svc", now)[0]; view.RateLimit == nil {
 			t.Errorf("%s: the limit is forgotten", name)
 		}
 		lifted := forward.Word{Notice: forward.Notice{Limit: forward.Limit{Lifted: true}}, Sent: now.Add(time.Second), At: now.Add(time.Second)}
 		table.Notice("a", lifted)
-		if view := table.Views("svc", now.Add(time.Second))[0]; view.Limit != nil {
+		if view := table.Views("svc", now.Add(time.Second))[0]; view.RateLimit != nil {
 			t.Errorf("%s: the limit is not lifted", name)
 		}
 	}
--- a/node/blackboard/target_calls.go
+++ b/node/blackboard/target_calls.go
@@ -70,7 +70,7 @@
 	s := tp.states[tp.index[d.Chosen]]
 	placement.Address = s.address
 	load := loadOf(r, p, d.Chosen, holders)
-	for _, ticket := range d.Tickets {
+	for _, ticket := range d.Reservations {
 		load.MemoryTokens = max(0, load.MemoryTokens-ticket.Tokens)
 	}
 	if load.LongPrefills == 0 {
--- a/node/blackboard/target_limits.go
+++ b/node/blackboard/target_limits.go
@@ -32,7 +32,7 @@
 	if s == nil {
 		return nil
 	}
-	return &routing.RateLimit{PerSecond: s.Rate(), Wait: s.Wait(at).Seconds(), Idle: s.Idle(at).Seconds()}
+	return &routing.RateLimit{PerSecond: s.Rate(), Wait: s.Wait(at).Seconds(), SinceLastCall: s.Idle(at).Seconds()}
 }
 
 // limit is the limit that the target has named.
--- a/node/blackboard/target_pace.go
+++ b/node/blackboard/target_pace.go
@@ -20,7 +20,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.byID[id]; s != nil {
-		s.pace = pace{factor: engine.Pace(reported), until: until}
+		s.pace = pace{factor: engine.Slowdown(reported), until: until}
 		s.refresh(at)
 	}
 }
--- a/node/blackboard/target_reading.go
+++ b/node/blackboard/target_reading.go
@@ -45,7 +45,7 @@
 	if r.until.Before(at) {
 		r.until = at
 	}
-	r.until = r.until.Add(engine.Seconds(work / readingShare))
+	r.until = r.until.Add(engine.Duration(work / readingShare))
 }
 
 // givenSince is the reading time, in seconds, of the parts that were given after a time and are
@@ -71,7 +71,7 @@
 	for _, part := range r.unread {
 		left += part.work
 	}
-	if limit := at.Add(engine.Seconds(left / readingShare)); r.until.After(limit) {
+	if limit := at.Add(engine.Duration(left / readingShare)); r.until.After(limit) {
 		r.until = limit
 	}
 }
@@ -82,13 +82,13 @@
 	c := t.calls[attempt]
 	c.gap = d.Request.GapGoal
 	c.setGoal(d.Request.Goal, d.Request.Waited, at)
-	return t.giveParts(c, d.Helpers, d.Tickets, d.Reading/float64(1+len(d.Helpers)), at)
+	return t.giveParts(c, d.Helpers, d.Reservations, d.PrefillTime/float64(1+len(d.Helpers)), at)
 }
 
 // setGoal keeps when the first event is due, of a goal in seconds of which so much is over.
 func (c *ownCall) setGoal(goal, waited float64, at time.Time) {
 	c.goal = goal
-	c.due = at.Add(engine.Seconds(goal - waited))
+	c.due = at.Add(engine.Duration(goal - waited))
 }
 
 // The time that a prompt which is not read yet can be held up.
@@ -113,21 +113,21 @@
 
 // refreshUnread works out what is not read yet, and how long all of it can be held up.
 func (s *targetState) refreshUnread(view *routing.Target, at time.Time) {
-	view.UnreadTokens, view.HoldUp = 0, 0
+	view.PendingPromptTokens, view.PrefillSlack = 0, 0
 	for _, part := range s.reading.unread {
 		if part.call.goal <= 0 {
 			continue
 		}
-		left := part.call.holdUp(view.Reading, at)
-		if view.UnreadTokens == 0 || left < view.HoldUp {
-			view.HoldUp = left
+		left := part.call.holdUp(view.PendingPrefill, at)
+		if view.PendingPromptTokens == 0 || left < view.PrefillSlack {
+			view.PrefillSlack = left
 		}
-		view.UnreadTokens += max(1, part.call.prompt)
+		view.PendingPromptTokens += max(1, part.call.prompt)
 	}
 }
 
 // giveParts counts the parts of a call's prompt at its target and the helpers.
-func (t *TargetTable) giveParts(c *ownCall, ids []string, tickets []routing.Ticket, work float64, at time.Time) []TargetAddress {
+func (t *TargetTable) giveParts(c *ownCall, ids []string, tickets []routing.MemoryReservation, work float64, at time.Time) []TargetAddress {
 	c.parts = append(c.parts, readPart{state: c.state, work: work})
 	var helpers []TargetAddress
 	for _, id := range ids {
@@ -147,7 +147,7 @@
 	return helpers
 }
 
-func ticketTokens(tickets []routing.Ticket, id string) int64 {
+func ticketTokens(tickets []routing.MemoryReservation, id string) int64 {
 	for _, t := range tickets {
 		if t.Target == id {
 			return t.Tokens
@@ -191,34 +191,34 @@
 
 // refreshTimed works out what a target of known timing has before it.
 func (s *targetState) refreshTimed(view *routing.Target, at time.Time) {
-	view.Reading = max(0, s.reading.until.Sub(at).Seconds())
-	view.Fresh = 0
+	view.PendingPrefill = max(0, s.reading.until.Sub(at).Seconds())
+	view.RecentPrefill = 0
 	if timing := s.pool.timing; timing != nil && len(s.calls) > 0 {
-		pass := timing.Pass(view.Load.Requests, view.Load.MemoryTokens)
-		view.Fresh = s.reading.givenSince(at.Add(-engine.Seconds(pass)))
+		pass := timing.PassTime(view.Load.Requests, view.Load.MemoryTokens)
+		view.RecentPrefill = s.reading.givenSince(at.Add(-engine.Duration(pass)))
 	}
 	s.refreshUnread(view, at)
-	view.GapGoal, view.Tight, view.Writers = 0, 0, nil
+	view.GapGoal, view.GapSensitive, view.DecodeGroups = 0, 0, nil
 	view.Load.MemoryTokens += s.setAside
 	for _, c := range s.calls {
 		if c.gap <= 0 || c.disturbed {
 			continue
 		}
-		view.Writers = addWriter(view.Writers, c)
+		view.DecodeGroups = addWriter(view.DecodeGroups, c)
 		if c.gap <= tightGap {
-			view.Tight++
+			view.GapSensitive++
 		}
 	}
-	if len(view.Writers) > 0 {
-		view.GapGoal = view.Writers[0].GapGoal
+	if len(view.DecodeGroups) > 0 {
+		view.GapGoal = view.DecodeGroups[0].GapGoal
 	}
 }
 
 // addWriter counts a call among those with the same goal.
-func addWriter(list []routing.Writers, c *ownCall) []routing.Writers {
-	i, found := slices.BinarySearchFunc(list, c.gap, func(w routing.Writers, gap float64) int { return cmp.Compare(w.GapGoal, gap) })
+func addWriter(list []routing.DecodeGroup, c *ownCall) []routing.DecodeGroup {
+	i, found := slices.BinarySearchFunc(list, c.gap, func(w routing.DecodeGroup, gap float64) int { return cmp.Compare(w.GapGoal, gap) })
 	if !found {
-		list = slices.Insert(list, i, routing.Writers{GapGoal: c.gap})
+		list = slices.Insert(list, i, routing.DecodeGroup{GapGoal: c.gap})
 	}
 	list[i].Tokens += c.load.MemoryTokens
 	return list
--- a/node/blackboard/target_remote.go
+++ b/node/blackboard/target_remote.go
@@ -21,7 +21,7 @@
 	// Read is true once its prompt has been read.
 	Read bool `cbor:"7,keyasint,omitempty"`
 	// Tickets are what helpers set aside.
-	Tickets []routing.Ticket `cbor:"8,keyasint,omitempty"`
+	Tickets []routing.MemoryReservation `cbor:"8,keyasint,omitempty"`
 	// Goal is the goal for the first event and Waited what of it is over, in seconds.
 	Goal   float64 `cbor:"9,keyasint,omitempty"`
 	Waited float64 `cbor:"10,keyasint,omitempty"`
@@ -33,10 +33,10 @@
 func StateOf(attempt string, d *routing.Decision) CallState {
 	state := CallState{
 		Attempt: attempt, Target: d.Chosen, Helpers: d.Helpers, MemoryTokens: d.Request.MemoryTokens(),
-		Part: d.Reading / float64(1+len(d.Helpers)), GapGoal: d.Request.GapGoal, Tickets: d.Tickets,
+		Part: d.PrefillTime / float64(1+len(d.Helpers)), GapGoal: d.Request.GapGoal, Tickets: d.Reservations,
 		Goal: d.Request.Goal, Waited: d.Request.Waited, PromptTokens: d.Request.PromptTokens,
 	}
-	for _, ticket := range d.Tickets {
+	for _, ticket := range d.Reservations {
 		state.MemoryTokens = max(0, state.MemoryTokens-ticket.Tokens)
 	}
 	return state
@@ -92,7 +92,7 @@
 			state.Helpers = append(state.Helpers, part.state.id)
 		}
 		if part.memory > 0 {
-			state.Tickets = append(state.Tickets, routing.Ticket{Target: part.state.id, Tokens: part.memory})
+			state.Tickets = append(state.Tickets, routing.MemoryReservation{Target: part.state.id, Tokens: part.memory})
 		}
 	}
 	return state
--- a/node/blackboard/targets.go
+++ b/node/blackboard/targets.go
@@ -165,7 +165,7 @@
 		t.recallNotices(s, at)
 		s.listed = routing.Live
 		if h.State == hostlist.Leaving {
-			s.listed = routing.Leaving
+			s.listed = routing.Draining
 		}
 		slots := pool.Kind.MaxConcurrent
 		if h.Slots > 0 {
@@ -216,10 +216,10 @@
 		reported = reportedLoad(&s.report, view.PrefillRate, view.ReportAge)
 	}
 	view.Load = reported.Sub(s.ended).Add(s.since)
-	view.Limit = rateLimit(s.limiter, at)
+	view.RateLimit = rateLimit(s.limiter, at)
 	s.refreshTimed(view, at)
-	view.Pace = s.pace.now(at)
-	view.Trouble = s.trouble.now(at)
+	view.Slowdown = s.pace.now(at)
+	view.RecentFailures = s.trouble.now(at)
 	if s.report.MemoryTokens > 0 {
 		view.MemoryTokens = s.report.MemoryTokens
 	}
@@ -228,9 +228,9 @@
 func (s *targetState) state() routing.State {
 	switch {
 	case s.silent >= maxSilent:
-		return routing.Gone
-	case s.listed == routing.Leaving || s.leaving || s.saidLeaving:
-		return routing.Leaving
+		return routing.Unavailable
+	case s.listed == routing.Draining || s.leaving || s.saidLeaving:
+		return routing.Draining
 	default:
 		return routing.Live
 	}
--- a/node/cluster/coordinate.go
+++ b/node/cluster/coordinate.go
@@ -90,7 +90,7 @@
 		Pool: pool, Attempt: in.Attempt, Params: params, Deadline: now.Add(in.Left),
 		Request: routing.Request{
 			ID: in.Request, PromptTokens: in.PromptTokens, OutputTokens: in.OutputTokens, DataCentre: in.DataCentre,
-			Exclude: in.Exclude, Goal: in.Goal, GapGoal: in.GapGoal, Retry: in.Retry, Begun: in.Begun, Seed: rendezvous.Score(in.Pool, in.Attempt),
+			Exclude: in.Exclude, Goal: in.Goal, GapGoal: in.GapGoal, Retry: in.Retry, AnswerStarted: in.Begun, Seed: rendezvous.Score(in.Pool, in.Attempt),
 		},
 		Item: &admission.Item{
 			ID: in.Request, Account: in.Account, Level: in.Level, Tokens: max(1, in.PromptTokens),
@@ -105,7 +105,7 @@
 	d := &placement.Decision
 	answer := placeAnswer{
 		Attempt: held.ticket.Attempt, Verdict: d.Verdict, Target: d.Chosen, Address: placement.Address,
-		Reading: d.Reading, Considered: d.Considered, Tickets: d.Tickets, ComeBack: d.ComeBack,
+		Reading: d.PrefillTime, Considered: d.Considered, Tickets: d.Reservations, ComeBack: d.RetryAfter,
 	}
 	if d.Verdict == routing.Place {
 		answer.Limit = p.cluster.Board.Targets.LimitOf(d.Chosen, time.Now())
--- a/node/cluster/placement.go
+++ b/node/cluster/placement.go
@@ -83,7 +83,7 @@
 	// Considered is the number of targets looked at.
 	Considered int `cbor:"7,keyasint,omitempty"`
 	// Tickets are what helpers are asked to set aside.
-	Tickets []routing.Ticket `cbor:"8,keyasint,omitempty"`
+	Tickets []routing.MemoryReservation `cbor:"8,keyasint,omitempty"`
 	// ComeBack is the time, in seconds, after which a refused call's turn would have come.
 	ComeBack float64 `cbor:"9,keyasint,omitempty"`
 	// Limit is the limit that the target has named.
@@ -304,7 +304,7 @@
 		Attempt: t.Attempt, Request: t.Request.ID, Pool: t.Pool.Name, Account: t.Item.Account, Level: t.Item.Level,
 		PromptTokens: t.Request.PromptTokens, OutputTokens: t.Request.OutputTokens, DataCentre: t.Request.DataCentre,
 		Exclude: t.Request.Exclude, Goal: t.Request.Goal, GapGoal: t.Request.GapGoal,
-		Waited: time.Since(t.Item.Arrived), Left: time.Until(t.Deadline), Retry: t.Item.Retry, Begun: t.Request.Begun,
+		Waited: time.Since(t.Item.Arrived), Left: time.Until(t.Deadline), Retry: t.Item.Retry, Begun: t.Request.AnswerStarted,
 	}
 	p.mu.Lock()
 	known := p.told[t.Pool.Name] == c
@@ -335,8 +335,8 @@
 func (p *Placements) placement(t *blackboard.Ticket, a *placeAnswer) blackboard.Placement {
 	now := time.Now()
 	placement := blackboard.Placement{Attempt: t.Attempt, Address: a.Address, At: now, Decision: routing.Decision{
-		Request: t.Request, Params: t.Params, Verdict: a.Verdict, Chosen: a.Target, Considered: a.Considered, Reading: a.Reading,
-		Tickets: a.Tickets, ComeBack: a.ComeBack,
+		Request: t.Request, Params: t.Params, Verdict: a.Verdict, Chosen: a.Target, Considered: a.Considered, PrefillTime: a.Reading,
+		Reservations: a.Tickets, RetryAfter: a.ComeBack,
 	}}
 	for _, h := range a.Helpers {
 		placement.Decision.Helpers = append(placement.Decision.Helpers, h.Target)
--- a/node/cmd/doorstack/explain.go
+++ b/node/cmd/doorstack/explain.go
@@ -97,7 +97,7 @@
 			result = "chosen"
 		}
 		s := &c.Scores
-		t.row("    "+c.Target.ID, result, ms(s.Total()), ms(s.Prefill), ms(s.Backlog), ms(s.Batch), ms(s.Memory), ms(s.LongMix), ms(s.Locality), ms(s.PrefixSaved),
+		t.row("    "+c.Target.ID, result, ms(s.Total()), ms(s.Prefill), ms(s.Backlog), ms(s.Batch), ms(s.Memory), ms(s.Interference), ms(s.Locality), ms(s.PrefixSaved),
 			fmt.Sprintf("%d/%d", c.Target.Load.MemoryTokens, c.Target.MemoryTokens), c.Target.ReportAge.Round(time.Millisecond))
 	}
 	t.flush()
--- a/node/cmd/doorstack/status.go
+++ b/node/cmd/doorstack/status.go
@@ -101,7 +101,7 @@
 	t.flush()
 }
 
-var stateNames = map[routing.State]string{routing.Live: "live", routing.Leaving: "leaving", routing.Gone: "gone"}
+var stateNames = map[routing.State]string{routing.Live: "live", routing.Draining: "leaving", routing.Unavailable: "gone"}
 
 func printTargets(out io.Writer, targets []admin.TargetStatus) {
 	t := newTable(out, "POOL", "TARGET", "WHERE", "STATE", "CALLS", "OWN", "MEMORY", "BACKLOG", "LONG", "REPORT AGE", "FAILURES")
--- a/node/controller/paces.go
+++ b/node/controller/paces.go
@@ -140,7 +140,7 @@
 		c.Record.Log.Info("target started anew", "target", t.ID, "pool", t.Pool, "incarnation", report.Started, "from", "its report")
 	}
 	c.Board.Targets.SetPace(t.ID, report.Pace, now.Add(holds), now)
-	slow := engine.Pace(report.Pace) > 1
+	slow := engine.Slowdown(report.Pace) > 1
 	if slow != before {
 		c.Record.Log.Info("target's pace", "target", t.ID, "pool", t.Pool, "pace", report.Pace, "slow", slow)
 	}
--- a/node/internal/coordbench/engine.go
+++ b/node/internal/coordbench/engine.go
@@ -59,7 +59,7 @@
 		for _, w := range e.writers {
 			contexts += w.prompt
 		}
-		seconds, budget = e.timing.Pass(len(e.writers), contexts), e.timing.Stride*e.chunk
+		seconds, budget = e.timing.PassTime(len(e.writers), contexts), e.timing.StepsPerPass*e.chunk
 	}
 	for budget > 0 && len(e.parts) > 0 {
 		p := e.parts[0]
@@ -72,5 +72,5 @@
 			read = append(read, p)
 		}
 	}
-	return engine.Seconds(seconds), read
+	return engine.Duration(seconds), read
 }
--- a/node/internal/coordbench/fleet.go
+++ b/node/internal/coordbench/fleet.go
@@ -152,7 +152,7 @@
 		views := c.board.Targets.Views("llm", f.time())
 		load := 0.0
 		for i := range views {
-			load += float64(views[i].Load.Requests)/float64(f.setup.Workload.Engine.Slots) + views[i].Reading
+			load += float64(views[i].Load.Requests)/float64(f.setup.Workload.Engine.Slots) + views[i].PendingPrefill
 		}
 		load /= float64(len(views))
 		f.queue.At(f.now+way, func() { c.told = load })
@@ -191,7 +191,7 @@
 	now := f.time()
 	params := requestcontrol.ParamsOf(f.pool, c.by.board.Targets.Capacity("llm", now), 1)
 	id := c.name()
-	output := int64(c.events) * f.pool.Timing.Stride
+	output := int64(c.events) * f.pool.Timing.StepsPerPass
 	ticket := &blackboard.Ticket{
 		Pool: f.pool, Params: params, Attempt: id, Deadline: f.start.Add(c.at + c.class.Limit),
 		Request: routing.Request{
@@ -252,7 +252,7 @@
 	f.queue.At(f.now+2*way, func() {
 		for _, name := range readers {
 			e := f.engines[name]
-			e.give(&part{call: c, tokens: tokens, perToken: p.Decision.Reading / float64(c.prompt), shared: len(readers) > 1})
+			e.give(&part{call: c, tokens: tokens, perToken: p.Decision.PrefillTime / float64(c.prompt), shared: len(readers) > 1})
 			f.wake(e)
 		}
 	})
--- a/node/onplatform/findings_test.go
+++ b/node/onplatform/findings_test.go
@@ -237,7 +237,7 @@
 	pace := func(id string) float64 {
 		for _, v := range d.Board.Targets.Views(engines, time.Now()) {
 			if v.ID == id {
-				return v.Pace
+				return v.Slowdown
 			}
 		}
 		return 0
--- a/node/onplatform/limit_fleet_test.go
+++ b/node/onplatform/limit_fleet_test.go
@@ -161,8 +161,8 @@
 	}
 	placement, ok := d.cluster.Placements.Place(ctx, ticket)
 	if !ok {
-		ticket.Request.Blind = !d.cluster.Placements.Coordinates("svc")
-		ticket.Request.Sharers = d.board.Members.Sharers()
+		ticket.Request.Uncoordinated = !d.cluster.Placements.Coordinates("svc")
+		ticket.Request.DaemonCount = d.board.Members.Sharers()
 		d.board.Queues.Push(ticket)
 		select {
 		case placement = <-ticket.Placed():
--- a/node/onplatform/restored_store_test.go
+++ b/node/onplatform/restored_store_test.go
@@ -17,7 +17,7 @@
 			return view.State
 		}
 	}
-	return routing.Gone
+	return routing.Unavailable
 }
 
 func (f *fleet) allBelieve(id string, want routing.State) {
@@ -61,8 +61,8 @@
 		f.store.PutTarget(f.targets["t4"], plain, "ready", 6)
 	}
 	f.store.PutTarget(f.targets["t4"], plain, "ready", 5)
-	f.allBelieve("t2", routing.Leaving)
-	f.allBelieve("t3", routing.Gone)
+	f.allBelieve("t2", routing.Draining)
+	f.allBelieve("t3", routing.Unavailable)
 	for _, d := range f.daemons {
 		f.eventually("the newest of t4", func() bool { return f.slotsOf(d, "t4") == 5 })
 	}
@@ -75,17 +75,17 @@
 	fresh := f.addTarget("t5", plain, 6)
 	f.store.PutTarget(f.targets["t4"], plain, "draining", 6)
 	f.allBelieve("t5", routing.Live)
-	f.allBelieve("t4", routing.Leaving)
+	f.allBelieve("t4", routing.Draining)
 	for _, d := range f.daemons {
 		if got := f.stateOf(d, "t2"); got == routing.Live {
 			t.Errorf("%s sends to a target again that leaves", d.boot.Name)
 		}
-		if got := f.stateOf(d, "t3"); got != routing.Gone {
+		if got := f.stateOf(d, "t3"); got != routing.Unavailable {
 			t.Errorf("%s sends to a target again that is dead", d.boot.Name)
 		}
 	}
 	f.store.RemoveTarget(fresh)
-	f.allBelieve("t5", routing.Gone)
+	f.allBelieve("t5", routing.Unavailable)
 }
 
 // TestATargetThatTheCopyKnewAndLives: its removal was lost with what came after the copy, and
@@ -94,7 +94,7 @@
 	f := newFleet(t, 2, 2)
 	older := f.store.Copy()
 	f.store.RemoveTarget(f.targets["t1"])
-	f.allBelieve("t1", routing.Gone)
+	f.allBelieve("t1", routing.Unavailable)
 	f.store.Restore(older)
 	f.allBelieve("t1", routing.Live)
 }
@@ -113,7 +113,7 @@
 	f.store.PutTarget(f.targets["t1"], plain, "ready", 4)
 	d.door.Refuse(false)
 	f.eventually("the newest of t1", func() bool { return f.slotsOf(d, "t1") == 4 })
-	f.allBelieve("t2", routing.Leaving)
+	f.allBelieve("t2", routing.Draining)
 }
 
 // TestAFreshDaemonThatKnowsOnlyTheCopy: its peers know what the copy does not, and it serves
@@ -124,7 +124,7 @@
 	older := f.store.Copy()
 	f.store.PutConfig(testConfig(5))
 	f.store.PutTarget(f.targets["t2"], plain, "draining", 6)
-	f.allBelieve("t2", routing.Leaving)
+	f.allBelieve("t2", routing.Draining)
 	for _, d := range f.daemons {
 		f.eventually("version 5", func() bool { return f.revision(d) == 5 })
 	}
@@ -134,7 +134,7 @@
 	if got := f.revision(fresh); got != 5 {
 		t.Errorf("it serves with version %d", got)
 	}
-	if got := f.stateOf(fresh, "t2"); got != routing.Leaving {
+	if got := f.stateOf(fresh, "t2"); got != routing.Draining {
 		t.Errorf("it believes the target that leaves to be in state %v", got)
 	}
 	f.store.PutTarget(f.targets["t1"], plain, "ready", 3)
--- a/node/requestcontrol/place.go
+++ b/node/requestcontrol/place.go
@@ -77,8 +77,8 @@
 		if ctx.Err() != nil {
 			return blackboard.Placement{}, waitError(ctx, r)
 		}
-		ticket.Request.Blind = !d.Placer.Coordinates(r.Route.Pool.Name)
-		ticket.Request.Sharers = d.Board.Members.Sharers()
+		ticket.Request.Uncoordinated = !d.Placer.Coordinates(r.Route.Pool.Name)
+		ticket.Request.DaemonCount = d.Board.Members.Sharers()
 	}
 	d.Board.Queues.Push(ticket)
 	var placement blackboard.Placement
@@ -102,8 +102,8 @@
 	if placement.Decision.Verdict == routing.Refuse {
 		left := time.Until(r.Deadline)
 		retry := admission.BusyRetry(r.promptTokens >= r.Route.Pool.Policy.LongPromptTokens, left)
-		if turn := placement.Decision.ComeBack; turn > 0 {
-			retry = admission.TurnRetry(engine.Seconds(turn), left)
+		if turn := placement.Decision.RetryAfter; turn > 0 {
+			retry = admission.TurnRetry(engine.Duration(turn), left)
 		}
 		return fault.New(fault.DeadlineTooShort, "the targets are too busy to answer in the time that the route asks for", "send again after the time in Retry-After").
 			WithRetry(retry)
@@ -128,16 +128,16 @@
 		Params:   params,
 		Holders:  d.Board.Prefixes.Lookup(r.prefixes),
 		Request: routing.Request{
-			ID:           r.ID,
-			PromptTokens: r.promptTokens,
-			OutputTokens: r.MaxTokens,
-			DataCentre:   d.Board.Self.DataCentre,
-			Exclude:      slices.Concat(exclude, unwilling),
-			Seed:         seedOf(d.Board.Self.Name, attempt),
-			Goal:         r.goal().Seconds(),
-			GapGoal:      r.gapGoal().Seconds(),
-			Retry:        retry,
-			Begun:        r.begun,
+			ID:            r.ID,
+			PromptTokens:  r.promptTokens,
+			OutputTokens:  r.MaxTokens,
+			DataCentre:    d.Board.Self.DataCentre,
+			Exclude:       slices.Concat(exclude, unwilling),
+			Seed:          seedOf(d.Board.Self.Name, attempt),
+			Goal:          r.goal().Seconds(),
+			GapGoal:       r.gapGoal().Seconds(),
+			Retry:         retry,
+			AnswerStarted: r.begun,
 		},
 		Item: &admission.Item{
 			ID:      r.ID,
@@ -181,7 +181,7 @@
 	if p.Timing == nil || promptTokens <= 0 {
 		return 0
 	}
-	return p.Timing.Read(promptTokens)
+	return p.Timing.PrefillTime(promptTokens)
 }
 
 // LatestPlacement is when a prompt has to be placed to be answered within a goal in seconds; zero
@@ -190,7 +190,7 @@
 	if p.Timing == nil || promptTokens <= 0 || goal <= 0 || retry {
 		return time.Time{}
 	}
-	return arrived.Add(engine.Seconds(routing.LatestWait(p, promptTokens, goal)))
+	return arrived.Add(engine.Duration(routing.LongestWait(p, promptTokens, goal)))
 }
 
 func waitError(ctx context.Context, r *Request) *fault.Error {
--- a/node/requestcontrol/silence.go
+++ b/node/requestcontrol/silence.go
@@ -29,7 +29,7 @@
 // that its target has lost power. Without such memory no one suffers from the wait but the
 // caller, and a second reading of the prompt would take from others.
 func probed(p *blackboard.Placement) bool {
-	return len(p.Decision.Tickets) > 0
+	return len(p.Decision.Reservations) > 0
 }
 
 // silence watches one attempt and cancels it when its target has been silent for longer
@@ -55,8 +55,8 @@
 	s := &silence{
 		forwarding: f, cancel: cancel,
 		patience: f.request.patience(),
-		another:  f.progress.MayTryAfter() && p.Decision.Reading <= readAgain,
-		mustEnd:  len(p.Decision.Tickets) > 0,
+		another:  f.progress.MayTryAfter() && p.Decision.PrefillTime <= readAgain,
+		mustEnd:  len(p.Decision.Reservations) > 0,
 	}
 	if s.mustEnd {
 		s.patience = s.patience.Before(unusedTickets)
--- a/node/requestcontrol/silence_test.go
+++ b/node/requestcontrol/silence_test.go
@@ -70,7 +70,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := &blackboard.Placement{Decision: routing.Decision{Reading: c.reading}}
+				p := &blackboard.Placement{Decision: routing.Decision{PrefillTime: c.reading}}
 				if took := untilSilent(attemptOf(c.rules, c.budget), p, never, c.play); took != c.want {
 					t.Errorf("ended after %v, want %v", took, c.want)
 				}
@@ -85,7 +85,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := attemptOf(forward.Rules{Repeatable: true, MaxAttempts: 1}, 0)
 		f.request.Path.Goal = 30 * time.Second
-		p := &blackboard.Placement{Decision: routing.Decision{Tickets: []routing.Ticket{{Target: "h", Tokens: 1}}}}
+		p := &blackboard.Placement{Decision: routing.Decision{Reservations: []routing.MemoryReservation{{Target: "h", Tokens: 1}}}}
 		if took := untilSilent(f, p, 15*time.Second, nothing); took != unusedTickets {
 			t.Errorf("ended after %v, want %v", took, unusedTickets)
 		}
@@ -161,9 +161,9 @@
 		in   routing.Decision
 		want bool
 	}{
-		"short prompt":     {routing.Decision{Reading: 0.03}, false},
-		"long prompt":      {routing.Decision{Reading: 2 * readAgain}, false},
-		"memory elsewhere": {routing.Decision{Reading: 0.03, Tickets: []routing.Ticket{{Target: "h", Tokens: 1}}}, true},
+		"short prompt":     {routing.Decision{PrefillTime: 0.03}, false},
+		"long prompt":      {routing.Decision{PrefillTime: 2 * readAgain}, false},
+		"memory elsewhere": {routing.Decision{PrefillTime: 0.03, Reservations: []routing.MemoryReservation{{Target: "h", Tokens: 1}}}, true},
 	} {
 		if got := probed(&blackboard.Placement{Decision: c.in}); got != c.want {
 			t.Errorf("%s: probed %v", name, got)
--- a/node/requestcontrol/tickets.go
+++ b/node/requestcontrol/tickets.go
@@ -47,7 +47,7 @@
 // ticketID names the memory that a helper sets aside for an attempt; empty where it
 // sets none aside.
 func ticketID(p *blackboard.Placement, helper string) string {
-	for _, t := range p.Decision.Tickets {
+	for _, t := range p.Decision.Reservations {
 		if t.Target == helper {
 			return p.Attempt
 		}
@@ -58,7 +58,7 @@
 // reserveTickets sets aside what the placement asks for, all of it or nothing.
 func (d *Director) reserveTickets(ctx context.Context, r *Request, p *blackboard.Placement) (*heldTickets, error) {
 	held := &heldTickets{director: d, request: r, stop: func() {}}
-	for _, t := range p.Decision.Tickets {
+	for _, t := range p.Decision.Reservations {
 		ticket := heldTicket{id: p.Attempt, target: t.Target, address: helperAddress(p, t.Target), tokens: t.Tokens}
 		held.tickets = append(held.tickets, ticket)
 		if err := held.reserve(ctx, &ticket); err != nil {
--- a/node/telemetry/telemetry.go
+++ b/node/telemetry/telemetry.go
@@ -229,8 +229,8 @@
 	}
 	if len(list) > 0 && d.Routing != nil && d.Routing.Params.Timing != nil {
 		c := d.Routing
-		list = append(list, slog.Float64("reading_s", c.Reading), slog.Int("helpers", len(c.Helpers)), slog.Float64("waited_s", c.Request.Waited),
-			slog.Float64("foreseen_s", c.Foreseen))
+		list = append(list, slog.Float64("reading_s", c.PrefillTime), slog.Int("helpers", len(c.Helpers)), slog.Float64("waited_s", c.Request.Waited),
+			slog.Float64("foreseen_s", c.PredictedFirstEvent))
 		if c.Pool != nil {
 			list = append(list, slog.Any("state", c.Pool))
 		}
