--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -10,7 +10,7 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func TestBucketLetsOneLargeCostThroughAndMakesTheNextWait(t *testing.T) {
+func TestBucketAdmitsLargeCostAndDelaysTheNext(t *testing.T) {
 	b := NewBucket(100_000, epoch)
 	if ok, _ := b.Take(1_000_000, epoch); !ok {
 		t.Fatal("a million tokens never pass a limit of 100,000 a second")
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestBucketNeverPassesItsRate holds for any arrivals, up to one last cost.
-func TestBucketNeverPassesItsRate(t *testing.T) {
+// TestBucketNeverExceedsItsRate holds for any arrivals, up to one last cost.
+func TestBucketNeverExceedsItsRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(1, 1000).Draw(t, "rate")
 		b := NewBucket(rate, epoch)
@@ -46,7 +46,7 @@
 	})
 }
 
-func TestQueueOrder(t *testing.T) {
+func TestQueueDispatchesByAgedLevelThenFairShare(t *testing.T) {
 	q := NewQueue(5 * time.Second)
 	push := func(id, account string, level int, tokens int64, at time.Duration) {
 		q.Push(&Item{ID: id, Account: account, Level: level, Tokens: tokens, Arrived: epoch.Add(at)})
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestLongRequestWithoutRoomDoesNotStopShortOnes(t *testing.T) {
+func TestBlockedLongRequestDoesNotBlockShortOnes(t *testing.T) {
 	q := NewQueue(0)
 	q.Push(&Item{ID: "long", Account: "a", Tokens: 500_000, Long: true, Arrived: epoch})
 	q.Push(&Item{ID: "short", Account: "a", Tokens: 1000, Arrived: epoch.Add(1)})
@@ -144,23 +144,23 @@
 	}
 }
 
-func TestRetriesStayAShareOfRequests(t *testing.T) {
+func TestRetryBudgetBoundsRetries(t *testing.T) {
 	b := NewRetryBudget()
 	retries := 0
 	for range 1000 {
-		b.Request(0.1)
-		if b.Retry() {
+		b.CountRequest(0.1)
+		if b.TakeRetry() {
 			retries++
 		}
 	}
-	if retries > 100+retryFloor {
+	if retries > 100+initialRetries {
 		t.Fatalf("%d retries for 1000 requests", retries)
 	}
 }
 
-// TestCallsThatWereUnderWayDoNotLengthenThePause: when many calls at a target fail
+// TestBreakerCountsInFlightFailuresOnce: when many calls at a target fail
 // together, the breaker opens once, and not once for each of them.
-func TestCallsThatWereUnderWayDoNotLengthenThePause(t *testing.T) {
+func TestBreakerCountsInFlightFailuresOnce(t *testing.T) {
 	var b Breaker
 	now := time.Unix(0, 0)
 	for range 20 {
--- a/core/admission/breaker.go
+++ b/core/admission/breaker.go
@@ -6,10 +6,10 @@
 // after several failures in a row, lets one call through after a pause, and
 // closes when that one succeeds.
 type Breaker struct {
-	failures int
-	opens    int
-	openTill time.Time
-	probing  bool
+	failures    int
+	timesOpened int
+	openUntil   time.Time
+	probing     bool
 }
 
 // The breaker's constants: failures in a row that open it, and its pause, which
@@ -25,7 +25,7 @@
 	if b.failures < breakerFailures {
 		return false
 	}
-	return b.probing || now.Before(b.openTill)
+	return b.probing || now.Before(b.openUntil)
 }
 
 // Sent records that a call was sent; after a pause it is the probe.
@@ -52,7 +52,7 @@
 	if b.failures < breakerFailures {
 		return
 	}
-	pause := min(breakerMaxPause, breakerPause<<min(b.opens, 6))
-	b.openTill = now.Add(pause)
-	b.opens++
+	pause := min(breakerMaxPause, breakerPause<<min(b.timesOpened, 6))
+	b.openUntil = now.Add(pause)
+	b.timesOpened++
 }
--- a/core/admission/bucket.go
+++ b/core/admission/bucket.go
@@ -38,7 +38,7 @@
 // once; a limit over several daemons can thus be passed by what is raised, for one
 // second, each time that a share moves.
 func (b *Bucket) SetRate(rate float64, now time.Time) {
-	b.advance(now)
+	b.refill(now)
 	old := b.burst
 	b.rate = rate
 	b.burst = max(1, rate*burstSeconds)
@@ -51,10 +51,10 @@
 // Take takes cost units if the bucket is not in debt. Otherwise it takes
 // nothing and returns the time until it is out of debt.
 func (b *Bucket) Take(cost float64, now time.Time) (ok bool, wait time.Duration) {
-	b.advance(now)
+	b.refill(now)
 	need := min(cost, 1)
 	if b.level < need {
-		return false, b.until(need)
+		return false, b.timeUntil(need)
 	}
 	b.level -= cost
 	return true, 0
@@ -66,23 +66,23 @@
 // Rate is the current rate in units a second.
 func (b *Bucket) Rate() float64 { return b.rate }
 
-func (b *Bucket) advance(now time.Time) {
+func (b *Bucket) refill(now time.Time) {
 	if elapsed := now.Sub(b.updated).Seconds(); elapsed > 0 {
 		b.level = min(b.burst, b.level+elapsed*b.rate)
 	}
 	b.updated = now
 }
 
-// maxWait bounds the advice to a caller whose limit is close to zero.
-const maxWait = time.Hour
+// maxRetryAfter bounds the advice to a caller whose limit is close to zero.
+const maxRetryAfter = time.Hour
 
-func (b *Bucket) until(level float64) time.Duration {
+func (b *Bucket) timeUntil(level float64) time.Duration {
 	if b.rate <= 0 {
-		return maxWait
+		return maxRetryAfter
 	}
 	seconds := (level - b.level) / b.rate
-	if seconds >= maxWait.Seconds() {
-		return maxWait
+	if seconds >= maxRetryAfter.Seconds() {
+		return maxRetryAfter
 	}
 	return time.Duration(math.Ceil(seconds * float64(time.Second)))
 }
--- a/core/admission/estimate.go
+++ b/core/admission/estimate.go
@@ -14,7 +14,7 @@
 	// Prefill is the expected time to read the prompt.
 	Prefill time.Duration `json:"prefill_ns"`
 	// Left is the time until the deadline.
-	Left time.Duration `json:"left_ns"`
+	UntilDeadline time.Duration `json:"left_ns"`
 }
 
 // NewEstimate works out the wait for a prompt with tokensAhead before it, when
@@ -22,23 +22,23 @@
 // targetRate tokens a second.
 func NewEstimate(tokensAhead, prompt int64, rate, targetRate float64, left time.Duration) Estimate {
 	return Estimate{
-		TokensAhead: tokensAhead,
-		Rate:        rate,
-		Wait:        seconds(tokensAhead, rate),
-		Prefill:     seconds(prompt, targetRate),
-		Left:        left,
+		TokensAhead:   tokensAhead,
+		Rate:          rate,
+		Wait:          readTime(tokensAhead, rate),
+		Prefill:       readTime(prompt, targetRate),
+		UntilDeadline: left,
 	}
 }
 
 // Late tells whether the deadline passes before the first token is expected.
-func (e Estimate) Late() bool { return e.Wait+e.Prefill > e.Left }
+func (e Estimate) Late() bool { return e.Wait+e.Prefill > e.UntilDeadline }
 
 // RetryAfter is when the queue will be short enough for the same request.
 func (e Estimate) RetryAfter() time.Duration {
-	return max(0, e.Wait+e.Prefill-e.Left)
+	return max(0, e.Wait+e.Prefill-e.UntilDeadline)
 }
 
-func seconds(tokens int64, rate float64) time.Duration {
+func readTime(tokens int64, rate float64) time.Duration {
 	if rate <= 0 || tokens <= 0 {
 		return 0
 	}
--- a/core/admission/late_test.go
+++ b/core/admission/late_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// TestLateRequestsGoLast: of prompts of one level those that can be in time go first, the least work
+// TestLateRequestsAreDispatchedLast: of prompts of one level those that can be in time go first, the least work
 // before the rest; one that is late is not lifted by its wait, but keeps its level.
-func TestLateRequestsGoLast(t *testing.T) {
+func TestLateRequestsAreDispatchedLast(t *testing.T) {
 	start := time.Unix(1_000_000_000, 0)
 	now := start.Add(10 * time.Second)
 	q := NewQueue(2 * time.Second)
 	add := func(id string, level int, work float64, latest time.Duration) {
-		it := &Item{ID: id, Account: id, Level: level, Tokens: 100_000, Long: true, Work: work, Arrived: start, Latest: start.Add(latest)}
+		it := &Item{ID: id, Account: id, Level: level, Tokens: 100_000, Long: true, PrefillSeconds: work, Arrived: start, LatestStart: start.Add(latest)}
 		if latest > 10*time.Second {
 			it.Arrived = now.Add(-time.Second)
 		}
--- a/core/admission/queue.go
+++ b/core/admission/queue.go
@@ -26,17 +26,17 @@
 	// Long prompts of known work go shortest first, whatever their account: the least
 	// work earns the most for each second. A second of waiting counts as a second less.
 	// None of known work holds up another, since each may be refused by itself.
-	Work float64
+	PrefillSeconds float64
 
 	// Latest is when it has to be placed to be answered in time; zero where that is not known.
 	// After that it goes behind all that can still be in time: its answer is worth little to
 	// its caller whenever it comes, and theirs would be late too.
-	Latest time.Time
+	LatestStart time.Time
 
 	// Owner is the caller's own record of the request; the queue ignores it.
-	Owner any
+	Value any
 
-	start float64 // fair-queueing tag
+	startTag float64 // fair-queueing tag
 }
 
 // Queue is the waiting line of one pool. Requests are served by priority level;
@@ -48,28 +48,28 @@
 	// AgeingPerLevel is the wait that lifts a request by one level.
 	AgeingPerLevel time.Duration
 
-	flows   map[flowKey]*flow
-	virtual float64
-	length  int
-	tokens  [levels]int64
-	heads   []*flow
+	flows       map[flowKey]*flow
+	virtualTime float64
+	length      int
+	tokens      [priorityLevels]int64
+	activeFlows []*flow
 }
 
-// levels is the number of priority levels.
-const levels = 10
+// priorityLevels is the number of priority levels.
+const priorityLevels = 10
 
 type flowKey struct {
 	account string
 	level   int
 	long    bool
 	// item is set for prompts of known work, each of which is a line of its own.
-	item string
+	requestID string
 }
 
-func keyOf(it *Item) flowKey {
+func flowKeyOf(it *Item) flowKey {
 	key := flowKey{account: it.Account, level: it.Level, long: it.Long}
-	if it.Work > 0 && it.Long {
-		key.item = it.ID
+	if it.PrefillSeconds > 0 && it.Long {
+		key.requestID = it.ID
 	}
 	return key
 }
@@ -78,10 +78,10 @@
 // their own, so that one that waits for memory does not stop the short ones of
 // the same account.
 type flow struct {
-	key        flowKey
-	items      []*Item
-	lastFinish float64
-	skip       bool
+	key           flowKey
+	items         []*Item
+	lastFinishTag float64
+	skipped       bool
 }
 
 // NewQueue returns an empty queue.
@@ -94,17 +94,17 @@
 
 // Push puts a request at the end of its account's line.
 func (q *Queue) Push(it *Item) {
-	key := keyOf(it)
+	key := flowKeyOf(it)
 	f := q.flows[key]
 	if f == nil {
 		f = &flow{key: key}
 		q.flows[key] = f
 	}
-	it.start = max(q.virtual, f.lastFinish)
-	f.lastFinish = it.start + float64(it.Tokens)
+	it.startTag = max(q.virtualTime, f.lastFinishTag)
+	f.lastFinishTag = it.startTag + float64(it.Tokens)
 	if it.Retry {
 		// It has had its turn once; it does not pay for it again.
-		it.start = q.virtual
+		it.startTag = q.virtualTime
 		f.items = slices.Insert(f.items, 0, it)
 	} else {
 		f.items = append(f.items, it)
@@ -115,7 +115,7 @@
 
 // Remove takes out a request that no longer waits. It tells whether it was there.
 func (q *Queue) Remove(it *Item) bool {
-	f := q.flows[keyOf(it)]
+	f := q.flows[flowKeyOf(it)]
 	if f == nil {
 		return false
 	}
@@ -124,14 +124,14 @@
 		return false
 	}
 	f.items = slices.Delete(f.items, at, at+1)
-	q.removed(f, it)
+	q.updateAfterRemoval(f, it)
 	return true
 }
 
-func (q *Queue) removed(f *flow, it *Item) {
+func (q *Queue) updateAfterRemoval(f *flow, it *Item) {
 	q.length--
 	q.tokens[it.Level] -= it.Tokens
-	if len(f.items) == 0 && f.lastFinish <= q.virtual {
+	if len(f.items) == 0 && f.lastFinishTag <= q.virtualTime {
 		delete(q.flows, f.key)
 	}
 }
@@ -148,7 +148,7 @@
 // Waiting counts the requests of an account that wait.
 func (q *Queue) Waiting(account string) int {
 	n := 0
-	for level := range levels {
+	for level := range priorityLevels {
 		for _, long := range [...]bool{false, true} {
 			if f := q.flows[flowKey{account: account, level: level, long: long}]; f != nil {
 				n += len(f.items)
@@ -156,16 +156,16 @@
 		}
 	}
 	for key, f := range q.flows {
-		if key.item != "" && key.account == account {
+		if key.requestID != "" && key.account == account {
 			n += len(f.items)
 		}
 	}
 	return n
 }
 
-// maxTries bounds the requests looked at in one pass, so that a pass over a long
+// maxDispatchAttempts bounds the requests looked at in one pass, so that a pass over a long
 // queue of many accounts stays short; the next event looks again.
-const maxTries = 64
+const maxDispatchAttempts = 64
 
 // Dispatch offers requests in order to place, which takes one or says that there
 // is no room. A short request that finds no room stops all short ones that are
@@ -173,9 +173,9 @@
 func (q *Queue) Dispatch(now time.Time, place func(*Item) bool) int {
 	placed := 0
 	stopShort, stopLong := int64(-1), int64(-1)
-	q.collectHeads()
-	for range maxTries {
-		f := q.first(now)
+	q.collectActiveFlows()
+	for range maxDispatchAttempts {
+		f := q.nextFlow(now)
 		if f == nil {
 			break
 		}
@@ -185,53 +185,53 @@
 			stop = &stopLong
 		}
 		if *stop >= 0 && it.Tokens >= *stop {
-			f.skip = true
+			f.skipped = true
 			continue
 		}
 		if !place(it) {
-			f.skip = true
-			if !it.Retry && it.Work <= 0 {
+			f.skipped = true
+			if !it.Retry && it.PrefillSeconds <= 0 {
 				*stop = it.Tokens
 			}
 			continue
 		}
 		placed++
 		f.items = f.items[1:]
-		q.virtual = max(q.virtual, it.start)
-		q.removed(f, it)
+		q.virtualTime = max(q.virtualTime, it.startTag)
+		q.updateAfterRemoval(f, it)
 	}
 	return placed
 }
 
-func (q *Queue) collectHeads() {
-	q.heads = q.heads[:0]
+func (q *Queue) collectActiveFlows() {
+	q.activeFlows = q.activeFlows[:0]
 	for key, f := range q.flows {
 		if len(f.items) == 0 {
-			if f.lastFinish <= q.virtual {
+			if f.lastFinishTag <= q.virtualTime {
 				delete(q.flows, key)
 			}
 			continue
 		}
-		f.skip = false
-		q.heads = append(q.heads, f)
+		f.skipped = false
+		q.activeFlows = append(q.activeFlows, f)
 	}
 }
 
 // first finds the head that goes next among those not skipped.
-func (q *Queue) first(now time.Time) *flow {
+func (q *Queue) nextFlow(now time.Time) *flow {
 	var best *flow
-	for _, f := range q.heads {
-		if f.skip || len(f.items) == 0 {
+	for _, f := range q.activeFlows {
+		if f.skipped || len(f.items) == 0 {
 			continue
 		}
-		if best == nil || q.before(f, best, now) {
+		if best == nil || q.precedes(f, best, now) {
 			best = f
 		}
 	}
 	return best
 }
 
-func (q *Queue) before(a, b *flow, now time.Time) bool {
+func (q *Queue) precedes(a, b *flow, now time.Time) bool {
 	return q.compare(a.items[0], b.items[0], now) < 0
 }
 
@@ -239,9 +239,9 @@
 func (q *Queue) compare(x, y *Item, now time.Time) int {
 	return cmp.Or(
 		cmp.Compare(q.agedLevel(x, now), q.agedLevel(y, now)),
-		compareLate(x, y, now),
-		compareWork(x, y, now),
-		cmp.Compare(x.start, y.start),
+		compareLateness(x, y, now),
+		comparePrefill(x, y, now),
+		cmp.Compare(x.startTag, y.startTag),
 		x.Arrived.Compare(y.Arrived),
 		cmp.Compare(x.ID, y.ID),
 	)
@@ -258,32 +258,34 @@
 }
 
 // late tells whether it is too late for an answer in time.
-func (it *Item) late(now time.Time) bool { return !it.Latest.IsZero() && now.After(it.Latest) }
+func (it *Item) pastLatestStart(now time.Time) bool {
+	return !it.LatestStart.IsZero() && now.After(it.LatestStart)
+}
 
-// compareLate puts requests that can be in time first.
-func compareLate(x, y *Item, now time.Time) int {
+// compareLateness puts requests that can be in time first.
+func compareLateness(x, y *Item, now time.Time) int {
 	switch {
-	case x.late(now) == y.late(now):
+	case x.pastLatestStart(now) == y.pastLatestStart(now):
 		return 0
-	case x.late(now):
+	case x.pastLatestStart(now):
 		return 1
 	default:
 		return -1
 	}
 }
 
-// compareWork orders two prompts of known work; others are equal.
-func compareWork(x, y *Item, now time.Time) int {
-	if !x.Long || !y.Long || x.Work <= 0 || y.Work <= 0 {
+// comparePrefill orders two prompts of known work; others are equal.
+func comparePrefill(x, y *Item, now time.Time) int {
+	if !x.Long || !y.Long || x.PrefillSeconds <= 0 || y.PrefillSeconds <= 0 {
 		return 0
 	}
-	return cmp.Compare(x.Work-now.Sub(x.Arrived).Seconds(), y.Work-now.Sub(y.Arrived).Seconds())
+	return cmp.Compare(x.PrefillSeconds-now.Sub(x.Arrived).Seconds(), y.PrefillSeconds-now.Sub(y.Arrived).Seconds())
 }
 
 // agedLevel is the item's level less one for each AgeingPerLevel it has waited. One that is late
 // is not lifted.
 func (q *Queue) agedLevel(it *Item, now time.Time) int {
-	if q.AgeingPerLevel <= 0 || it.late(now) {
+	if q.AgeingPerLevel <= 0 || it.pastLatestStart(now) {
 		return it.Level
 	}
 	return max(0, it.Level-int(now.Sub(it.Arrived)/q.AgeingPerLevel))
--- a/core/admission/repeats.go
+++ b/core/admission/repeats.go
@@ -14,14 +14,14 @@
 // has, so that it errs on the side of too many.
 const repeatSlots = 10
 
-// repeatCaution is the part of the limit that is used: the daemons do not know each
+// repeatSafetyFactor is the part of the limit that is used: the daemons do not know each
 // other's exact counts, and one that restarted has forgotten its own.
-const repeatCaution = 0.6
+const repeatSafetyFactor = 0.6
 
-// Repeats is a daemon's part of the bound for one pool. It needs no message: each
+// RepeatBudget is a daemon's part of the bound for one pool. It needs no message: each
 // daemon uses the share of the calls that came to itself, and an equal part of the
 // slack.
-type Repeats struct {
+type RepeatBudget struct {
 	slots [repeatSlots + 1]repeatSlot
 }
 
@@ -30,7 +30,7 @@
 	calls, repeats int
 }
 
-func (r *Repeats) slot(l *RepeatLimit, now time.Time) *repeatSlot {
+func (r *RepeatBudget) slot(l *RepeatLimit, now time.Time) *repeatSlot {
 	number := now.UnixNano() / int64(l.Window/repeatSlots)
 	s := &r.slots[int(number%int64(len(r.slots)))]
 	if s.number != number {
@@ -40,11 +40,11 @@
 }
 
 // Call counts the first send of a call.
-func (r *Repeats) Call(l *RepeatLimit, now time.Time) { r.slot(l, now).calls++ }
+func (r *RepeatBudget) CountCall(l *RepeatLimit, now time.Time) { r.slot(l, now).calls++ }
 
 // Take counts one more send of a call, if the limit lets it, when so many daemons
 // share the limit.
-func (r *Repeats) Take(l *RepeatLimit, daemons int, now time.Time) bool {
+func (r *RepeatBudget) TakeRepeat(l *RepeatLimit, daemons int, now time.Time) bool {
 	current := r.slot(l, now)
 	calls, repeats := 0, 0
 	for i := range r.slots {
@@ -54,7 +54,7 @@
 		calls += r.slots[i].calls
 		repeats += r.slots[i].repeats
 	}
-	allowed := repeatCaution * (l.Share*float64(calls) + l.Slack/float64(max(1, daemons)))
+	allowed := repeatSafetyFactor * (l.Share*float64(calls) + l.Slack/float64(max(1, daemons)))
 	if float64(repeats+1) > allowed {
 		return false
 	}
--- a/core/admission/repeats_test.go
+++ b/core/admission/repeats_test.go
@@ -7,13 +7,13 @@
 	"pgregory.net/rapid"
 )
 
-// TestRepeatsStayInTheFleetsBound: however calls and wishes to repeat are spread over
+// TestRepeatsStayWithinFleetLimit: however calls and wishes to repeat are spread over
 // daemons and time, no window of the fleet holds more repeats than the bound.
-func TestRepeatsStayInTheFleetsBound(t *testing.T) {
+func TestRepeatsStayWithinFleetLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := RepeatLimit{Share: 0.2, Slack: 20, Window: 10 * time.Second}
 		daemons := rapid.IntRange(1, 6).Draw(t, "daemons")
-		fleet := make([]Repeats, daemons)
+		fleet := make([]RepeatBudget, daemons)
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 		type event struct {
 			at     time.Time
@@ -24,11 +24,11 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
 			d := &fleet[rapid.IntRange(0, daemons-1).Draw(t, "daemon")]
 			if rapid.Bool().Draw(t, "call") {
-				d.Call(&limit, now)
+				d.CountCall(&limit, now)
 				events = append(events, event{now, false})
 				continue
 			}
-			if d.Take(&limit, daemons, now) {
+			if d.TakeRepeat(&limit, daemons, now) {
 				events = append(events, event{now, true})
 			}
 		}
@@ -51,21 +51,21 @@
 	})
 }
 
-func TestRepeatsComeBack(t *testing.T) {
+func TestRepeatBudgetRefillsAfterWindow(t *testing.T) {
 	limit := RepeatLimit{Share: 0, Slack: 10, Window: 10 * time.Second}
-	var r Repeats
+	var r RepeatBudget
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	taken := 0
-	for r.Take(&limit, 1, now) {
+	for r.TakeRepeat(&limit, 1, now) {
 		taken++
 	}
 	if taken == 0 || taken > 10 {
 		t.Fatal(taken)
 	}
-	if r.Take(&limit, 1, now.Add(9*time.Second)) {
+	if r.TakeRepeat(&limit, 1, now.Add(9*time.Second)) {
 		t.Fatal("taken again within the window")
 	}
-	if !r.Take(&limit, 1, now.Add(12*time.Second)) {
+	if !r.TakeRepeat(&limit, 1, now.Add(12*time.Second)) {
 		t.Fatal("not given back after the window")
 	}
 }
--- a/core/admission/usage.go
+++ b/core/admission/usage.go
@@ -74,8 +74,8 @@
 	Allowed int `json:"allowed"`
 }
 
-// concurrentRetry is the advice where only an ending request can make room.
-const concurrentRetry = 250 * time.Millisecond
+// concurrencyRetryAfter is the advice where only an ending request can make room.
+const concurrencyRetryAfter = 250 * time.Millisecond
 
 // Admit takes a request of so many prompt tokens into the account's limits, all
 // of them or none. Every admitted request must end with one call of Done.
@@ -85,7 +85,7 @@
 	u.Demand.PeakRunning = max(u.Demand.PeakRunning, u.Running+1)
 	v := Verdict{Running: u.Running, Allowed: u.share.Concurrent}
 	if u.Running >= u.share.Concurrent {
-		v.Limit, v.RetryAfter = LimitConcurrent, concurrentRetry
+		v.Limit, v.RetryAfter = LimitConcurrent, concurrencyRetryAfter
 		return v
 	}
 	if ok, wait := u.requests.Take(1, now); !ok {
@@ -120,18 +120,18 @@
 // The budget starts with room for the calls of one account that a dying target
 // may hold for one daemon, and saves up no more than a few times that.
 const (
-	retryFloor = 20
-	retryBurst = 100
+	initialRetries  = 20
+	maxSavedRetries = 100
 )
 
 // NewRetryBudget returns a budget with the starting room.
-func NewRetryBudget() *RetryBudget { return &RetryBudget{saved: retryFloor} }
+func NewRetryBudget() *RetryBudget { return &RetryBudget{saved: initialRetries} }
 
 // Request records a first attempt.
-func (b *RetryBudget) Request(share float64) { b.saved = min(retryBurst, b.saved+share) }
+func (b *RetryBudget) CountRequest(share float64) { b.saved = min(maxSavedRetries, b.saved+share) }
 
 // Retry takes one retry and tells whether there was one.
-func (b *RetryBudget) Retry() bool {
+func (b *RetryBudget) TakeRetry() bool {
 	if b.saved < 1 {
 		return false
 	}
--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -42,11 +42,11 @@
 const (
 	// Settle is the time within which every daemon that may claim has read a
 	// new host list.
-	Settle = 15 * time.Second
+	HostListPropagation = 15 * time.Second
 	// Skew bounds the difference of two clocks in the fleet or at a caller.
-	Skew = 2 * time.Second
+	MaxClockSkew = 2 * time.Second
 	// Window is how long after its birth a dated key can be claimed.
-	Window = 30 * time.Minute
+	ClaimWindow = 30 * time.Minute
 	// RetryWindow is how long after the first call a key without a date may be
 	// sent again and still find it. Witnesses younger than that do not grant
 	// such keys.
@@ -54,27 +54,27 @@
 	// PermitTTL is how long a permit to send lasts.
 	PermitTTL = 2 * time.Second
 	// Witnesses is the number of witnesses of a key, where there are so many.
-	Witnesses = 5
+	WitnessCount = 5
 )
 
-// Birth is when a key was made, as far as the key tells.
-type Birth struct {
+// CreationTime is when a key was made, as far as the key tells.
+type CreationTime struct {
 	// Dated is true for a UUIDv7; At is then the time in it.
-	Dated bool
+	Known bool
 	At    time.Time
 }
 
 // uuidVersion is the version of UUID that carries a time.
 const uuidVersion = 7
 
-// BirthOf reads the time out of a caller's key.
-func BirthOf(key string) Birth {
+// CreationTimeOf reads the time out of a caller's key.
+func CreationTimeOf(key string) CreationTime {
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != uuidVersion {
-		return Birth{}
+		return CreationTime{}
 	}
 	seconds, nanos := id.Time().UnixTime()
-	return Birth{Dated: true, At: time.Unix(seconds, nanos)}
+	return CreationTime{Known: true, At: time.Unix(seconds, nanos)}
 }
 
 // Answer is what a witness says to a claim.
@@ -87,11 +87,11 @@
 	// Taken means that another attempt has the key.
 	Taken
 	// Young means that the witness may have forgotten the key.
-	Young
-	// TooOld means that the key's time is over.
-	TooOld
+	WitnessTooNew
+	// KeyTooOld means that the key's time is over.
+	KeyTooOld
 	// Future means that the key's birth lies ahead.
-	Future
+	KeyFromFuture
 )
 
 // String names the answer.
@@ -110,7 +110,7 @@
 	// Attempt names the claim; Holder is the daemon that makes it.
 	Attempt, Holder string
 	// Birth is the key's birth.
-	Birth Birth
+	Created CreationTime
 }
 
 // Reply is a witness's answer.
--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -14,16 +14,16 @@
 // fleetModel drives the state machines with the events of model/claim.pml and
 // checks its invariant: a key is sent at most once.
 type fleetModel struct {
-	now       time.Time
-	witnesses map[string]*Witness
-	histories []*History // one for each daemon that claims
-	revision  int64
-	hosts     []string
-	nextHost  int
-	claims    []*modelClaim
-	dated     bool
-	born      time.Time
-	sends     int
+	now        time.Time
+	witnesses  map[string]*Witness
+	histories  []*History // one for each daemon that claims
+	revision   int64
+	hosts      []string
+	nextHost   int
+	claims     []*modelClaim
+	keyDated   bool
+	keyCreated time.Time
+	sends      int
 }
 
 type modelClaim struct {
@@ -33,7 +33,7 @@
 }
 
 func newFleetModel(t *rapid.T) *fleetModel {
-	m := &fleetModel{now: epoch, witnesses: map[string]*Witness{}, dated: rapid.Bool().Draw(t, "dated")}
+	m := &fleetModel{now: epoch, witnesses: map[string]*Witness{}, keyDated: rapid.Bool().Draw(t, "dated")}
 	for range 6 {
 		m.addHost()
 	}
@@ -43,7 +43,7 @@
 	m.publish()
 	// Witnesses are old enough for any key when the test begins.
 	m.now = m.now.Add(RetryWindow + time.Minute)
-	m.born = m.now
+	m.keyCreated = m.now
 	m.readLists()
 	return m
 }
@@ -57,7 +57,7 @@
 
 func (m *fleetModel) publish() {
 	m.revision++
-	list := List{Revision: m.revision, Changed: m.now, Hosts: append([]string(nil), m.hosts...)}
+	list := HostList{Revision: m.revision, Published: m.now, Hosts: append([]string(nil), m.hosts...)}
 	for _, h := range m.histories {
 		h.lists = append(h.lists, list)
 	}
@@ -70,8 +70,8 @@
 }
 
 // birth is the key's birth as its claimers read it.
-func (m *fleetModel) birth() Birth {
-	return Birth{Dated: m.dated, At: m.born}
+func (m *fleetModel) creationTime() CreationTime {
+	return CreationTime{Known: m.keyDated, At: m.keyCreated}
 }
 
 func (m *fleetModel) claim(t *rapid.T) {
@@ -79,7 +79,7 @@
 		return
 	}
 	h := m.histories[rapid.IntRange(0, 1).Draw(t, "daemon")]
-	r := Request{Key: "k", Attempt: fmt.Sprint("a", len(m.claims)), Holder: "d", Birth: m.birth()}
+	r := Request{Key: "k", Attempt: fmt.Sprint("a", len(m.claims)), Holder: "d", Created: m.creationTime()}
 	if !h.Fresh(m.now) {
 		return
 	}
@@ -101,14 +101,14 @@
 	c.open = append(c.open[:at:at], c.open[at+1:]...)
 	w := m.witnesses[name]
 	if w == nil || rapid.IntRange(0, 4).Draw(t, "lost") == 0 {
-		c.claimer.Fail(name)
+		c.claimer.RecordNoAnswer(name)
 		return
 	}
 	c.claimer.Receive(name, w.Claim(c.claimer.Request, m.now))
 }
 
 // act lets a claimer send or give up, at any time after its answers.
-func (m *fleetModel) act(t *rapid.T) {
+func (m *fleetModel) sendOrGiveUp(t *rapid.T) {
 	if len(m.claims) == 0 {
 		return
 	}
@@ -146,25 +146,25 @@
 	m.publish()
 }
 
-func (m *fleetModel) wait(t *rapid.T) {
+func (m *fleetModel) passTime(t *rapid.T) {
 	m.now = m.now.Add(rapid.SampledFrom([]time.Duration{
 		10 * time.Millisecond, time.Second, 20 * time.Second, 4 * time.Minute,
 	}).Draw(t, "wait"))
 	m.readLists()
 }
 
-// TestAKeyIsSentAtMostOnce is the invariant of the specification on the state
+// TestKeyIsSentAtMostOnce is the invariant of the specification on the state
 // machines that run in production.
-func TestAKeyIsSentAtMostOnce(t *testing.T) {
+func TestKeyIsSentAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newFleetModel(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"claim":   m.claim,
 			"deliver": m.deliver,
-			"act":     m.act,
+			"act":     m.sendOrGiveUp,
 			"restart": m.restart,
 			"replace": m.replace,
-			"wait":    m.wait,
+			"wait":    m.passTime,
 			"": func(t *rapid.T) {
 				if m.sends > 1 {
 					t.Fatalf("the key was sent %d times", m.sends)
@@ -174,28 +174,28 @@
 	})
 }
 
-func history(hosts ...string) *History {
+func historyOf(hosts ...string) *History {
 	h := &History{}
-	h.Add(List{Revision: 1, Changed: epoch, Hosts: hosts}, epoch)
+	h.Add(HostList{Revision: 1, Published: epoch, Hosts: hosts}, epoch)
 	return h
 }
 
-func TestALoneDaemonServesAtOnce(t *testing.T) {
+func TestSingleDaemonGrantsNewKeyAtOnce(t *testing.T) {
 	w := NewWitness(epoch)
-	now := epoch.Add(Skew + time.Second)
-	r := Request{Key: "k", Attempt: "a", Birth: Birth{Dated: true, At: now}}
-	c := NewClaimer(r, history("d1").Sets(r, now), now)
+	now := epoch.Add(MaxClockSkew + time.Second)
+	r := Request{Key: "k", Attempt: "a", Created: CreationTime{Known: true, At: now}}
+	c := NewClaimer(r, historyOf("d1").Sets(r, now), now)
 	c.Receive("d1", w.Claim(r, now))
 	if !c.MaySend(now) {
 		t.Fatal("a lone daemon does not serve a fresh key")
 	}
-	old := Request{Key: "other", Attempt: "a", Birth: Birth{}}
-	if reply := w.Claim(old, now); reply.Answer != Young {
+	old := Request{Key: "other", Attempt: "a", Created: CreationTime{}}
+	if reply := w.Claim(old, now); reply.Answer != WitnessTooNew {
 		t.Fatalf("a young witness says %v to a key without a date", reply.Answer)
 	}
 }
 
-func TestPausedClaimerDoesNotSend(t *testing.T) {
+func TestExpiredPermitForbidsSend(t *testing.T) {
 	w := NewWitness(epoch)
 	now := epoch.Add(time.Hour)
 	r := Request{Key: "k", Attempt: "a"}
@@ -209,29 +209,29 @@
 	}
 }
 
-func TestBirthOfReadsUUIDv7Only(t *testing.T) {
+func TestCreationTimeOfReadsOnlyUUIDv7(t *testing.T) {
 	id := uuid.Must(uuid.NewV7())
-	b := BirthOf(id.String())
-	if !b.Dated || time.Since(b.At) > time.Minute {
+	b := CreationTimeOf(id.String())
+	if !b.Known || time.Since(b.At) > time.Minute {
 		t.Fatalf("got %+v", b)
 	}
 	for _, key := range []string{"booking-1", uuid.NewString(), ""} {
-		if BirthOf(key).Dated {
+		if CreationTimeOf(key).Known {
 			t.Errorf("%q has no date", key)
 		}
 	}
 }
 
-func TestWitnessForgetsAndStaysBounded(t *testing.T) {
+func TestWitnessRemovesExpiredKeys(t *testing.T) {
 	w := NewWitness(epoch)
 	now := epoch.Add(time.Hour)
 	for i := range 1000 {
-		w.Claim(Request{Key: fmt.Sprint(i), Attempt: "a", Birth: Birth{Dated: true, At: now}}, now)
+		w.Claim(Request{Key: fmt.Sprint(i), Attempt: "a", Created: CreationTime{Known: true, At: now}}, now)
 	}
 	if w.Counts().Keys != 1000 {
 		t.Fatal(w.Counts())
 	}
-	w.Forget(now.Add(Window + 2*Skew))
+	w.RemoveExpired(now.Add(ClaimWindow + 2*MaxClockSkew))
 	if w.Counts().Keys != 0 {
 		t.Fatalf("%d keys are kept past their time", w.Counts().Keys)
 	}
@@ -244,7 +244,7 @@
 	i := 0
 	for b.Loop() {
 		i++
-		w.Claim(Request{Key: "account|route|01234567-89ab-7def-8123-" + fmt.Sprintf("%012d", i), Attempt: "01234567-89ab-7def-8123-456789abcdef", Holder: "daemon-1", Birth: Birth{Dated: true, At: now}}, now)
+		w.Claim(Request{Key: "account|route|01234567-89ab-7def-8123-" + fmt.Sprintf("%012d", i), Attempt: "01234567-89ab-7def-8123-456789abcdef", Holder: "daemon-1", Created: CreationTime{Known: true, At: now}}, now)
 		now = now.Add(time.Millisecond)
 	}
 }
--- a/core/claim/claimer.go
+++ b/core/claim/claimer.go
@@ -22,20 +22,20 @@
 type Claimer struct {
 	Request Request
 
-	sets    [][]string
-	replies map[string]Reply
-	failed  map[string]bool
-	started time.Time
-	gaveUp  bool
+	sets       [][]string
+	replies    map[string]Reply
+	unanswered map[string]bool
+	started    time.Time
+	gaveUp     bool
 }
 
 // NewClaimer starts a claim at sets of witnesses, made by History.Sets. The
 // permit counts from now, before the first message is sent.
 func NewClaimer(r Request, sets [][]string, now time.Time) *Claimer {
-	return &Claimer{Request: r, sets: sets, replies: map[string]Reply{}, failed: map[string]bool{}, started: now}
+	return &Claimer{Request: r, sets: sets, replies: map[string]Reply{}, unanswered: map[string]bool{}, started: now}
 }
 
-// Witnesses lists whom to ask, each once.
+// WitnessCount lists whom to ask, each once.
 func (c *Claimer) Witnesses() []string {
 	var all []string
 	for _, set := range c.sets {
@@ -53,7 +53,7 @@
 }
 
 // Fail records that a witness did not answer.
-func (c *Claimer) Fail(from string) { c.failed[from] = true }
+func (c *Claimer) RecordNoAnswer(from string) { c.unanswered[from] = true }
 
 // majority is the number of grants needed in a set.
 func majority(set []string) int { return len(set)/2 + 1 }
@@ -65,7 +65,7 @@
 	}
 	state := Won
 	for _, set := range c.sets {
-		granted, open := c.count(set)
+		granted, open := c.countAnswers(set)
 		if granted+open < majority(set) {
 			return Lost
 		}
@@ -76,13 +76,13 @@
 	return state
 }
 
-func (c *Claimer) count(set []string) (granted, open int) {
+func (c *Claimer) countAnswers(set []string) (granted, open int) {
 	for _, name := range set {
 		reply, answered := c.replies[name]
 		switch {
 		case answered && reply.Answer == Granted:
 			granted++
-		case !answered && !c.failed[name]:
+		case !answered && !c.unanswered[name]:
 			open++
 		}
 	}
@@ -95,7 +95,7 @@
 }
 
 // Ends is when the permit ends.
-func (c *Claimer) Ends() time.Time { return c.started.Add(PermitTTL) }
+func (c *Claimer) PermitExpiry() time.Time { return c.started.Add(PermitTTL) }
 
 // GiveUp ends the claim for good. It returns false when the claim was won, which
 // cannot be given up any more because the call may have been sent.
@@ -108,7 +108,7 @@
 }
 
 // TakenBy returns the attempt that most witnesses say has the key.
-func (c *Claimer) TakenBy() (attempt, holder string, found bool) {
+func (c *Claimer) CurrentHolder() (attempt, holder string, found bool) {
 	counts := map[Reply]int{}
 	best := 0
 	for _, r := range c.replies {
@@ -125,9 +125,9 @@
 
 // Tally counts the answers.
 type Tally struct {
-	Needed, Granted, Denied, Silent int
+	Needed, Granted, Denied, Unanswered int
 	// Answers counts the denials by kind.
-	Young, TooOld, Future int
+	WitnessTooNew, KeyTooOld, KeyFromFuture int
 }
 
 // Tally describes how the witnesses answered so far.
@@ -140,19 +140,19 @@
 		reply, answered := c.replies[name]
 		switch {
 		case !answered:
-			t.Silent++
+			t.Unanswered++
 		case reply.Answer == Granted:
 			t.Granted++
 		default:
 			t.Denied++
 		}
 		switch reply.Answer {
-		case Young:
-			t.Young++
-		case TooOld:
-			t.TooOld++
-		case Future:
-			t.Future++
+		case WitnessTooNew:
+			t.WitnessTooNew++
+		case KeyTooOld:
+			t.KeyTooOld++
+		case KeyFromFuture:
+			t.KeyFromFuture++
 		case Granted, Taken:
 		}
 	}
--- a/core/claim/witness.go
+++ b/core/claim/witness.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// record is a key that a witness has granted.
-type record struct {
+// grantRecord is a key that a witness has granted.
+type grantRecord struct {
 	key     string
 	attempt string // empty once the attempt gave up
 	holder  string
 	gaveUp  map[string]bool // attempts that will never send
-	forget  time.Time
+	expires time.Time
 }
 
 // Witness remembers which attempt has which key.
 type Witness struct {
-	started time.Time
-	records map[string]*record
-	byAge   recordHeap
-	granted int64
-	denied  int64
+	started  time.Time
+	records  map[string]*grantRecord
+	byExpiry recordHeap
+	granted  int64
+	denied   int64
 }
 
 // NewWitness returns a witness that remembers nothing from before now.
 func NewWitness(now time.Time) *Witness {
-	return &Witness{started: now, records: map[string]*record{}}
+	return &Witness{started: now, records: map[string]*grantRecord{}}
 }
 
 // Claim answers a claim.
 func (w *Witness) Claim(r Request, now time.Time) Reply {
-	w.Forget(now)
+	w.RemoveExpired(now)
 	reply := w.claim(r, now)
 	if reply.Answer == Granted {
 		w.granted++
@@ -52,7 +52,7 @@
 		// A claim that was overtaken by its own end.
 		return Reply{Answer: Taken, Attempt: r.Attempt, Holder: r.Holder}
 	}
-	if answer := w.refuse(r.Birth, now); answer != 0 && rec == nil {
+	if answer := w.refusalReason(r.Created, now); answer != 0 && rec == nil {
 		return Reply{Answer: answer}
 	}
 	w.grant(rec, r, now)
@@ -60,38 +60,38 @@
 }
 
 // refuse tells why a key that is not on record may not be granted, or 0.
-func (w *Witness) refuse(b Birth, now time.Time) Answer {
+func (w *Witness) refusalReason(b CreationTime, now time.Time) Answer {
 	switch {
-	case !b.Dated && now.Sub(w.started) < RetryWindow:
-		return Young
-	case !b.Dated:
+	case !b.Known && now.Sub(w.started) < RetryWindow:
+		return WitnessTooNew
+	case !b.Known:
 		return 0
-	case b.At.After(now.Add(Skew)):
-		return Future
-	case now.Sub(b.At) > Window:
-		return TooOld
-	case !b.At.After(w.started.Add(Skew)):
-		return Young
+	case b.At.After(now.Add(MaxClockSkew)):
+		return KeyFromFuture
+	case now.Sub(b.At) > ClaimWindow:
+		return KeyTooOld
+	case !b.At.After(w.started.Add(MaxClockSkew)):
+		return WitnessTooNew
 	}
 	return 0
 }
 
-func (w *Witness) grant(rec *record, r Request, now time.Time) {
+func (w *Witness) grant(rec *grantRecord, r Request, now time.Time) {
 	if rec == nil {
-		rec = &record{key: r.Key, forget: forgetAt(r.Birth, now)}
+		rec = &grantRecord{key: r.Key, expires: expiryOf(r.Created, now)}
 		w.records[r.Key] = rec
-		heap.Push(&w.byAge, rec)
+		heap.Push(&w.byExpiry, rec)
 	}
 	rec.attempt, rec.holder = r.Attempt, r.Holder
 }
 
-// forgetAt is when no witness grants the key any more, with room for clocks that
+// expiryOf is when no witness grants the key any more, with room for clocks that
 // differ; for a key without a date it is when no retry is expected any more.
-func forgetAt(b Birth, now time.Time) time.Time {
-	if !b.Dated {
-		return now.Add(Window)
+func expiryOf(b CreationTime, now time.Time) time.Time {
+	if !b.Known {
+		return now.Add(ClaimWindow)
 	}
-	left := b.At.Add(Window + 2*Skew).Sub(now)
+	left := b.At.Add(ClaimWindow + 2*MaxClockSkew).Sub(now)
 	return now.Add(left)
 }
 
@@ -111,9 +111,9 @@
 }
 
 // Forget drops the keys whose time is over.
-func (w *Witness) Forget(now time.Time) {
-	for len(w.byAge) > 0 && !now.Before(w.byAge[0].forget) {
-		rec := heap.Pop(&w.byAge).(*record)
+func (w *Witness) RemoveExpired(now time.Time) {
+	for len(w.byExpiry) > 0 && !now.Before(w.byExpiry[0].expires) {
+		rec := heap.Pop(&w.byExpiry).(*grantRecord)
 		delete(w.records, rec.key)
 	}
 }
@@ -130,20 +130,20 @@
 }
 
 // recordHeap orders records by the time at which they are forgotten.
-type recordHeap []*record
+type recordHeap []*grantRecord
 
 // Len implements heap.Interface.
 func (h recordHeap) Len() int { return len(h) }
 
 // Less implements heap.Interface.
-func (h recordHeap) Less(i, j int) bool { return h[i].forget.Before(h[j].forget) }
+func (h recordHeap) Less(i, j int) bool { return h[i].expires.Before(h[j].expires) }
 
 // Swap implements heap.Interface.
 func (h recordHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
 func (h *recordHeap) Push(x any) {
-	*h = append(*h, x.(*record))
+	*h = append(*h, x.(*grantRecord))
 }
 
 // Pop implements heap.Interface.
--- a/core/decision/decision.go
+++ b/core/decision/decision.go
@@ -37,7 +37,7 @@
 	Daemon string    `json:"daemon"`
 	At     time.Time `json:"at"`
 	// By is the daemon whose choice it was, where that is another one.
-	By string `json:"by,omitempty"`
+	DecidedBy string `json:"by,omitempty"`
 	// Kind names what was decided.
 	Kind Kind `json:"kind"`
 	// Account, Route and Pool are the subjects, where there are any.
@@ -54,7 +54,7 @@
 	Attempt string `json:"attempt,omitempty"`
 	// Call names what was asked for, which is the same when a caller sends it again under
 	// another request id.
-	Call string `json:"call,omitempty"`
+	CallKey string `json:"call,omitempty"`
 
 	// The inputs, by kind of decision.
 	Routing  *routing.Decision   `json:"routing,omitempty"`
@@ -62,34 +62,34 @@
 	Estimate *admission.Estimate `json:"estimate,omitempty"`
 	Claim    *ClaimTally         `json:"claim,omitempty"`
 	// Stream is how a forwarded answer went, in time.
-	Stream *Stream `json:"stream,omitempty"`
+	Stream *StreamTiming `json:"stream,omitempty"`
 }
 
-// Stream is how a forwarded answer went, in time.
-type Stream struct {
+// StreamTiming is how a forwarded answer went, in time.
+type StreamTiming struct {
 	// Events is the number of events given to the caller.
 	Events int `json:"events"`
 	// First is the time to the first event, Gap the longest pause between two, Took the
 	// time of the whole; Goal and GapGoal are what the route asks of First and Gap.
-	First   time.Duration `json:"first_ns,omitempty"`
-	Gap     time.Duration `json:"gap_ns,omitempty"`
-	Took    time.Duration `json:"took_ns"`
-	Goal    time.Duration `json:"goal_ns,omitempty"`
-	GapGoal time.Duration `json:"gap_goal_ns,omitempty"`
+	FirstEvent     time.Duration `json:"first_ns,omitempty"`
+	LongestGap     time.Duration `json:"gap_ns,omitempty"`
+	Total          time.Duration `json:"took_ns"`
+	FirstEventGoal time.Duration `json:"goal_ns,omitempty"`
+	LongestGapGoal time.Duration `json:"gap_goal_ns,omitempty"`
 }
 
 // ClaimTally is how the witnesses of a key answered.
 type ClaimTally struct {
-	Key       string   `json:"key"`
-	Witnesses []string `json:"witnesses"`
-	Needed    int      `json:"needed"`
-	Granted   int      `json:"granted"`
-	Denied    int      `json:"denied"`
-	Silent    int      `json:"silent"`
+	Key        string   `json:"key"`
+	Witnesses  []string `json:"witnesses"`
+	Needed     int      `json:"needed"`
+	Granted    int      `json:"granted"`
+	Denied     int      `json:"denied"`
+	Unanswered int      `json:"silent"`
 }
 
-// Replay is the result of making a recorded decision again.
-type Replay struct {
+// ReplayResult is the result of making a recorded decision again.
+type ReplayResult struct {
 	// Possible is false for records that hold no inputs to decide from.
 	Possible bool `json:"possible"`
 	// Same tells whether the outcome is the recorded one.
@@ -98,33 +98,33 @@
 	Outcome string `json:"outcome,omitempty"`
 }
 
-// Replay makes the decision again from its recorded inputs.
-func (r *Record) Replay() Replay {
+// ReplayResult makes the decision again from its recorded inputs.
+func (r *Record) Replay() ReplayResult {
 	switch {
 	case r.Routing != nil:
 		again := r.Routing.Replay()
 		same := again.Verdict == r.Routing.Verdict && again.Chosen == r.Routing.Chosen
-		return Replay{Possible: true, Same: same, Outcome: string(again.Verdict) + " " + again.Chosen}
+		return ReplayResult{Possible: true, Same: same, Outcome: string(again.Verdict) + " " + again.Chosen}
 	case r.Estimate != nil:
 		outcome := OutcomeAdmitted
 		if r.Estimate.Late() {
 			outcome = OutcomeRefused
 		}
-		return Replay{Possible: true, Same: outcome == r.Outcome, Outcome: outcome}
+		return ReplayResult{Possible: true, Same: outcome == r.Outcome, Outcome: outcome}
 	case r.Limit != nil:
 		outcome := OutcomeAdmitted
 		if r.Limit.Limit != admission.LimitNone {
 			outcome = OutcomeRefused
 		}
-		return Replay{Possible: true, Same: outcome == r.Outcome, Outcome: outcome}
+		return ReplayResult{Possible: true, Same: outcome == r.Outcome, Outcome: outcome}
 	case r.Claim != nil:
 		outcome := OutcomeRefused
 		if r.Claim.Granted >= r.Claim.Needed {
 			outcome = OutcomeAdmitted
 		}
-		return Replay{Possible: true, Same: outcome == r.Outcome, Outcome: outcome}
+		return ReplayResult{Possible: true, Same: outcome == r.Outcome, Outcome: outcome}
 	default:
-		return Replay{}
+		return ReplayResult{}
 	}
 }
 
@@ -132,7 +132,7 @@
 const (
 	OutcomeAdmitted = "admitted"
 	OutcomeRefused  = "refused"
-	OutcomeWhole    = "whole"
+	OutcomeComplete = "whole"
 	OutcomeFailed   = "failed"
 	// OutcomeCancelled is an attempt that ended with its caller or its time.
 	OutcomeCancelled = "cancelled"
--- a/core/decision/ring.go
+++ b/core/decision/ring.go
@@ -9,18 +9,18 @@
 // Ring keeps the last decisions, bounded by memory. It is not safe for
 // concurrent use; the blackboard locks it.
 type Ring struct {
-	limit   int64
-	size    int64
-	records []Record // a queue: the oldest first, from index head on
-	head    int
-	byID    map[string][]int // request id to absolute positions
-	dropped int              // records ever removed; absolute = dropped + index - head
-	evicted int64
+	limit              int64
+	size               int64
+	records            []Record // a queue: the oldest first, from index head on
+	head               int
+	positionsByRequest map[string][]int // request id to absolute positions
+	dropped            int              // records ever removed; absolute = dropped + index - head
+	evicted            int64
 }
 
 // NewRing returns a ring that keeps about limit bytes of records.
 func NewRing(limit int64) *Ring {
-	return &Ring{limit: limit, byID: map[string][]int{}}
+	return &Ring{limit: limit, positionsByRequest: map[string][]int{}}
 }
 
 // Put adds a record and drops the oldest ones that no longer fit.
@@ -29,7 +29,7 @@
 	r.records = append(r.records, rec)
 	r.size += sizeOf(&rec)
 	if rec.Request != "" {
-		r.byID[rec.Request] = append(r.byID[rec.Request], absolute)
+		r.positionsByRequest[rec.Request] = append(r.positionsByRequest[rec.Request], absolute)
 	}
 	for r.size > r.limit && len(r.records)-r.head > 1 {
 		r.dropOldest()
@@ -40,10 +40,10 @@
 func (r *Ring) dropOldest() {
 	old := &r.records[r.head]
 	r.size -= sizeOf(old)
-	if ids := r.byID[old.Request]; len(ids) > 1 {
-		r.byID[old.Request] = ids[1:]
+	if ids := r.positionsByRequest[old.Request]; len(ids) > 1 {
+		r.positionsByRequest[old.Request] = ids[1:]
 	} else {
-		delete(r.byID, old.Request)
+		delete(r.positionsByRequest, old.Request)
 	}
 	*old = Record{}
 	r.head++
@@ -65,7 +65,7 @@
 // Find returns the records of a request, oldest first.
 func (r *Ring) Find(request string) []Record {
 	var found []Record
-	for _, absolute := range r.byID[request] {
+	for _, absolute := range r.positionsByRequest[request] {
 		found = append(found, r.records[absolute-r.dropped+r.head])
 	}
 	return found
--- a/core/decision/ring_test.go
+++ b/core/decision/ring_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestRingKeepsTheNewestWithinItsBound compares the ring with a plain list.
-func TestRingKeepsTheNewestWithinItsBound(t *testing.T) {
+// TestRingKeepsNewestRecordsWithinLimit compares the ring with a plain list.
+func TestRingKeepsNewestRecordsWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 20_000
 		ring := NewRing(limit)
--- a/core/group/group.go
+++ b/core/group/group.go
@@ -26,7 +26,7 @@
 	Target string
 	// PromptTokens is the length of the part; Tokens adds room for the answer on
 	// the last one.
-	PromptTokens, Tokens int64
+	PromptTokens, MemoryTokens int64
 }
 
 // ErrTooLarge means that even all engines of a region, empty, are too small.
@@ -35,8 +35,8 @@
 // ErrNoRoom means that the engines are too full at the moment.
 var ErrNoRoom = errors.New("the engines have no room for the prompt at the moment")
 
-// minPart is the least part worth an engine of its own, in tokens.
-const minPart = 8192
+// minPartTokens is the least part worth an engine of its own, in tokens.
+const minPartTokens = 8192
 
 // NewPlan spreads a prompt over targets. The home data centre is preferred where
 // it has room.
@@ -45,20 +45,20 @@
 		return t.State != routing.Live || t.Unloaded || t.MemoryTokens == 0
 	})
 	fits := false
-	for _, centre := range namesOf(usable, dataCentreOf, home) {
+	for _, centre := range placeNames(usable, dataCentreOf, home) {
 		here := slices.DeleteFunc(slices.Clone(usable), func(t routing.Target) bool { return t.DataCentre != centre })
-		fits = fits || total(here, headroom) >= prompt+output
-		if plan := planIn(here, prompt, output, headroom); plan != nil {
+		fits = fits || totalCapacity(here, headroom) >= prompt+output
+		if plan := planWithin(here, prompt, output, headroom); plan != nil {
 			return plan, nil
 		}
 	}
 	if fits {
 		return nil, ErrNoRoom
 	}
-	for _, region := range namesOf(usable, regionOf, "") {
+	for _, region := range placeNames(usable, regionOf, "") {
 		here := slices.DeleteFunc(slices.Clone(usable), func(t routing.Target) bool { return t.Region != region })
-		fits = fits || total(here, headroom) >= prompt+output
-		if plan := planIn(here, prompt, output, headroom); plan != nil {
+		fits = fits || totalCapacity(here, headroom) >= prompt+output
+		if plan := planWithin(here, prompt, output, headroom); plan != nil {
 			return plan, nil
 		}
 	}
@@ -72,8 +72,8 @@
 
 func regionOf(t *routing.Target) string { return t.Region }
 
-// namesOf lists the places of targets, home first.
-func namesOf(targets []routing.Target, place func(*routing.Target) string, home string) []string {
+// placeNames lists the places of targets, home first.
+func placeNames(targets []routing.Target, place func(*routing.Target) string, home string) []string {
 	var names []string
 	for i := range targets {
 		if name := place(&targets[i]); !slices.Contains(names, name) {
@@ -92,12 +92,12 @@
 	return names
 }
 
-// room is the memory that a part may take of a target.
-func room(t *routing.Target, headroom float64) int64 {
+// freeTokens is the memory that a part may take of a target.
+func freeTokens(t *routing.Target, headroom float64) int64 {
 	return int64(float64(t.MemoryTokens)*(1-headroom)) - t.Load.MemoryTokens
 }
 
-func total(targets []routing.Target, headroom float64) int64 {
+func totalCapacity(targets []routing.Target, headroom float64) int64 {
 	sum := int64(0)
 	for i := range targets {
 		sum += int64(float64(targets[i].MemoryTokens) * (1 - headroom))
@@ -105,25 +105,25 @@
 	return sum
 }
 
-// planIn fills the emptiest targets first. Targets that hold a long prefill or
+// planWithin fills the emptiest targets first. Targets that hold a long prefill or
 // whose breaker is open are left out.
-func planIn(targets []routing.Target, prompt, output int64, headroom float64) []Part {
+func planWithin(targets []routing.Target, prompt, output int64, headroom float64) []Part {
 	free := slices.DeleteFunc(targets, func(t routing.Target) bool {
-		return t.BreakerOpen || t.ReservedFor != "" || t.Load.LongPrefills > 0 || room(&t, headroom) < minPart+output
+		return t.BreakerOpen || t.ReservedFor != "" || t.Load.LongPrefills > 0 || freeTokens(&t, headroom) < minPartTokens+output
 	})
 	slices.SortStableFunc(free, func(a, b routing.Target) int {
-		return cmp.Or(cmp.Compare(room(&b, headroom), room(&a, headroom)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(freeTokens(&b, headroom), freeTokens(&a, headroom)), cmp.Compare(a.ID, b.ID))
 	})
 	var parts []Part
 	left := prompt
 	for i := range free {
-		have := room(&free[i], headroom)
+		have := freeTokens(&free[i], headroom)
 		// Each part leaves room for the answer, so that any could be the last.
 		take := min(left, have-output)
-		parts = append(parts, Part{Target: free[i].ID, PromptTokens: take, Tokens: take})
+		parts = append(parts, Part{Target: free[i].ID, PromptTokens: take, MemoryTokens: take})
 		left -= take
 		if left == 0 {
-			parts[len(parts)-1].Tokens += output
+			parts[len(parts)-1].MemoryTokens += output
 			return parts
 		}
 	}
@@ -152,8 +152,8 @@
 
 // Backoff is a growing, random pause.
 type Backoff struct {
-	First, Max time.Duration
-	Seed       uint64
+	Initial, Max time.Duration
+	Seed         uint64
 
 	rng  *rand.Rand
 	next time.Duration
@@ -163,7 +163,7 @@
 func (b *Backoff) Next() time.Duration {
 	if b.rng == nil {
 		b.rng = rand.New(rand.NewPCG(b.Seed, b.Seed))
-		b.next = b.First
+		b.next = b.Initial
 	}
 	pause := b.next/2 + time.Duration(b.rng.Int64N(int64(b.next/2)+1))
 	b.next = min(2*b.next, b.Max)
--- a/core/group/group_test.go
+++ b/core/group/group_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestPlanCoversThePromptWithinEveryMemory holds for any state of the targets.
-func TestPlanCoversThePromptWithinEveryMemory(t *testing.T) {
+// TestPlanCoversPromptWithinTargetMemory holds for any state of the targets.
+func TestPlanCoversPromptWithinTargetMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		targets := make([]routing.Target, rapid.IntRange(1, 12).Draw(t, "n"))
 		for i := range targets {
@@ -40,26 +40,26 @@
 				if x.ID != p.Target {
 					continue
 				}
-				if p.Tokens > room(&x, headroom) || x.Load.LongPrefills > 0 {
+				if p.MemoryTokens > freeTokens(&x, headroom) || x.Load.LongPrefills > 0 {
 					t.Fatalf("part %d does not fit at %s", i, x.ID)
 				}
 				if centre == "" {
 					centre = x.DataCentre
 				}
-				if x.DataCentre != centre && fitsInOne(targets, prompt+output, headroom) {
+				if x.DataCentre != centre && fitsInOneDataCentre(targets, prompt+output, headroom) {
 					t.Fatal("the group spans data centres without need")
 				}
 			}
 			sum += p.PromptTokens
 		}
-		if sum != prompt || plan[len(plan)-1].Tokens != plan[len(plan)-1].PromptTokens+output {
+		if sum != prompt || plan[len(plan)-1].MemoryTokens != plan[len(plan)-1].PromptTokens+output {
 			t.Fatalf("the parts sum to %d, the prompt has %d", sum, prompt)
 		}
 	})
 }
 
-// TestSplitKeepsCharactersWhole: the parts are text, and together the prompt.
-func TestSplitKeepsCharactersWhole(t *testing.T) {
+// TestSplitCutsAtCharacterBoundaries: the parts are text, and together the prompt.
+func TestSplitCutsAtCharacterBoundaries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringOf(rapid.SampledFrom([]rune("açã€😀"))).Draw(t, "text")
 		plan := make([]Part, rapid.IntRange(1, 5).Draw(t, "parts"))
@@ -78,7 +78,7 @@
 	})
 }
 
-func fitsInOne(targets []routing.Target, tokens int64, headroom float64) bool {
+func fitsInOneDataCentre(targets []routing.Target, tokens int64, headroom float64) bool {
 	sums := map[string]float64{}
 	for _, x := range targets {
 		sums[x.DataCentre] += float64(int64(float64(x.MemoryTokens) * (1 - headroom)))
@@ -86,7 +86,7 @@
 	return max(sums["a"], sums["b"]) >= float64(tokens)
 }
 
-func TestPlanTellsNeverFromNotNow(t *testing.T) {
+func TestPlanDistinguishesTooLargeFromNoRoom(t *testing.T) {
 	full := routing.Target{ID: "a", DataCentre: "x", MemoryTokens: 450_000, Load: routing.Load{MemoryTokens: 400_000}}
 	if _, err := NewPlan([]routing.Target{full}, 300_000, 10, 0, "x"); !errors.Is(err, ErrNoRoom) {
 		t.Fatalf("got %v, want no room", err)
--- a/node/admin/admin.go
+++ b/node/admin/admin.go
@@ -125,7 +125,7 @@
 	// Records are the decisions, oldest first.
 	Records []decision.Record `json:"records"`
 	// Replays stand beside Records.
-	Replays []decision.Replay `json:"replays,omitempty"`
+	Replays []decision.ReplayResult `json:"replays,omitempty"`
 	// Note says why there are none, or what may be missing.
 	Note string `json:"note,omitempty"`
 }
--- a/node/api/paths.go
+++ b/node/api/paths.go
@@ -110,7 +110,7 @@
 	if s.board.Phase() == blackboard.Draining {
 		return s.turnAway(c, fault.New(fault.ShuttingDown, "this host is leaving", "send again; another host takes it").WithRetry(leavingRetry))
 	}
-	hold := s.starting(c).Hold()
+	hold := s.starting(c).MaxWait()
 	if hold > 0 {
 		s.awaitStart(c, hold)
 	}
@@ -127,7 +127,7 @@
 
 // checkLag refuses a call that this daemon, behind its own events, cannot serve in time.
 func (s *pathServer) checkLag(c *pathCall) error {
-	behind := admission.Behind{Lag: s.board.Lag.Standing(time.Now()), Goal: c.path.Goal}
+	behind := admission.OverloadCheck{Lag: s.board.Lag.Standing(time.Now()), Goal: c.path.Goal}
 	if !behind.Refuse() {
 		return nil
 	}
@@ -149,8 +149,8 @@
 
 // starting gathers what is known for a call that comes before the daemon serves.
 func (s *pathServer) starting(c *pathCall) admission.Starting {
-	known := admission.Starting{Age: s.board.Age(), Left: c.Left}
-	s.board.Members.View(func(t *membership.Table) { known.Others, known.Serve = t.Others() })
+	known := admission.Starting{Age: s.board.Age(), CallerTimeout: c.Left}
+	s.board.Members.View(func(t *membership.Table) { known.OtherDaemons, known.OthersServe = t.Others() })
 	return known
 }
 
--- a/node/blackboard/accounts.go
+++ b/node/blackboard/accounts.go
@@ -50,7 +50,7 @@
 	a.active = at
 	v := a.usage.Admit(promptTokens, at)
 	if v.Limit == admission.LimitNone {
-		a.retry.Request(rules.RetryShare)
+		a.retry.CountRequest(rules.RetryShare)
 	}
 	return v
 }
@@ -78,7 +78,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	a := t.accounts[account]
-	return a != nil && a.retry.Retry()
+	return a != nil && a.retry.TakeRetry()
 }
 
 // AccountDemand is the demand of an account at this daemon since the last look.
--- a/node/blackboard/claims.go
+++ b/node/blackboard/claims.go
@@ -102,7 +102,7 @@
 	t.bytes += entry.bytes
 	for front := t.recent.Front(); front != nil; front = t.recent.Front() {
 		old := front.Value.(*outcomeEntry)
-		if t.bytes <= maxOutcomeBytes && at.Sub(old.at) < claim.Window {
+		if t.bytes <= maxOutcomeBytes && at.Sub(old.at) < claim.ClaimWindow {
 			break
 		}
 		t.drop(front)
@@ -158,6 +158,6 @@
 func (t *ClaimTable) Counts(at time.Time) ClaimCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.witness.Forget(at)
+	t.witness.RemoveExpired(at)
 	return ClaimCounts{Counts: t.witness.Counts(), OutcomeBytes: t.bytes, Running: len(t.running)}
 }
--- a/node/blackboard/lag.go
+++ b/node/blackboard/lag.go
@@ -33,12 +33,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lag.End(at)
-	return t.lag.Standing(at)
+	return t.lag.Sustained(at)
 }
 
 // Standing is how long what arrives has to wait at least.
 func (t *LagTable) Standing(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.lag.Standing(now)
+	return t.lag.Sustained(now)
 }
--- a/node/blackboard/members.go
+++ b/node/blackboard/members.go
@@ -41,7 +41,7 @@
 		t.members.SetHosts(daemonsOf(list.Hosts), at)
 	}
 	t.hosts, t.read = list, at
-	t.history.Add(claim.List{Revision: list.Revision, Changed: list.Changed, Hosts: t.regional(list.Hosts)}, list.AsOf)
+	t.history.Add(claim.HostList{Revision: list.Revision, Published: list.Changed, Hosts: t.regional(list.Hosts)}, list.AsOf)
 }
 
 // Open makes the fleet one whose daemons the platform does not list.
@@ -173,7 +173,7 @@
 }
 
 // HostLists returns the lists that were in force lately.
-func (t *MemberTable) HostLists() ([]claim.List, time.Time) {
+func (t *MemberTable) HostLists() ([]claim.HostList, time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.history.Lists()), t.history.Confirmed()
@@ -181,7 +181,7 @@
 
 // AddHostLists takes over lists that a peer has read, for what was in force
 // before this daemon started.
-func (t *MemberTable) AddHostLists(lists []claim.List) {
+func (t *MemberTable) AddHostLists(lists []claim.HostList) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, l := range lists {
--- a/node/blackboard/queues.go
+++ b/node/blackboard/queues.go
@@ -68,7 +68,7 @@
 	t.mu.Lock()
 	p := t.pool(ticket.Pool.Name)
 	p.queue.AgeingPerLevel = time.Duration(ticket.Pool.Policy.AgeingPerLevel)
-	ticket.Item.Owner = ticket
+	ticket.Item.Value = ticket
 	p.queue.Push(ticket.Item)
 	t.mark(ticket.Pool.Name, p)
 	t.mu.Unlock()
@@ -194,13 +194,13 @@
 	}()
 	ahead := 0.0 // reading time of the long prompts that wait before the next one
 	placed := p.queue.Dispatch(at, func(it *admission.Item) bool {
-		ticket := it.Owner.(*Ticket)
+		ticket := it.Value.(*Ticket)
 		ticket.Request.PrefillAhead = ahead
 		if place(ticket, targets, at) {
 			return true
 		}
 		if it.Long {
-			ahead += it.Work
+			ahead += it.PrefillSeconds
 		}
 		return false
 	})
@@ -216,7 +216,7 @@
 	}
 	before := 0
 	for _, it := range p.queue.InOrder(at) {
-		ticket := it.Owner.(*Ticket)
+		ticket := it.Value.(*Ticket)
 		r := &ticket.Request
 		r.Waited, r.UntilDeadline = at.Sub(it.Arrived).Seconds(), ticket.Deadline.Sub(at).Seconds()
 		d, refused := routing.RefuseRateLimited(r, before, limited)
--- a/node/blackboard/repeats.go
+++ b/node/blackboard/repeats.go
@@ -10,7 +10,7 @@
 type RepeatTable struct {
 	mu    Mutex
 	limit admission.RepeatLimit
-	pools map[string]*admission.Repeats
+	pools map[string]*admission.RepeatBudget
 }
 
 // DefaultRepeatLimit is in force where the operators set none.
@@ -19,7 +19,7 @@
 }
 
 func newRepeatTable() *RepeatTable {
-	return &RepeatTable{mu: NewMutex(RankRepeats), limit: DefaultRepeatLimit(), pools: map[string]*admission.Repeats{}}
+	return &RepeatTable{mu: NewMutex(RankRepeats), limit: DefaultRepeatLimit(), pools: map[string]*admission.RepeatBudget{}}
 }
 
 // SetLimit changes the limit for all pools.
@@ -29,10 +29,10 @@
 	t.limit = l
 }
 
-func (t *RepeatTable) pool(name string) *admission.Repeats {
+func (t *RepeatTable) pool(name string) *admission.RepeatBudget {
 	r := t.pools[name]
 	if r == nil {
-		r = &admission.Repeats{}
+		r = &admission.RepeatBudget{}
 		t.pools[name] = r
 	}
 	return r
@@ -42,12 +42,12 @@
 func (t *RepeatTable) Call(pool string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.pool(pool).Call(&t.limit, at)
+	t.pool(pool).CountCall(&t.limit, at)
 }
 
 // Take asks for one more send, when so many daemons share the limit.
 func (t *RepeatTable) Take(pool string, daemons int, at time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.pool(pool).Take(&t.limit, daemons, at)
+	return t.pool(pool).TakeRepeat(&t.limit, daemons, at)
 }
--- a/node/cluster/claims.go
+++ b/node/cluster/claims.go
@@ -41,7 +41,7 @@
 )
 
 func (r claimRequest) core() claim.Request {
-	return claim.Request{Key: r.Key, Attempt: r.Attempt, Holder: r.Holder, Birth: claim.Birth{Dated: r.Dated, At: r.Born}}
+	return claim.Request{Key: r.Key, Attempt: r.Attempt, Holder: r.Holder, Created: claim.CreationTime{Known: r.Dated, At: r.Born}}
 }
 
 func (c *Cluster) serveClaim(_ context.Context, _ string, in claimRequest) (claimReply, error) {
@@ -64,7 +64,7 @@
 // Claim implements requestcontrol.Claimer.
 func (c *Cluster) Claim(ctx context.Context, in requestcontrol.Claim) (*requestcontrol.Permit, error) {
 	request := claimRequest{Key: in.Key, Holder: c.Board.Self.Name}
-	if birth := claim.BirthOf(in.Stamp); birth.Dated {
+	if birth := claim.CreationTimeOf(in.Stamp); birth.Known {
 		request.Dated, request.Born = true, birth.At
 	}
 	for attempt := in.Attempt; ; attempt = requestcontrol.NewAttempt() {
@@ -88,14 +88,14 @@
 	sets := c.Board.Members.WitnessSets(in.core(), now)
 	claimer := claim.NewClaimer(in.core(), sets, now)
 	outcome := c.askWitnesses(ctx, claimer, in)
-	permit = &requestcontrol.Permit{Ends: claimer.Ends(), Tally: tallyOf(in.Key, claimer)}
+	permit = &requestcontrol.Permit{Ends: claimer.PermitExpiry(), Tally: tallyOf(in.Key, claimer)}
 	if claimer.State() == claim.Won {
 		c.Board.Claims.Begin(in.Attempt)
 		return permit, false, nil
 	}
 	claimer.GiveUp()
 	c.tellWitnesses(ctx, claimer.Witnesses(), peer.KindGiveUp, in.Key, concludeMessage{Key: in.Key, Attempt: in.Attempt})
-	if attempt, holder, taken := claimer.TakenBy(); taken {
+	if attempt, holder, taken := claimer.CurrentHolder(); taken {
 		duplicate, again := c.earlier(ctx, in.Key, attempt, holder, outcome)
 		if again {
 			return permit, true, noQuorum(claimer.Tally())
@@ -125,7 +125,7 @@
 	for range witnesses {
 		a := <-answers
 		if a.err != nil {
-			claimer.Fail(a.from)
+			claimer.RecordNoAnswer(a.from)
 		} else {
 			claimer.Receive(a.from, claim.Reply{Answer: a.reply.Answer, Attempt: a.reply.Attempt, Holder: a.reply.Holder})
 			if a.reply.Outcome != nil {
@@ -141,7 +141,7 @@
 
 func tallyOf(key string, claimer *claim.Claimer) decision.ClaimTally {
 	t := claimer.Tally()
-	return decision.ClaimTally{Key: key, Witnesses: claimer.Witnesses(), Needed: t.Needed, Granted: t.Granted, Denied: t.Denied, Silent: t.Silent}
+	return decision.ClaimTally{Key: key, Witnesses: claimer.Witnesses(), Needed: t.Needed, Granted: t.Granted, Denied: t.Denied, Unanswered: t.Unanswered}
 }
 
 // earlier finds out what became of the call that has the key. It tells whether
@@ -193,8 +193,8 @@
 // that is a little younger than the process is not trusted, for clocks that were
 // set back in between.
 func (c *Cluster) madeHere(attempt string) bool {
-	birth := claim.BirthOf(attempt)
-	return birth.Dated && birth.At.After(c.started.Add(claim.Skew))
+	birth := claim.CreationTimeOf(attempt)
+	return birth.Known && birth.At.After(c.started.Add(claim.MaxClockSkew))
 }
 
 // concludeMessage names an attempt and, when it has ended, says how.
@@ -224,7 +224,7 @@
 	if o.Execution == fault.NotRun {
 		kind = peer.KindGiveUp
 	}
-	sets := c.Board.Members.WitnessSets(claim.Request{Key: in.Key, Birth: claim.BirthOf(in.Stamp)}, time.Now())
+	sets := c.Board.Members.WitnessSets(claim.Request{Key: in.Key, Created: claim.CreationTimeOf(in.Stamp)}, time.Now())
 	var witnesses []string
 	for _, set := range sets {
 		witnesses = append(witnesses, set...)
@@ -258,22 +258,22 @@
 			"the host list has not been confirmed for too long, so it is not known who keeps keys",
 			"send again with the same key; the list is read every few seconds").
 			WithExecution(fault.Unknown).WithRetry(2 * time.Second)
-	case t.Future > 0:
+	case t.KeyFromFuture > 0:
 		return fault.New(fault.KeyFromFuture,
 			"the time in the idempotency key lies ahead", "set the clock of the caller")
-	case t.TooOld > 0:
+	case t.KeyTooOld > 0:
 		return fault.New(fault.KeyTooOld,
-			fmt.Sprintf("the idempotency key is older than %v", claim.Window),
+			fmt.Sprintf("the idempotency key is older than %v", claim.ClaimWindow),
 			"find out at the service whether an earlier call ran; use a new key only if none did").
 			WithExecution(fault.Unknown)
-	case t.Young > 0 && claimer.Request.Birth.Dated:
+	case t.WitnessTooNew > 0 && claimer.Request.Created.Known:
 		return fault.New(fault.NoQuorum,
-			fmt.Sprintf("%d daemons that keep this key are not older than it, so they may have forgotten it", t.Young),
+			fmt.Sprintf("%d daemons that keep this key are not older than it, so they may have forgotten it", t.WitnessTooNew),
 			"find out at the service whether an earlier call ran; use a new key only if none did").
 			WithExecution(fault.Unknown)
-	case t.Young > 0:
+	case t.WitnessTooNew > 0:
 		return fault.New(fault.NoQuorum,
-			fmt.Sprintf("%d daemons that keep this key have restarted and may have forgotten it", t.Young),
+			fmt.Sprintf("%d daemons that keep this key have restarted and may have forgotten it", t.WitnessTooNew),
 			fmt.Sprintf("send again with the same key; keys that are UUIDv7 work at once, others %v after a restart", claim.RetryWindow)).
 			WithExecution(fault.Unknown).WithRetry(claim.RetryWindow / 10)
 	default:
--- a/node/cluster/claims_test.go
+++ b/node/cluster/claims_test.go
@@ -16,11 +16,11 @@
 // witness that hears of the key over a link must read the same birth as the daemon that asks.
 func TestAKeyIsAsOldAtEveryWitness(t *testing.T) {
 	started := time.Date(2030, 1, 1, 12, 0, 0, 0, time.UTC)
-	born := started.Add(claim.Skew + 900*time.Millisecond)
+	born := started.Add(claim.MaxClockSkew + 900*time.Millisecond)
 	witness := claim.NewWitness(started)
 	hub := peer.NewHub("witness", []string{"a-secret"}, telemetry.NewMetrics())
 	hub.Handle(peer.KindClaim, peer.Serve(func(_ context.Context, _ string, in claimRequest) (claimReply, error) {
-		if at := in.core().Birth.At; !at.Equal(born) {
+		if at := in.core().Created.At; !at.Equal(born) {
 			t.Errorf("a key born at %v was heard of as born at %v", born, at)
 		}
 		return claimReply{Answer: witness.Claim(in.core(), born).Answer}, nil
--- a/node/cluster/coordinate.go
+++ b/node/cluster/coordinate.go
@@ -94,8 +94,8 @@
 		},
 		Item: &admission.Item{
 			ID: in.Request, Account: in.Account, Level: in.Level, Tokens: max(1, in.PromptTokens),
-			Long: params.IsLong(in.PromptTokens), Retry: in.Retry, Arrived: arrived, Work: requestcontrol.ReadingWork(&params, in.PromptTokens),
-			Latest: requestcontrol.LatestPlacement(&params, in.PromptTokens, arrived, in.Goal, in.Retry),
+			Long: params.IsLong(in.PromptTokens), Retry: in.Retry, Arrived: arrived, PrefillSeconds: requestcontrol.ReadingWork(&params, in.PromptTokens),
+			LatestStart: requestcontrol.LatestPlacement(&params, in.PromptTokens, arrived, in.Goal, in.Retry),
 		},
 	}
 }
--- a/node/cluster/leases.go
+++ b/node/cluster/leases.go
@@ -87,7 +87,7 @@
 
 // leaseWitnesses are the first few of a target's order over the list in force.
 func (c *Cluster) leaseWitnesses(id string, now time.Time) []string {
-	sets := c.Board.Members.WitnessSets(claim.Request{Key: id, Birth: claim.Birth{Dated: true, At: now}}, now)
+	sets := c.Board.Members.WitnessSets(claim.Request{Key: id, Created: claim.CreationTime{Known: true, At: now}}, now)
 	if len(sets) == 0 {
 		return nil
 	}
--- a/node/cluster/members.go
+++ b/node/cluster/members.go
@@ -276,7 +276,7 @@
 	lists, _ := c.Board.Members.HostLists()
 	answer := hostLists{}
 	for _, l := range lists {
-		answer.Lists = append(answer.Lists, wireList{l.Revision, l.Changed, l.Hosts})
+		answer.Lists = append(answer.Lists, wireList{l.Revision, l.Published, l.Hosts})
 	}
 	return answer, nil
 }
@@ -289,9 +289,9 @@
 		if err := c.ask(ctx, name, peer.KindHosts, done{}, &answer, heartbeatTimeout); err != nil {
 			continue
 		}
-		lists := make([]claim.List, 0, len(answer.Lists))
+		lists := make([]claim.HostList, 0, len(answer.Lists))
 		for _, l := range answer.Lists {
-			lists = append(lists, claim.List{Revision: l.Revision, Changed: l.Changed, Hosts: l.Hosts})
+			lists = append(lists, claim.HostList{Revision: l.Revision, Published: l.Changed, Hosts: l.Hosts})
 		}
 		c.Board.Members.AddHostLists(lists)
 		return
--- a/node/cmd/doorstack/explain.go
+++ b/node/cmd/doorstack/explain.go
@@ -79,7 +79,7 @@
 		words = append(words, "limit "+string(r.Limit.Limit))
 	}
 	if c := r.Claim; c != nil {
-		words = append(words, fmt.Sprintf("granted %d of %d needed, denied %d, silent %d", c.Granted, c.Needed, c.Denied, c.Silent))
+		words = append(words, fmt.Sprintf("granted %d of %d needed, denied %d, silent %d", c.Granted, c.Needed, c.Denied, c.Unanswered))
 	}
 	return strings.Join(words, " ")
 }
--- a/node/internal/coordbench/fleet.go
+++ b/node/internal/coordbench/fleet.go
@@ -200,8 +200,8 @@
 		},
 		Item: &admission.Item{
 			ID: id, Account: fmt.Sprint(c.id % 40), Tokens: c.prompt, Long: params.IsLong(c.prompt),
-			Arrived: f.start.Add(c.asked), Work: requestcontrol.ReadingWork(&params, c.prompt),
-			Latest: requestcontrol.LatestPlacement(&params, c.prompt, f.start.Add(c.asked), c.class.Goal.Seconds(), false),
+			Arrived: f.start.Add(c.asked), PrefillSeconds: requestcontrol.ReadingWork(&params, c.prompt),
+			LatestStart: requestcontrol.LatestPlacement(&params, c.prompt, f.start.Add(c.asked), c.class.Goal.Seconds(), false),
 		},
 	}
 	c.by.board.Queues.Push(ticket)
@@ -269,7 +269,7 @@
 	}
 	c.attempt++
 	long := c.prompt >= f.pool.Policy.LongPromptTokens
-	c.asked = f.now + admission.BusyRetry(long, c.at+c.class.Limit-f.now)
+	c.asked = f.now + admission.BusyRetryAfter(long, c.at+c.class.Limit-f.now)
 	f.queue.At(c.asked, func() { f.ask(c) })
 }
 
--- a/node/internal/fleet/helpers_test.go
+++ b/node/internal/fleet/helpers_test.go
@@ -265,7 +265,7 @@
 func pastYouth(t *testing.T, f *Fleet) {
 	t.Helper()
 	running := time.Now() // All daemons have started by now.
-	eventually(t, "all witnesses are older than a key by the skew of clocks", func() bool { return time.Since(running) > claim.Skew })
+	eventually(t, "all witnesses are older than a key by the skew of clocks", func() bool { return time.Since(running) > claim.MaxClockSkew })
 	for _, d := range f.Daemons {
 		eventually(t, "a fresh key is granted through "+d.Config.Name, func() bool {
 			r, err := try(d, call{path: "/v1/services/confirm/warm-up", key: deskKey, idempotency: newKey()})
--- a/node/report/read.go
+++ b/node/report/read.go
@@ -136,7 +136,7 @@
 
 func (c *Call) answered(entry *line) {
 	c.Ended = entry.Time
-	c.Whole = entry.Outcome == decision.OutcomeWhole
+	c.Whole = entry.Outcome == decision.OutcomeComplete
 	c.First, c.Goal = milliseconds(entry.First), milliseconds(entry.Goal)
 	if entry.Events == 0 {
 		c.First = milliseconds(entry.Took)
--- a/node/requestcontrol/admit.go
+++ b/node/requestcontrol/admit.go
@@ -78,7 +78,7 @@
 		return nil
 	}
 	rec.Outcome = decision.OutcomeRefused
-	rec.Reason = fmt.Sprintf("the first token is expected after %v and the deadline is in %v", (estimate.Wait + estimate.Prefill).Round(time.Millisecond), estimate.Left.Round(time.Millisecond))
+	rec.Reason = fmt.Sprintf("the first token is expected after %v and the deadline is in %v", (estimate.Wait + estimate.Prefill).Round(time.Millisecond), estimate.UntilDeadline.Round(time.Millisecond))
 	d.record(r, rec)
 	return fault.New(fault.DeadlineTooShort, rec.Reason, "send again later, or allow more time").
 		WithRetry(estimate.RetryAfter())
--- a/node/requestcontrol/director.go
+++ b/node/requestcontrol/director.go
@@ -107,7 +107,7 @@
 	d.record(r, decision.Record{
 		Kind: decision.KindRoute, At: p.At, Outcome: string(p.Decision.Verdict), Target: p.Decision.Chosen,
 		Attempt: p.Attempt, Routing: &p.Decision,
-		Reason: fmt.Sprintf("waited %v", p.At.Sub(r.Arrived).Round(time.Millisecond)), By: p.By,
+		Reason: fmt.Sprintf("waited %v", p.At.Sub(r.Arrived).Round(time.Millisecond)), DecidedBy: p.By,
 	})
 }
 
--- a/node/requestcontrol/forward.go
+++ b/node/requestcontrol/forward.go
@@ -196,7 +196,7 @@
 
 // recordAttempt records why an attempt led to no answer.
 func (f *forwarding) recordAttempt(ctx context.Context, attempt, culprit string, err error) {
-	rec := decision.Record{Kind: decision.KindAttempt, Outcome: decision.OutcomeFailed, Target: culprit, Attempt: attempt, Reason: err.Error(), Call: f.request.poisonKey().String()}
+	rec := decision.Record{Kind: decision.KindAttempt, Outcome: decision.OutcomeFailed, Target: culprit, Attempt: attempt, Reason: err.Error(), CallKey: f.request.poisonKey().String()}
 	if cause := ctx.Err(); cause != nil {
 		rec.Outcome, rec.Reason = decision.OutcomeCancelled, cause.Error()
 	}
@@ -380,8 +380,8 @@
 func (f *forwarding) recordAnswer(err error) {
 	r := f.request
 	rec := decision.Record{
-		Kind: decision.KindAnswer, Outcome: decision.OutcomeWhole, Target: f.last,
-		Stream: &decision.Stream{Events: f.events, First: f.first, Gap: f.gap, Took: time.Since(r.Arrived), Goal: r.goal(), GapGoal: r.gapGoal()},
+		Kind: decision.KindAnswer, Outcome: decision.OutcomeComplete, Target: f.last,
+		Stream: &decision.StreamTiming{Events: f.events, FirstEvent: f.first, LongestGap: f.gap, Total: time.Since(r.Arrived), FirstEventGoal: r.goal(), LongestGapGoal: r.gapGoal()},
 	}
 	if err == nil {
 		f.director.Record.Reach(blackboard.StageAnswered)
--- a/node/requestcontrol/generate.go
+++ b/node/requestcontrol/generate.go
@@ -250,7 +250,7 @@
 }
 
 func (d *Director) recordAnswer(r *Request, tokens int64, err error) {
-	rec := decision.Record{Kind: decision.KindAnswer, Outcome: decision.OutcomeWhole, Reason: fmt.Sprintf("%d tokens in %v", tokens, time.Since(r.Arrived).Round(time.Millisecond))}
+	rec := decision.Record{Kind: decision.KindAnswer, Outcome: decision.OutcomeComplete, Reason: fmt.Sprintf("%d tokens in %v", tokens, time.Since(r.Arrived).Round(time.Millisecond))}
 	if err != nil {
 		rec.Outcome = decision.OutcomeFailed
 		rec.Reason = fmt.Sprintf("after %d tokens: %v", tokens, err)
--- a/node/requestcontrol/group.go
+++ b/node/requestcontrol/group.go
@@ -72,7 +72,7 @@
 // reserveWhenFree tries to reserve a whole group until it has one or the
 // deadline passes.
 func (run *groupRun) reserveWhenFree(ctx context.Context) error {
-	pause := group.Backoff{First: groupPauseFirst, Max: groupPauseMax, Seed: seedOf(run.director.Board.Self.Name, run.attempt)}
+	pause := group.Backoff{Initial: groupPauseFirst, Max: groupPauseMax, Seed: seedOf(run.director.Board.Self.Name, run.attempt)}
 	for tries := 1; ; tries++ {
 		err := run.reserve(ctx)
 		if err == nil {
@@ -145,7 +145,7 @@
 
 func (run *groupRun) reservePart(ctx context.Context, p *groupPart) error {
 	d := run.director
-	load := routing.Load{Requests: 1, MemoryTokens: p.Tokens, BacklogTokens: p.PromptTokens, LongPrefills: 1}
+	load := routing.Load{Requests: 1, MemoryTokens: p.MemoryTokens, BacklogTokens: p.PromptTokens, LongPrefills: 1}
 	p.gone = d.Board.Targets.Occupy(p.Target, p.reservation, load, time.Now())
 	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
@@ -154,7 +154,7 @@
 		Request:     run.request.ID,
 		Owner:       d.Board.Self.Name,
 		Incarnation: d.Board.Self.Incarnation,
-		Tokens:      p.Tokens,
+		Tokens:      p.MemoryTokens,
 		Expires:     run.request.Deadline,
 	})
 	return err
--- a/node/requestcontrol/place.go
+++ b/node/requestcontrol/place.go
@@ -101,9 +101,9 @@
 	d.recordRoute(r, ticket, *placement)
 	if placement.Decision.Verdict == routing.Refuse {
 		left := time.Until(r.Deadline)
-		retry := admission.BusyRetry(r.promptTokens >= r.Route.Pool.Policy.LongPromptTokens, left)
+		retry := admission.BusyRetryAfter(r.promptTokens >= r.Route.Pool.Policy.LongPromptTokens, left)
 		if turn := placement.Decision.RetryAfter; turn > 0 {
-			retry = admission.TurnRetry(engine.Duration(turn), left)
+			retry = admission.QueueRetryAfter(engine.Duration(turn), left)
 		}
 		return fault.New(fault.DeadlineTooShort, "the targets are too busy to answer in the time that the route asks for", "send again after the time in Retry-After").
 			WithRetry(retry)
@@ -140,15 +140,15 @@
 			AnswerStarted: r.begun,
 		},
 		Item: &admission.Item{
-			ID:      r.ID,
-			Account: r.Account.Path,
-			Level:   r.Route.Rules.Level,
-			Tokens:  max(1, r.promptTokens),
-			Long:    params.IsLong(r.promptTokens),
-			Retry:   retry,
-			Arrived: r.Arrived,
-			Work:    ReadingWork(&params, r.promptTokens),
-			Latest:  LatestPlacement(&params, r.promptTokens, r.Arrived, r.goal().Seconds(), retry),
+			ID:             r.ID,
+			Account:        r.Account.Path,
+			Level:          r.Route.Rules.Level,
+			Tokens:         max(1, r.promptTokens),
+			Long:           params.IsLong(r.promptTokens),
+			Retry:          retry,
+			Arrived:        r.Arrived,
+			PrefillSeconds: ReadingWork(&params, r.promptTokens),
+			LatestStart:    LatestPlacement(&params, r.promptTokens, r.Arrived, r.goal().Seconds(), retry),
 		},
 	}
 }
--- a/node/requestcontrol/poison.go
+++ b/node/requestcontrol/poison.go
@@ -41,14 +41,14 @@
 	}
 	if standing.Due && d.mayTry(ctx, r.poisonKey()) {
 		d.record(r, decision.Record{
-			Kind: decision.KindAdmit, Outcome: decision.OutcomeAdmitted, Call: r.poisonKey().String(), Reason: "a quarantined call is tried once more",
+			Kind: decision.KindAdmit, Outcome: decision.OutcomeAdmitted, CallKey: r.poisonKey().String(), Reason: "a quarantined call is tried once more",
 		})
 		return true, nil
 	}
 	refusal := fault.New(fault.CrashesTargets, "target after target has ended under this request, so it is sent to no other one",
 		"do not send it again as it is; operators find the targets in the log by the field call").WithRetry(standing.Left)
 	d.record(r, decision.Record{
-		Kind: decision.KindAdmit, Outcome: decision.OutcomeRefused, Call: r.poisonKey().String(), Reason: refusal.Error(),
+		Kind: decision.KindAdmit, Outcome: decision.OutcomeRefused, CallKey: r.poisonKey().String(), Reason: refusal.Error(),
 	})
 	return false, refusal
 }
--- a/node/telemetry/output_test.go
+++ b/node/telemetry/output_test.go
@@ -36,7 +36,7 @@
 	r := &Recorder{Board: board, Log: slog.New(slog.NewJSONHandler(&log, nil)), Metrics: NewMetrics()}
 	at := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for range 10 * routineLines {
-		r.Record(decision.Record{Kind: decision.KindAnswer, Outcome: decision.OutcomeWhole, At: at})
+		r.Record(decision.Record{Kind: decision.KindAnswer, Outcome: decision.OutcomeComplete, At: at})
 		r.Record(decision.Record{Kind: decision.KindAnswer, Outcome: decision.OutcomeFailed, At: at})
 	}
 	whole := strings.Count(log.String(), `"outcome":"whole"`)
--- a/node/telemetry/telemetry.go
+++ b/node/telemetry/telemetry.go
@@ -179,7 +179,7 @@
 	case decision.KindAdmit:
 		return d.Outcome == decision.OutcomeAdmitted
 	case decision.KindAnswer:
-		return d.Outcome == decision.OutcomeWhole
+		return d.Outcome == decision.OutcomeComplete
 	default:
 		return false
 	}
@@ -212,8 +212,8 @@
 	add("pool", d.Pool)
 	add("target", d.Target)
 	add("attempt", d.Attempt)
-	add("call", d.Call)
-	add("by", d.By)
+	add("call", d.CallKey)
+	add("by", d.DecidedBy)
 	add("reason", d.Reason)
 	if d.Revision != 0 {
 		list = append(list, slog.Int64("revision", d.Revision))
@@ -236,11 +236,11 @@
 		}
 	}
 	if st := d.Stream; st != nil {
-		list = append(list, slog.Int("events", st.Events), slog.Int64("first_ms", st.First.Milliseconds()), slog.Int64("gap_ms", st.Gap.Milliseconds()),
-			slog.Int64("took_ms", st.Took.Milliseconds()), slog.Int64("goal_ms", st.Goal.Milliseconds()), slog.Int64("gap_goal_ms", st.GapGoal.Milliseconds()))
+		list = append(list, slog.Int("events", st.Events), slog.Int64("first_ms", st.FirstEvent.Milliseconds()), slog.Int64("gap_ms", st.LongestGap.Milliseconds()),
+			slog.Int64("took_ms", st.Total.Milliseconds()), slog.Int64("goal_ms", st.FirstEventGoal.Milliseconds()), slog.Int64("gap_goal_ms", st.LongestGapGoal.Milliseconds()))
 	}
 	if c := d.Claim; c != nil {
-		list = append(list, slog.Int("granted", c.Granted), slog.Int("denied", c.Denied), slog.Int("silent", c.Silent), slog.Int("needed", c.Needed))
+		list = append(list, slog.Int("granted", c.Granted), slog.Int("denied", c.Denied), slog.Int("silent", c.Unanswered), slog.Int("needed", c.Needed))
 	}
 	return list
 }
