--- a/core/eventstream/eventstream.go
+++ b/core/eventstream/eventstream.go
@@ -21,8 +21,8 @@
 // ErrTooLong is returned for an event over the bound.
 var ErrTooLong = errors.New("an event of the stream is longer than the bound")
 
-// ErrOrder is returned for an event whose id is not above the one before.
-var ErrOrder = errors.New("the stream's events are out of order")
+// ErrOutOfOrder is returned for an event whose id is not above the one before.
+var ErrOutOfOrder = errors.New("the stream's events are out of order")
 
 // Splitter cuts a stream into events.
 type Splitter struct {
@@ -30,13 +30,13 @@
 	MaxEvent int
 
 	pending []byte
-	last    int64
+	lastID  int64
 }
 
 // After makes the splitter refuse events up to an id, which were given already.
-func (s *Splitter) After(id string) {
+func (s *Splitter) ResumeAfter(id string) {
 	if n, err := strconv.ParseInt(id, 10, 64); err == nil {
-		s.last = n
+		s.lastID = n
 	}
 }
 
@@ -45,13 +45,13 @@
 	s.pending = append(s.pending, data...)
 	start := 0
 	for {
-		end := eventEnd(s.pending[start:])
+		end := eventLength(s.pending[start:])
 		if end < 0 {
 			break
 		}
 		event := Event{Raw: s.pending[start : start+end]}
-		event.ID = idOf(event.Raw)
-		if err := s.check(event.ID); err != nil {
+		event.ID = eventID(event.Raw)
+		if err := s.checkOrder(event.ID); err != nil {
 			return err
 		}
 		if err := emit(event); err != nil {
@@ -69,20 +69,20 @@
 // Partial tells whether the stream stands in the middle of an event.
 func (s *Splitter) Partial() bool { return len(s.pending) > 0 }
 
-func (s *Splitter) check(id string) error {
+func (s *Splitter) checkOrder(id string) error {
 	n, err := strconv.ParseInt(id, 10, 64)
 	numbered := err == nil // An event without a number has no order to keep.
-	if numbered && n <= s.last {
-		return ErrOrder
+	if numbered && n <= s.lastID {
+		return ErrOutOfOrder
 	}
 	if numbered {
-		s.last = n
+		s.lastID = n
 	}
 	return nil
 }
 
-// eventEnd is the length of the first whole event: up to its blank line, or -1.
-func eventEnd(data []byte) int {
+// eventLength is the length of the first whole event: up to its blank line, or -1.
+func eventLength(data []byte) int {
 	offset := 0
 	for {
 		newline := bytes.IndexByte(data[offset:], '\n')
@@ -99,8 +99,8 @@
 
 var idField = []byte("id:")
 
-// idOf reads the id field of an event.
-func idOf(raw []byte) string {
+// eventID reads the id field of an event.
+func eventID(raw []byte) string {
 	for line := range bytes.Lines(raw) {
 		if value, found := bytes.CutPrefix(line, idField); found {
 			return string(bytes.TrimSpace(value))
--- a/core/eventstream/eventstream_test.go
+++ b/core/eventstream/eventstream_test.go
@@ -10,7 +10,7 @@
 
 const sample = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\n"
 
-func collect(s *Splitter, pieces ...string) (events []string, err error) {
+func pushAll(s *Splitter, pieces ...string) (events []string, err error) {
 	for _, p := range pieces {
 		err = s.Push([]byte(p), func(e Event) error {
 			events = append(events, e.ID+"|"+string(e.Raw))
@@ -23,16 +23,16 @@
 	return events, nil
 }
 
-// TestCutAnywhere: wherever a stream is cut into reads, the events are the same; and a
+// TestSplitAtAnyByte: wherever a stream is cut into reads, the events are the same; and a
 // stream that ends there has given whole events only.
-func TestCutAnywhere(t *testing.T) {
-	whole, err := collect(&Splitter{MaxEvent: 100}, sample)
+func TestSplitAtAnyByte(t *testing.T) {
+	whole, err := pushAll(&Splitter{MaxEvent: 100}, sample)
 	if err != nil || len(whole) != 3 {
 		t.Fatal(whole, err)
 	}
 	for cut := range len(sample) {
 		s := &Splitter{MaxEvent: 100}
-		first, err := collect(s, sample[:cut])
+		first, err := pushAll(s, sample[:cut])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -43,29 +43,29 @@
 		if !strings.HasPrefix(sample, given) || s.Partial() != (len(given) < cut) {
 			t.Fatalf("cut at %d: gave %q, partial %v", cut, given, s.Partial())
 		}
-		rest, err := collect(s, sample[cut:])
+		rest, err := pushAll(s, sample[cut:])
 		if err != nil || strings.Join(append(first, rest...), "") != strings.Join(whole, "") {
 			t.Fatalf("cut at %d: %v %v", cut, rest, err)
 		}
 	}
 }
 
-func TestOrder(t *testing.T) {
+func TestPushErrors(t *testing.T) {
 	for name, c := range map[string]struct {
 		after, text string
 		want        error
 	}{
-		"doubled":          {"", "id: 1\n\nid: 1\n\n", ErrOrder},
-		"back":             {"", "id: 2\n\nid: 1\n\n", ErrOrder},
-		"from the start":   {"4", "id: 1\n\n", ErrOrder},
+		"doubled":          {"", "id: 1\n\nid: 1\n\n", ErrOutOfOrder},
+		"back":             {"", "id: 2\n\nid: 1\n\n", ErrOutOfOrder},
+		"from the start":   {"4", "id: 1\n\n", ErrOutOfOrder},
 		"goes on":          {"4", "id: 5\n\nid: 6\n\n", nil},
 		"ids that rise":    {"", "id: 3\n\nid: 9\n\n", nil},
 		"without ids":      {"", "data: a\n\ndata: b\n\n", nil},
 		"an event too big": {"", "data: " + strings.Repeat("x", 200), ErrTooLong},
 	} {
 		s := &Splitter{MaxEvent: 100}
-		s.After(c.after)
-		if _, err := collect(s, c.text); !errors.Is(err, c.want) {
+		s.ResumeAfter(c.after)
+		if _, err := pushAll(s, c.text); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", name, err, c.want)
 		}
 	}
@@ -97,7 +97,7 @@
 	})
 }
 
-func TestRandomPieces(t *testing.T) {
+func TestPushRandomPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := strings.Repeat("data: x\n\n", rapid.IntRange(1, 20).Draw(t, "events"))
 		s := &Splitter{MaxEvent: 100}
--- a/core/fault/fault.go
+++ b/core/fault/fault.go
@@ -29,52 +29,52 @@
 
 // The kinds of failure. The operators' page lists the remedy for each.
 const (
-	BadRequest       Kind = "bad_request"
-	Unauthenticated  Kind = "unauthenticated"
-	NoRoute          Kind = "no_route"
-	TooLarge         Kind = "too_large"
-	RateLimited      Kind = "rate_limited"
-	QueueFull        Kind = "queue_full"
-	DeadlineTooShort Kind = "deadline_too_short"
-	DeadlinePassed   Kind = "deadline_passed"
-	NoTarget         Kind = "no_target"
-	TargetFailed     Kind = "target_failed"
-	DuplicateKey     Kind = "duplicate_key"
-	NoQuorum         Kind = "no_quorum"
-	KeyTooOld        Kind = "key_too_old"
-	KeyFromFuture    Kind = "key_from_future"
-	Abandoned        Kind = "abandoned"
-	NotReady         Kind = "not_ready"
-	ShuttingDown     Kind = "shutting_down"
-	Overloaded       Kind = "overloaded"
-	CrashesTargets   Kind = "crashes_targets"
-	OutOfMemory      Kind = "body_memory_exhausted"
-	Internal         Kind = "internal"
+	BadRequest          Kind = "bad_request"
+	Unauthenticated     Kind = "unauthenticated"
+	NoRoute             Kind = "no_route"
+	TooLarge            Kind = "too_large"
+	RateLimited         Kind = "rate_limited"
+	QueueFull           Kind = "queue_full"
+	DeadlineTooShort    Kind = "deadline_too_short"
+	DeadlinePassed      Kind = "deadline_passed"
+	NoTarget            Kind = "no_target"
+	TargetFailed        Kind = "target_failed"
+	DuplicateKey        Kind = "duplicate_key"
+	NoQuorum            Kind = "no_quorum"
+	KeyTooOld           Kind = "key_too_old"
+	KeyFromFuture       Kind = "key_from_future"
+	Abandoned           Kind = "abandoned"
+	NotReady            Kind = "not_ready"
+	ShuttingDown        Kind = "shutting_down"
+	Overloaded          Kind = "overloaded"
+	CrashesTargets      Kind = "crashes_targets"
+	BodyMemoryExhausted Kind = "body_memory_exhausted"
+	Internal            Kind = "internal"
 )
 
-// status maps each kind to the HTTP status of its answer.
-var status = map[Kind]int{
-	BadRequest:       400,
-	Unauthenticated:  401,
-	NoRoute:          404,
-	TooLarge:         413,
-	RateLimited:      429,
-	QueueFull:        429,
-	DeadlineTooShort: 503,
-	DeadlinePassed:   504,
-	NoTarget:         503,
-	TargetFailed:     502,
-	DuplicateKey:     409,
-	NoQuorum:         503,
-	KeyTooOld:        409,
-	KeyFromFuture:    400,
-	Abandoned:        499,
-	NotReady:         503,
-	ShuttingDown:     503,
-	Overloaded:       503,
-	CrashesTargets:   503,
-	OutOfMemory:      503,
-	Internal:         500,
+// httpStatus maps each kind to the HTTP status of its answer.
+var httpStatus = map[Kind]int{
+	BadRequest:          400,
+	Unauthenticated:     401,
+	NoRoute:             404,
+	TooLarge:            413,
+	RateLimited:         429,
+	QueueFull:           429,
+	DeadlineTooShort:    503,
+	DeadlinePassed:      504,
+	NoTarget:            503,
+	TargetFailed:        502,
+	DuplicateKey:        409,
+	NoQuorum:            503,
+	KeyTooOld:           409,
+	KeyFromFuture:       400,
+	Abandoned:           499,
+	NotReady:            503,
+	ShuttingDown:        503,
+	Overloaded:          503,
+	CrashesTargets:      503,
+	BodyMemoryExhausted: 503,
+	Internal:            500,
 }
 
 // Error is a failure as a caller sees it.
@@ -88,7 +88,7 @@
 	// Execution says whether the request ran.
 	Execution Execution
 	// Retry is true where sending the same request again can succeed.
-	Retry bool
+	Retryable bool
 	// RetryAfter is the earliest useful time for that; zero means at once.
 	RetryAfter time.Duration
 }
@@ -108,7 +108,7 @@
 // WithRetry returns a copy of e that tells the caller to retry after d.
 func (e *Error) WithRetry(d time.Duration) *Error {
 	c := *e
-	c.Retry = true
+	c.Retryable = true
 	c.RetryAfter = d
 	return &c
 }
@@ -116,13 +116,13 @@
 // Honest returns a failure whose status says no more than its execution state: a
 // status that callers take as the word that nothing ran becomes a bad gateway where
 // something may have.
-func (e *Error) Honest() *Error {
-	if e.Execution == NotRun || e.Status() != status[NoTarget] && e.Status() != status[RateLimited] {
+func (e *Error) WithConsistentStatus() *Error {
+	if e.Execution == NotRun || e.Status() != httpStatus[NoTarget] && e.Status() != httpStatus[RateLimited] {
 		return e
 	}
 	c := *e
 	c.Kind = TargetFailed
-	c.Retry = false
+	c.Retryable = false
 	return &c
 }
 
@@ -133,7 +133,7 @@
 
 // Status is the HTTP status code of the failure.
 func (e *Error) Status() int {
-	if code, ok := status[e.Kind]; ok {
+	if code, ok := httpStatus[e.Kind]; ok {
 		return code
 	}
 	return 500
--- a/core/fault/fault_test.go
+++ b/core/fault/fault_test.go
@@ -7,17 +7,17 @@
 	"github.com/go-faster/errors"
 )
 
-func TestAnUnclassifiedFailureIsUnknown(t *testing.T) {
+func TestFromUntypedErrorIsInternal(t *testing.T) {
 	e := From(errors.New("something"))
 	if e.Kind != Internal || e.Execution != Unknown || e.Status() != 500 {
 		t.Fatalf("%+v", e)
 	}
 }
 
-func TestFromFindsTheTypedFailure(t *testing.T) {
+func TestFromUnwrapsTypedError(t *testing.T) {
 	typed := New(NoTarget, "m", "r").WithRetry(time.Second).WithExecution(Ran)
 	e := From(errors.Wrap(typed, "while testing"))
-	if e.Kind != NoTarget || !e.Retry || e.RetryAfter != time.Second || e.Execution != Ran {
+	if e.Kind != NoTarget || !e.Retryable || e.RetryAfter != time.Second || e.Execution != Ran {
 		t.Fatalf("%+v", e)
 	}
 	if base := New(NoTarget, "m", "r"); base.WithExecution(Ran) == base || base.Execution != NotRun {
@@ -25,14 +25,14 @@
 	}
 }
 
-// TestEveryKindHasAStatus keeps new kinds from falling back to 500.
-func TestEveryKindHasAStatus(t *testing.T) {
+// TestEveryKindHasHTTPStatus keeps new kinds from falling back to 500.
+func TestEveryKindHasHTTPStatus(t *testing.T) {
 	kinds := []Kind{
 		BadRequest, Unauthenticated, NoRoute, TooLarge, RateLimited, QueueFull, DeadlineTooShort, DeadlinePassed, NoTarget,
-		TargetFailed, DuplicateKey, NoQuorum, KeyTooOld, KeyFromFuture, Abandoned, NotReady, ShuttingDown, Overloaded, OutOfMemory, Internal,
+		TargetFailed, DuplicateKey, NoQuorum, KeyTooOld, KeyFromFuture, Abandoned, NotReady, ShuttingDown, Overloaded, BodyMemoryExhausted, Internal,
 	}
 	for _, k := range kinds {
-		if _, ok := status[k]; !ok {
+		if _, ok := httpStatus[k]; !ok {
 			t.Errorf("%s has no status", k)
 		}
 	}
--- a/core/forward/forward.go
+++ b/core/forward/forward.go
@@ -17,28 +17,28 @@
 	// ID is the caller's own id of this attempt; targets echo it.
 	ID string
 	// Key is the API key, empty if there is none.
-	Key string
+	APIKey string
 	// Left is how long the caller will wait from now on; zero if it did not say.
-	Left time.Duration
+	Timeout time.Duration
 	// LastEvent is the id of the last event that the caller has of the stream that
 	// it wants the rest of; empty for a stream from the beginning.
-	LastEvent string
+	LastEventID string
 	// PromptTokens and OutputTokens are the lengths that the caller states; zero for
 	// plain services.
 	PromptTokens, OutputTokens int64
 }
 
-// Send is what the daemon adds to a call for one target.
-type Send struct {
+// SendParams is what the daemon adds to a call for one target.
+type SendParams struct {
 	// Target is the id of the target that the call is meant for; another one at the
 	// same address must turn it away.
 	Target string
 	// Account names the caller's account to the target; empty on open routes.
 	Account string
 	// Left is how long the target may work on it.
-	Left time.Duration
+	Timeout time.Duration
 	// LastEvent asks for the stream after that event; empty for the whole.
-	LastEvent string
+	LastEventID string
 	// Helpers are targets that read parts of the prompt for this one.
 	Helpers []Helper
 }
@@ -48,13 +48,13 @@
 	// Address is its host:port.
 	Address string
 	// Ticket names memory reserved there for the part, if any.
-	Ticket string
+	ReservationID string
 }
 
 // Report is what a target says of itself when it is asked.
 type Report struct {
 	// Pace is how many times as long as usual its work takes: 1 for a sound target.
-	Pace float64
+	Slowdown float64
 	// Started is when its process started, in Unix milliseconds; zero where it does not tell.
 	Started int64
 }
@@ -70,10 +70,10 @@
 	Body   []byte
 	// Probed asks that the connection be probed while the answer is awaited, so that a
 	// target whose host has died is known as dead though it owes no answer yet.
-	Probed bool
+	ProbeConnection bool
 	// CallerLeft tells, without waiting, whether the caller has closed its connection; nil
 	// for orders, and where nobody can tell.
-	CallerLeft func() bool
+	CallerDisconnected func() bool
 }
 
 // Head is what the head of a target's answer says, decoded.
@@ -82,72 +82,72 @@
 	// RequestID is the id of the call that the answer belongs to.
 	RequestID string
 	// Unrun is the target's word that it has not run the call and will not.
-	Unrun bool
+	NotExecuted bool
 	// Signed tells whether the answer carries the target's signature; a success
 	// without one is not the target's.
 	Signed bool
 	// Encoded answers are not the bytes that the target made.
 	Encoded bool
 	// AtFault is the address of a helper that the call failed for.
-	AtFault string
+	FailedHelper string
 	// Notice is what the target that answered says of itself.
 	Notice Notice
 	// Unread names headers that the dialect does not understand.
-	Unread []string
+	UnknownHeaders []string
 }
 
 // Said is what the target that was meant says of itself: nothing, where another one answered.
-func (h *Head) Said() Notice {
+func (h *Head) TargetNotice() Notice {
 	if h.Status == statusMisdirected {
 		return Notice{}
 	}
 	return h.Notice
 }
 
-// Verdict is what an answer is good for.
-type Verdict int
+// Disposition is what an answer is good for.
+type Disposition int
 
 // The verdicts.
 const (
 	// Deliver means that the answer is the caller's.
-	Deliver Verdict = iota
-	// TurnedAway means that the call has not run at this target.
-	TurnedAway
+	Deliver Disposition = iota
+	// Rejected means that the call has not run at this target.
+	Rejected
 	// Erred means that the target ran the call and failed; the answer may be given
 	// to the caller if no other target does better.
-	Erred
+	TargetError
 	// Useless means that the call may have run, and that the answer must not be
 	// given to the caller.
-	Useless
+	Unusable
 )
 
 // statusMisdirected is the answer of a target that is not the one that was meant.
 const statusMisdirected = 421
 
 // Judge tells what an answer is good for from its head.
-func (h *Head) Judge() Verdict {
+func (h *Head) Classify() Disposition {
 	switch {
-	case h.Unrun || h.Status == statusMisdirected:
-		return TurnedAway
+	case h.NotExecuted || h.Status == statusMisdirected:
+		return Rejected
 	case h.Encoded:
-		return Useless
+		return Unusable
 	case h.Status >= 200 && h.Status < 300:
 		if !h.Signed {
-			return Useless
+			return Unusable
 		}
 		return Deliver
-	case promises(h.Status):
+	case impliesNotExecuted(h.Status):
 		// To the caller it would mean that nothing ran, which the target did not say.
-		return Useless
+		return Unusable
 	case h.Status >= 500:
-		return Erred
+		return TargetError
 	default:
 		return Deliver
 	}
 }
 
-// promises tells whether callers take a status as the word that nothing ran.
-func promises(status int) bool {
+// impliesNotExecuted tells whether callers take a status as the word that nothing ran.
+func impliesNotExecuted(status int) bool {
 	return status == 408 || status == 421 || status == 429 || status == 503
 }
 
@@ -159,47 +159,47 @@
 	MaxAttempts int
 }
 
-// maxTurnedAway is the most targets that may turn a call away before it is refused:
+// maxRejections is the most targets that may turn a call away before it is refused:
 // each of them costs a part of the fleet's budget for repeated sends, and where
 // three in a row are full the next one most likely is too.
-const maxTurnedAway = 3
+const maxRejections = 3
 
 // Progress is what is known of a call so far. The zero value with Rules set is a
 // call that has not been sent.
 type Progress struct {
 	Rules Rules
 	// Begun is true once the caller has been given the head of an answer.
-	Begun bool
+	AnswerStarted bool
 
 	mayHaveRun int // sends after which a target may have run the call
-	turnedAway int // sends that a target turned away
+	rejections int // sends that a target turned away
 }
 
 // Failed takes the result of a send that did not lead to a whole answer.
-func (p *Progress) Failed(x fault.Execution, reached bool) {
+func (p *Progress) RecordFailure(x fault.Execution, reached bool) {
 	switch {
 	case x != fault.NotRun:
 		p.mayHaveRun++
 	case reached:
-		p.turnedAway++
+		p.rejections++
 	}
 }
 
 // Sends is the number of sends that reached a target.
-func (p *Progress) Sends() int { return p.mayHaveRun + p.turnedAway }
+func (p *Progress) Sends() int { return p.mayHaveRun + p.rejections }
 
 // MayTryAgain tells whether the rules allow one more send. The budget for repeated
 // sends and the time left are not its matter.
-func (p *Progress) MayTryAgain() bool {
+func (p *Progress) MayRetry() bool {
 	if p.mayHaveRun > 0 && !p.Rules.Repeatable {
 		return false
 	}
-	return p.mayHaveRun < p.Rules.MaxAttempts && p.turnedAway < maxTurnedAway
+	return p.mayHaveRun < p.Rules.MaxAttempts && p.rejections < maxRejections
 }
 
 // Execution is what can be said of the call when no send is under way.
 func (p *Progress) Execution() fault.Execution {
-	if p.Begun {
+	if p.AnswerStarted {
 		return fault.Ran
 	}
 	if p.mayHaveRun > 0 {
--- a/core/forward/forward_test.go
+++ b/core/forward/forward_test.go
@@ -8,34 +8,34 @@
 	"doorstack.dev/core/fault"
 )
 
-func TestJudge(t *testing.T) {
+func TestClassify(t *testing.T) {
 	for name, c := range map[string]struct {
 		head Head
-		want Verdict
+		want Disposition
 	}{
 		"success":                 {Head{Status: 200, Signed: true}, Deliver},
-		"success without sign":    {Head{Status: 200}, Useless},
-		"encoded":                 {Head{Status: 200, Signed: true, Encoded: true}, Useless},
-		"full":                    {Head{Status: 503, Unrun: true}, TurnedAway},
-		"limit":                   {Head{Status: 429, Unrun: true}, TurnedAway},
-		"other target":            {Head{Status: 421}, TurnedAway},
-		"503 without a word":      {Head{Status: 503, Signed: true}, Useless},
-		"429 without a word":      {Head{Status: 429, Signed: true}, Useless},
-		"408 without a word":      {Head{Status: 408}, Useless},
-		"own failure":             {Head{Status: 500, Signed: true}, Erred},
-		"own timeout":             {Head{Status: 504, Signed: true}, Erred},
+		"success without sign":    {Head{Status: 200}, Unusable},
+		"encoded":                 {Head{Status: 200, Signed: true, Encoded: true}, Unusable},
+		"full":                    {Head{Status: 503, NotExecuted: true}, Rejected},
+		"limit":                   {Head{Status: 429, NotExecuted: true}, Rejected},
+		"other target":            {Head{Status: 421}, Rejected},
+		"503 without a word":      {Head{Status: 503, Signed: true}, Unusable},
+		"429 without a word":      {Head{Status: 429, Signed: true}, Unusable},
+		"408 without a word":      {Head{Status: 408}, Unusable},
+		"own failure":             {Head{Status: 500, Signed: true}, TargetError},
+		"own timeout":             {Head{Status: 504, Signed: true}, TargetError},
 		"not found at the target": {Head{Status: 404, Signed: true}, Deliver},
 	} {
-		if got := c.head.Judge(); got != c.want {
+		if got := c.head.Classify(); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
 	}
 }
 
-// TestProgressKeepsThePromises: whatever happens to the sends of a call, one that may
+// TestProgressRetryRules: whatever happens to the sends of a call, one that may
 // not be repeated is not sent again once it may have run, "not run" is said only
 // where nothing can have run, and the sends are bounded.
-func TestProgressKeepsThePromises(t *testing.T) {
+func TestProgressRetryRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Progress{Rules: Rules{
 			Repeatable:  rapid.Bool().Draw(t, "repeatable"),
@@ -43,7 +43,7 @@
 		}}
 		mayHaveRun := 0
 		for range 20 {
-			if !p.MayTryAgain() {
+			if !p.MayRetry() {
 				break
 			}
 			if mayHaveRun > 0 && !p.Rules.Repeatable {
@@ -53,7 +53,7 @@
 			if x != fault.NotRun {
 				mayHaveRun++
 			}
-			p.Failed(x, x != fault.NotRun || rapid.Bool().Draw(t, "reached"))
+			p.RecordFailure(x, x != fault.NotRun || rapid.Bool().Draw(t, "reached"))
 			if (p.Execution() == fault.NotRun) != (mayHaveRun == 0) {
 				t.Fatalf("said %v after %d runs", p.Execution(), mayHaveRun)
 			}
--- a/core/forward/limit.go
+++ b/core/forward/limit.go
@@ -9,26 +9,26 @@
 // zero value is no word.
 type Limit struct {
 	// Named is true where the target names a limit, Lifted where it answered a call and named none.
-	Named, Lifted bool
+	Declared, Lifted bool
 	// PerSecond is the named limit in requests a second.
 	PerSecond float64
 }
 
-// mostPerSecond bounds what is read as a limit; more than that binds nobody.
-const mostPerSecond = 1e6
+// maxPerSecond bounds what is read as a limit; more than that binds nobody.
+const maxPerSecond = 1e6
 
-// NamedLimit returns the word of a target that names a limit, and no word for what is none.
-func NamedLimit(perSecond float64) Limit {
+// DeclaredLimit returns the word of a target that names a limit, and no word for what is none.
+func DeclaredLimit(perSecond float64) Limit {
 	if math.IsNaN(perSecond) || perSecond < 0 {
 		return Limit{}
 	}
-	return Limit{Named: true, PerSecond: min(perSecond, mostPerSecond)}
+	return Limit{Declared: true, PerSecond: min(perSecond, maxPerSecond)}
 }
 
 // String is the limit as logs show it.
 func (l Limit) String() string {
 	switch {
-	case l.Named:
+	case l.Declared:
 		return strconv.FormatFloat(l.PerSecond, 'g', 4, 64) + "/s"
 	case l.Lifted:
 		return "lifted"
--- a/core/forward/ratelimiter.go
+++ b/core/forward/ratelimiter.go
@@ -7,39 +7,39 @@
 type RateLimiter struct {
 	limit Limit
 	// asOf is how recent the word is on which the limit rests.
-	asOf time.Time
+	declaredAt time.Time
 	// next is when the calls so far are paid for, last when the last of them was sent.
-	next, last time.Time
+	nextFree, lastSent time.Time
 }
 
 const (
 	// burst is how far calls may run ahead of the limit's rate.
 	burst = 500 * time.Millisecond
-	// leastRate is the rate, in requests a second, at which a target is called whatever it names:
+	// minRate is the rate, in requests a second, at which a target is called whatever it names:
 	// only an answer shows that it takes more again.
-	leastRate = 0.25
+	minRate = 0.25
 )
 
 // Limit is the limit in force.
 func (l *RateLimiter) Limit() Limit { return l.limit }
 
 // Named is when the limit was last named.
-func (l *RateLimiter) Named() time.Time { return l.asOf }
+func (l *RateLimiter) DeclaredAt() time.Time { return l.declaredAt }
 
-// take takes in a target's word and tells whether it is news. Words overtake each other: only a call
+// recordNotice takes in a target's word and tells whether it is news. Words overtake each other: only a call
 // sent after the limit was named shows that it is lifted, and a word that another daemon passes on may
 // be older than what is known here.
-func (l *RateLimiter) take(said Word) bool {
+func (l *RateLimiter) update(said TimedNotice) bool {
 	switch {
-	case said.Limit.Named && said.At.After(l.asOf):
+	case said.Limit.Declared && said.Received.After(l.declaredAt):
 		news := l.limit != said.Limit
-		l.limit, l.asOf = said.Limit, said.At
-		if said.Sent.After(l.last) {
-			l.last = said.Sent
+		l.limit, l.declaredAt = said.Limit, said.Received
+		if said.Sent.After(l.lastSent) {
+			l.lastSent = said.Sent
 		}
 		return news
-	case said.Limit.Lifted && l.limit.Named && said.Sent.After(l.asOf):
-		l.limit, l.asOf = Limit{}, said.Sent
+	case said.Limit.Lifted && l.limit.Declared && said.Sent.After(l.declaredAt):
+		l.limit, l.declaredAt = Limit{}, said.Sent
 		return true
 	default:
 		return false
@@ -47,19 +47,19 @@
 }
 
 // Rate is the requests a second that the target is called with.
-func (l *RateLimiter) Rate() float64 { return max(l.limit.PerSecond, leastRate) }
+func (l *RateLimiter) Rate() float64 { return max(l.limit.PerSecond, minRate) }
 
 // Count counts a call.
-func (l *RateLimiter) Count(at time.Time) {
-	l.last = at
-	if l.next.Before(at) {
-		l.next = at
+func (l *RateLimiter) RecordCall(at time.Time) {
+	l.lastSent = at
+	if l.nextFree.Before(at) {
+		l.nextFree = at
 	}
-	l.next = l.next.Add(time.Duration(float64(time.Second) / l.Rate()))
+	l.nextFree = l.nextFree.Add(time.Duration(float64(time.Second) / l.Rate()))
 }
 
 // Wait is how long it takes until one more call keeps to the limit.
-func (l *RateLimiter) Wait(at time.Time) time.Duration { return max(0, l.next.Sub(at.Add(burst))) }
+func (l *RateLimiter) Wait(at time.Time) time.Duration { return max(0, l.nextFree.Sub(at.Add(burst))) }
 
 // Idle is the time since the last call.
-func (l *RateLimiter) Idle(at time.Time) time.Duration { return max(0, at.Sub(l.last)) }
+func (l *RateLimiter) SinceLastCall(at time.Time) time.Duration { return max(0, at.Sub(l.lastSent)) }
--- a/core/poison/key.go
+++ b/core/poison/key.go
@@ -30,9 +30,9 @@
 func KeyOf(account string, parts ...[]byte) Key {
 	ofAccount := sha256.Sum256([]byte(account))
 	h := sha256.New()
-	write(h, []byte(account))
+	writeLengthPrefixed(h, []byte(account))
 	for _, part := range parts {
-		write(h, part)
+		writeLengthPrefixed(h, part)
 	}
 	var k Key
 	copy(k[:accountBytes], ofAccount[:])
@@ -40,8 +40,8 @@
 	return k
 }
 
-// write hashes a part behind its length, so that no two lists of parts read the same.
-func write(h hash.Hash, part []byte) {
+// writeLengthPrefixed hashes a part behind its length, so that no two lists of parts read the same.
+func writeLengthPrefixed(h hash.Hash, part []byte) {
 	length := binary.BigEndian.AppendUint64(nil, uint64(len(part)))
 	_, _ = h.Write(length) // A hash never fails.
 	_, _ = h.Write(part)
@@ -50,4 +50,4 @@
 // String is the key as logs show it.
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
 
-func (k Key) account() [accountBytes]byte { return [accountBytes]byte(k[:accountBytes]) }
+func (k Key) accountPrefix() [accountBytes]byte { return [accountBytes]byte(k[:accountBytes]) }
--- a/core/poison/key_test.go
+++ b/core/poison/key_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestAKeyIsTheRequests(t *testing.T) {
+func TestKeyOfIdentifiesAccountAndRequest(t *testing.T) {
 	parts := func(list ...string) [][]byte {
 		var out [][]byte
 		for _, s := range list {
@@ -24,7 +24,7 @@
 			t.Errorf("%s: the same key", name)
 		}
 	}
-	if KeyOf("/a", []byte("other")).account() != base.account() {
+	if KeyOf("/a", []byte("other")).accountPrefix() != base.accountPrefix() {
 		t.Error("two requests of an account do not share its part")
 	}
 }
--- a/core/poison/table.go
+++ b/core/poison/table.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	// quarantineAfter is the number of targets that end under a request until it is refused,
-	// and leastMoments how many different moments they end at. Two targets may die under a
+	// quarantineThreshold is the number of targets that end under a request until it is refused,
+	// and minDistinctTimes how many different moments they end at. Two targets may die under a
 	// sound request by chance, and any number at one moment, when a rack loses power.
-	quarantineAfter = 3
-	leastMoments    = 2
-	// sameEnd is how close two reports about one target are that tell of one end: a target is
+	quarantineThreshold = 3
+	minDistinctTimes    = 2
+	// duplicateWindow is how close two reports about one target are that tell of one end: a target is
 	// not back sooner, and several copies of a request end with it.
-	sameEnd = time.Second
-	// sameMoment is how close ends of different targets are that may have one cause, where
+	duplicateWindow = time.Second
+	// coincidenceWindow is how close ends of different targets are that may have one cause, where
 	// nobody knows better. News of them come from several daemons, some tenths of a second apart.
-	sameMoment = 250 * time.Millisecond
-	// keepFor is how long a request is remembered after the last end under it, and a
+	coincidenceWindow = 250 * time.Millisecond
+	// retention is how long a request is remembered after the last end under it, and a
 	// quarantined one after the last time that somebody asked for it.
-	keepFor = 10 * time.Minute
-	// soundFor is how long an answer shows that a request is sound. Many callers may send the
+	retention = 10 * time.Minute
+	// successValidity is how long an answer shows that a request is sound. Many callers may send the
 	// same one, under which targets then die as they do under any other.
-	soundFor = time.Minute
-	// firstTrial is when a quarantined request may be sent once more, to show that its targets
-	// died by chance, and trialGrowth how many times as long each further trial takes. A trial
-	// that is not heard of again within trialMost may be repeated.
-	firstTrial  = 15 * time.Second
-	trialGrowth = 6
-	trialMost   = 30 * time.Second
-	// maxRequests bounds the requests remembered, maxOfAccount those of one account: one
+	successValidity = time.Minute
+	// firstTrialDelay is when a quarantined request may be sent once more, to show that its targets
+	// died by chance, and trialBackoffFactor how many times as long each further trial takes. A trial
+	// that is not heard of again within trialTimeout may be repeated.
+	firstTrialDelay    = 15 * time.Second
+	trialBackoffFactor = 6
+	trialTimeout       = 30 * time.Second
+	// maxRecords bounds the requests remembered, maxRecordsPerAccount those of one account: one
 	// that invents requests drives out only its own.
-	maxRequests  = 4096
-	maxOfAccount = 256
-	// maxServed bounds the served requests remembered.
-	maxServed = 2048
+	maxRecords           = 4096
+	maxRecordsPerAccount = 256
+	// maxSuccesses bounds the served requests remembered.
+	maxSuccesses = 2048
 )
 
 // Crash is the end of a target under a request.
@@ -47,23 +47,23 @@
 	Target  string `cbor:"2,keyasint"`
 	// Repeat means that another target was known to have ended under the request when it
 	// was sent to this one, so that the two did not end together.
-	Repeat bool `cbor:"3,keyasint,omitempty"`
+	Suspected bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Standing is what is known of a request that is about to be sent.
-type Standing struct {
+// Status is what is known of a request that is about to be sent.
+type Status struct {
 	// Suspected means that a target has ended under it.
 	Suspected bool
 	// Quarantined requests are refused. Left is the time until the next trial, or until the
 	// quarantine ends if nobody asks again.
 	Quarantined bool
-	Left        time.Duration
+	RetryAfter  time.Duration
 	// Due means that a quarantined request may be tried once more, by one daemon of all.
-	Due bool
+	TrialDue bool
 }
 
-// Finding is what the end of a target under a request leads to.
-type Finding struct {
+// CrashResult is what the end of a target under a request leads to.
+type CrashResult struct {
 	// Counted ends are held against the request.
 	Counted bool
 	// Quarantined means that the request is refused from now on; Verdict is what to tell.
@@ -86,7 +86,7 @@
 }
 
 // over tells whether the verdict replaces another about the same request.
-func (v *Verdict) over(known *record) bool {
+func (v *Verdict) supersedes(known *record) bool {
 	if v.Count != known.count {
 		return v.Count > known.count
 	}
@@ -95,32 +95,32 @@
 
 // Table is a daemon's memory of requests under which targets ended.
 type Table struct {
-	records map[Key]*record
-	served  served
+	records   map[Key]*record
+	successes successSet
 }
 
 // record is what is known of one request.
 type record struct {
-	ends   []end  // of different targets or processes, the earliest first
-	count  uint32 // see Verdict
-	lifted bool
-	last   time.Time // when the record was last of use
+	crashes  []crashEvent // of different targets or processes, the earliest first
+	count    uint32       // see Verdict
+	lifted   bool
+	lastUsed time.Time // when the record was last of use
 	// since is when this daemon learned of the quarantine, and trial when it let one through.
-	since, trial time.Time
+	quarantinedAt, trialAt time.Time
 }
 
-// end is the end of a target under a request.
-type end struct {
-	target string
-	at     time.Time
-	repeat bool // see Crash
+// crashEvent is the end of a target under a request.
+type crashEvent struct {
+	target    string
+	at        time.Time
+	suspected bool // see Crash
 }
 
 // quarantined tells whether the request of the record is refused.
 func (r *record) quarantined() bool { return r.count > 0 && !r.lifted }
 
 func (r *record) verdict(k Key, now time.Time) Verdict {
-	return Verdict{Request: k, Count: r.count, Lifted: r.lifted, Age: max(0, now.Sub(r.last))}
+	return Verdict{Request: k, Count: r.count, Lifted: r.lifted, Age: max(0, now.Sub(r.lastUsed))}
 }
 
 // NewTable returns an empty table.
@@ -131,74 +131,74 @@
 
 // Crashed takes in that a target has ended under a request. One that was answered lately
 // is not to blame.
-func (t *Table) Crashed(c Crash, now time.Time) Finding {
+func (t *Table) RecordCrash(c Crash, now time.Time) CrashResult {
 	k := c.Request
-	if t.served.has(k, now) {
-		return Finding{}
+	if t.successes.contains(k, now) {
+		return CrashResult{}
 	}
 	r := t.record(k, now)
-	r.last = now
+	r.lastUsed = now
 	if r.quarantined() {
-		return r.tried(k, now)
+		return r.crashInQuarantine(k, now)
 	}
-	if !r.add(end{c.Target, now, c.Repeat}) {
-		return Finding{Counted: true}
+	if !r.addCrash(crashEvent{c.Target, now, c.Suspected}) {
+		return CrashResult{Counted: true}
 	}
-	r.ends = slices.DeleteFunc(r.ends, func(e end) bool { return now.Sub(e.at) > keepFor })
-	if len(r.ends) < quarantineAfter || r.moments() < leastMoments {
-		return Finding{Counted: true}
+	r.crashes = slices.DeleteFunc(r.crashes, func(e crashEvent) bool { return now.Sub(e.at) > retention })
+	if len(r.crashes) < quarantineThreshold || r.distinctTimes() < minDistinctTimes {
+		return CrashResult{Counted: true}
 	}
 	return r.quarantine(k, now)
 }
 
 // quarantine begins a quarantine, or the next one.
-func (r *record) quarantine(k Key, now time.Time) Finding {
+func (r *record) quarantine(k Key, now time.Time) CrashResult {
 	r.count++
-	r.lifted, r.ends, r.since, r.trial = false, nil, now, time.Time{}
-	return Finding{Counted: true, Quarantined: true, Verdict: r.verdict(k, now)}
+	r.lifted, r.crashes, r.quarantinedAt, r.trialAt = false, nil, now, time.Time{}
+	return CrashResult{Counted: true, Quarantined: true, Verdict: r.verdict(k, now)}
 }
 
 // tried takes in an end under a quarantined request: that of a trial begins the next quarantine;
 // others are of copies that were on their way.
-func (r *record) tried(k Key, now time.Time) Finding {
-	if r.trial.IsZero() {
-		return Finding{Counted: true}
+func (r *record) crashInQuarantine(k Key, now time.Time) CrashResult {
+	if r.trialAt.IsZero() {
+		return CrashResult{Counted: true}
 	}
 	return r.quarantine(k, now)
 }
 
 // untilTrial is the time until the request may be tried.
-func (r *record) untilTrial(now time.Time) time.Duration {
-	wait := firstTrial
-	for n := uint32(1); n < r.count && wait < keepFor; n++ {
-		wait *= trialGrowth
+func (r *record) untilNextTrial(now time.Time) time.Duration {
+	wait := firstTrialDelay
+	for n := uint32(1); n < r.count && wait < retention; n++ {
+		wait *= trialBackoffFactor
 	}
-	return r.since.Add(wait).Sub(now)
+	return r.quarantinedAt.Add(wait).Sub(now)
 }
 
 // add notes an end, and tells whether it is another one than those known.
-func (r *record) add(e end) bool {
-	for _, known := range r.ends {
-		if known.target == e.target && e.at.Sub(known.at) < sameEnd {
+func (r *record) addCrash(e crashEvent) bool {
+	for _, known := range r.crashes {
+		if known.target == e.target && e.at.Sub(known.at) < duplicateWindow {
 			return false
 		}
 	}
-	r.ends = append(r.ends, e)
-	if len(r.ends) > maxEnds {
-		r.ends = r.ends[1:]
+	r.crashes = append(r.crashes, e)
+	if len(r.crashes) > maxCrashesPerRecord {
+		r.crashes = r.crashes[1:]
 	}
 	return true
 }
 
-// maxEnds bounds the ends kept of a request that is not quarantined.
-const maxEnds = 4 * quarantineAfter
+// maxCrashesPerRecord bounds the ends kept of a request that is not quarantined.
+const maxCrashesPerRecord = 4 * quarantineThreshold
 
 // moments counts the different moments at which targets ended.
-func (r *record) moments() int {
+func (r *record) distinctTimes() int {
 	n := 0
 	var last time.Time
-	for _, e := range r.ends {
-		if n == 0 || e.repeat || e.at.Sub(last) > sameMoment {
+	for _, e := range r.crashes {
+		if n == 0 || e.suspected || e.at.Sub(last) > coincidenceWindow {
 			n++
 			last = e.at
 		}
@@ -208,70 +208,70 @@
 
 // Served takes in that a target has answered a request whole, which lifts what was held
 // against it. It returns the verdict and true where that ends a quarantine.
-func (t *Table) Served(k Key, now time.Time) (Verdict, bool) {
-	t.served.add(k, now)
+func (t *Table) RecordSuccess(k Key, now time.Time) (Verdict, bool) {
+	t.successes.add(k, now)
 	r := t.records[k]
 	if r == nil {
 		return Verdict{}, false
 	}
-	r.ends = nil
+	r.crashes = nil
 	if !r.quarantined() {
 		return Verdict{}, false
 	}
-	r.lifted, r.last = true, now
+	r.lifted, r.lastUsed = true, now
 	return r.verdict(k, now), true
 }
 
 // Ask tells what is known of a request that is about to be sent.
-func (t *Table) Ask(k Key, now time.Time) Standing {
+func (t *Table) Check(k Key, now time.Time) Status {
 	r := t.records[k]
-	if r == nil || now.Sub(r.last) > keepFor {
-		return Standing{}
+	if r == nil || now.Sub(r.lastUsed) > retention {
+		return Status{}
 	}
 	if !r.quarantined() {
-		return Standing{Suspected: len(r.ends) > 0}
+		return Status{Suspected: len(r.crashes) > 0}
 	}
-	r.last = now
-	left := r.untilTrial(now)
-	return Standing{Suspected: true, Quarantined: true, Left: max(firstTrial, left), Due: left <= 0}
+	r.lastUsed = now
+	left := r.untilNextTrial(now)
+	return Status{Suspected: true, Quarantined: true, RetryAfter: max(firstTrialDelay, left), TrialDue: left <= 0}
 }
 
 // Try tells whether a quarantined request may be sent this once, and notes that it is. Of all
 // daemons one is asked; whoever sends the request notes its word by Grant.
-func (t *Table) Try(k Key, now time.Time) bool {
+func (t *Table) StartTrial(k Key, now time.Time) bool {
 	r := t.records[k]
-	if r == nil || !r.quarantined() || r.untilTrial(now) > 0 || now.Sub(r.trial) < trialMost {
+	if r == nil || !r.quarantined() || r.untilNextTrial(now) > 0 || now.Sub(r.trialAt) < trialTimeout {
 		return false
 	}
-	r.trial = now
+	r.trialAt = now
 	return true
 }
 
 // Grant notes that this daemon sends a quarantined request once, on another one's word.
-func (t *Table) Grant(k Key, now time.Time) {
+func (t *Table) RecordTrial(k Key, now time.Time) {
 	if r := t.records[k]; r != nil {
-		r.trial = now
+		r.trialAt = now
 	}
 }
 
 // Learn takes in another daemon's verdict. It returns true, with the verdict to pass on,
 // where that is news. A quarantine of a request that this daemon has had an answer to lately
 // is lifted instead: others than this one cannot know that it was served here.
-func (t *Table) Learn(v Verdict, now time.Time) (Verdict, bool) {
+func (t *Table) Merge(v Verdict, now time.Time) (Verdict, bool) {
 	last := now.Add(-v.Age)
-	if v.Count == 0 || v.Age > keepFor {
+	if v.Count == 0 || v.Age > retention {
 		return Verdict{}, false
 	}
-	if known := t.records[v.Request]; known != nil && !v.over(known) {
-		if v.Count == known.count && last.After(known.last) {
-			known.last = last
+	if known := t.records[v.Request]; known != nil && !v.supersedes(known) {
+		if v.Count == known.count && last.After(known.lastUsed) {
+			known.lastUsed = last
 		}
 		return Verdict{}, false
 	}
 	r := t.record(v.Request, now)
-	r.count, r.lifted, r.last, r.ends = v.Count, v.Lifted, last, nil
-	r.since, r.trial = now, time.Time{}
-	if r.quarantined() && t.served.has(v.Request, now) {
+	r.count, r.lifted, r.lastUsed, r.crashes = v.Count, v.Lifted, last, nil
+	r.quarantinedAt, r.trialAt = now, time.Time{}
+	if r.quarantined() && t.successes.contains(v.Request, now) {
 		r.lifted = true
 	}
 	return r.verdict(v.Request, now), true
@@ -279,7 +279,7 @@
 
 // Verdicts lists what is held of requests that were quarantined, for a daemon that lacks some.
 func (t *Table) Verdicts(now time.Time) []Verdict {
-	t.trim(now)
+	t.removeExpired(now)
 	var list []Verdict
 	for k, r := range t.records {
 		if r.count > 0 {
@@ -293,7 +293,7 @@
 // Digest identifies the verdicts: daemons with different digests tell each other theirs. It
 // is zero where there are none.
 func (t *Table) Digest(now time.Time) uint64 {
-	t.trim(now)
+	t.removeExpired(now)
 	sum := uint64(0)
 	for k, r := range t.records {
 		if r.count > 0 {
@@ -322,9 +322,9 @@
 }
 
 // trim forgets what is too old to count.
-func (t *Table) trim(now time.Time) {
+func (t *Table) removeExpired(now time.Time) {
 	for k, r := range t.records {
-		if now.Sub(r.last) > keepFor {
+		if now.Sub(r.lastUsed) > retention {
 			delete(t.records, k)
 		}
 	}
@@ -335,70 +335,70 @@
 	if r := t.records[k]; r != nil {
 		return r
 	}
-	t.makeRoom(k, now)
-	r := &record{last: now}
+	t.evictIfFull(k, now)
+	r := &record{lastUsed: now}
 	t.records[k] = r
 	return r
 }
 
 // makeRoom drops a record where there is no room for one more: the oldest of the account that
 // has too many, else the oldest of all; those of no quarantine first.
-func (t *Table) makeRoom(k Key, now time.Time) {
-	if len(t.records) < maxOfAccount {
+func (t *Table) evictIfFull(k Key, now time.Time) {
+	if len(t.records) < maxRecordsPerAccount {
 		return
 	}
-	t.trim(now)
+	t.removeExpired(now)
 	ofAccount := 0
 	for other := range t.records {
-		if other.account() == k.account() {
+		if other.accountPrefix() == k.accountPrefix() {
 			ofAccount++
 		}
 	}
 	switch {
-	case ofAccount >= maxOfAccount:
-		t.drop(func(other Key) bool { return other.account() == k.account() })
-	case len(t.records) >= maxRequests:
-		t.drop(func(Key) bool { return true })
+	case ofAccount >= maxRecordsPerAccount:
+		t.evict(func(other Key) bool { return other.accountPrefix() == k.accountPrefix() })
+	case len(t.records) >= maxRecords:
+		t.evict(func(Key) bool { return true })
 	}
 }
 
 // drop forgets the least useful of the records that may go.
-func (t *Table) drop(may func(Key) bool) {
+func (t *Table) evict(may func(Key) bool) {
 	var worst Key
 	var found *record
 	for k, r := range t.records {
-		if may(k) && (found == nil || r.lessUseful(found)) {
+		if may(k) && (found == nil || r.evictBefore(found)) {
 			worst, found = k, r
 		}
 	}
 	delete(t.records, worst)
 }
 
-func (r *record) lessUseful(other *record) bool {
+func (r *record) evictBefore(other *record) bool {
 	if r.quarantined() != other.quarantined() {
 		return other.quarantined()
 	}
-	return r.last.Before(other.last)
+	return r.lastUsed.Before(other.lastUsed)
 }
 
-// served remembers which requests were answered lately, in two halves: the younger one becomes
+// successSet remembers which requests were answered lately, in two halves: the younger one becomes
 // the older when it is full or old, and what the older one held is forgotten.
-type served struct {
-	younger, older map[Key]time.Time
-	began          time.Time // when the younger half was begun
+type successSet struct {
+	current, previous map[Key]time.Time
+	rotatedAt         time.Time // when the younger half was begun
 }
 
-func (s *served) add(k Key, now time.Time) {
-	if s.younger == nil || len(s.younger) >= maxServed/2 || now.Sub(s.began) > soundFor {
-		s.younger, s.older, s.began = map[Key]time.Time{}, s.younger, now
+func (s *successSet) add(k Key, now time.Time) {
+	if s.current == nil || len(s.current) >= maxSuccesses/2 || now.Sub(s.rotatedAt) > successValidity {
+		s.current, s.previous, s.rotatedAt = map[Key]time.Time{}, s.current, now
 	}
-	s.younger[k] = now
+	s.current[k] = now
 }
 
-func (s *served) has(k Key, now time.Time) bool {
-	at, found := s.younger[k]
+func (s *successSet) contains(k Key, now time.Time) bool {
+	at, found := s.current[k]
 	if !found {
-		at, found = s.older[k]
+		at, found = s.previous[k]
 	}
-	return found && now.Sub(at) <= soundFor
+	return found && now.Sub(at) <= successValidity
 }
--- a/core/share/share.go
+++ b/core/share/share.go
@@ -25,19 +25,19 @@
 // The times and sizes of leases.
 const (
 	// TTL is how long a lease lasts without renewal.
-	TTL = 8 * time.Second
-	// RenewEvery is the time between renewals.
-	RenewEvery = 2 * time.Second
+	LeaseTTL = 8 * time.Second
+	// RenewInterval is the time between renewals.
+	RenewInterval = 2 * time.Second
 	// Reserve is the part of a limit that is not leased.
-	Reserve = 0.05
+	ReserveFraction = 0.05
 	// headroom is how many times its demand a holder may be given.
-	headroom = 2
-	// minWeight lets a holder with no demand keep a little.
-	minWeight = 0.01
+	demandHeadroom = 2
+	// minDemandWeight lets a holder with no demand keep a little.
+	minDemandWeight = 0.01
 )
 
 // Floor is the fraction that each published daemon may always use.
-func Floor(published int) float64 { return Reserve / float64(max(1, published)) }
+func Floor(published int) float64 { return ReserveFraction / float64(max(1, published)) }
 
 // Renewal asks for a lease, or for more time.
 type Renewal struct {
@@ -46,8 +46,8 @@
 	// Demand is what its callers ask for, in limits: 1 is the whole limit.
 	Demand float64
 	// Holding is the fraction it has now, Ack the last grant it took over.
-	Holding float64
-	Ack     uint64
+	Fraction      float64
+	AckedSequence uint64
 }
 
 // Grant is a lease.
@@ -58,21 +58,21 @@
 	Fraction float64
 }
 
-// grant is one that may still be in use.
-type grant struct {
+// outstandingGrant is one that may still be in use.
+type outstandingGrant struct {
 	sequence uint64
 	fraction float64
 	expires  time.Time
 }
 
-type holder struct {
-	demand float64
-	heard  time.Time
-	grants []grant // those not superseded by an acknowledged one
+type holderState struct {
+	demand      float64
+	lastRenewal time.Time
+	grants      []outstandingGrant // those not superseded by an acknowledged one
 }
 
 // outstanding is the most that the holder may be using.
-func (h *holder) outstanding(now time.Time) float64 {
+func (h *holderState) maxInUse(now time.Time) float64 {
 	most := 0.0
 	for _, g := range h.grants {
 		if now.Before(g.expires) {
@@ -83,7 +83,7 @@
 }
 
 // acknowledge drops the grants that a later one has replaced at the holder.
-func (h *holder) acknowledge(sequence uint64, now time.Time) {
+func (h *holderState) acknowledge(sequence uint64, now time.Time) {
 	kept := h.grants[:0]
 	for _, g := range h.grants {
 		if g.sequence >= sequence && now.Before(g.expires) {
@@ -95,9 +95,9 @@
 
 // Owner leases out the limit of one account.
 type Owner struct {
-	since    time.Time
+	waitFrom time.Time
 	sequence uint64
-	holders  map[string]*holder
+	holders  map[string]*holderState
 }
 
 // NewOwner starts owning an account. The sequence starts at the time, so that
@@ -105,9 +105,9 @@
 // vouches that no lease of an owner before can be in use but those that it tells
 // by Adopt; otherwise the owner waits until they have run out.
 func NewOwner(settled bool, now time.Time) *Owner {
-	o := &Owner{since: now, sequence: uint64(now.UnixNano()), holders: map[string]*holder{}}
+	o := &Owner{waitFrom: now, sequence: uint64(now.UnixNano()), holders: map[string]*holderState{}}
 	if settled {
-		o.since = now.Add(-TTL)
+		o.waitFrom = now.Add(-LeaseTTL)
 	}
 	return o
 }
@@ -116,65 +116,65 @@
 func (o *Owner) Adopt(name string, fraction float64, now time.Time) {
 	h := o.holders[name]
 	if h == nil {
-		h = &holder{heard: now}
+		h = &holderState{lastRenewal: now}
 		o.holders[name] = h
 	}
-	h.grants = append(h.grants, grant{o.sequence, fraction, now.Add(TTL)})
+	h.grants = append(h.grants, outstandingGrant{o.sequence, fraction, now.Add(LeaseTTL)})
 }
 
 // Joined tells the owner that a daemon came to life, or back from the other side
 // of a split. It may hold a lease of another owner, so nothing is raised until
 // that has run out.
-func (o *Owner) Joined(now time.Time) { o.since = now }
+func (o *Owner) DaemonJoined(now time.Time) { o.waitFrom = now }
 
 // Renew answers a renewal. alive and published count the daemons that this one
 // believes alive and that are on the platform's list.
 func (o *Owner) Renew(r Renewal, alive, published int, now time.Time) Grant {
 	h := o.holders[r.Holder]
 	if h == nil {
-		h = &holder{}
+		h = &holderState{}
 		o.holders[r.Holder] = h
 	}
-	h.acknowledge(r.Ack, now)
-	h.demand, h.heard = r.Demand, now
-	fraction := min(o.target(r, h, alive, published, now), o.available(r.Holder, alive, published, now))
+	h.acknowledge(r.AckedSequence, now)
+	h.demand, h.lastRenewal = r.Demand, now
+	fraction := min(o.targetFraction(r, h, alive, published, now), o.availableFraction(r.Holder, alive, published, now))
 	o.sequence++
-	h.grants = append(h.grants, grant{o.sequence, fraction, now.Add(TTL)})
+	h.grants = append(h.grants, outstandingGrant{o.sequence, fraction, now.Add(LeaseTTL)})
 	return Grant{Sequence: o.sequence, Fraction: fraction}
 }
 
 // leasable is the part of the limit that may be leased out.
 func leasable(alive, published int) float64 {
-	return (1 - Reserve) * min(1, float64(alive)/float64(max(1, published)))
+	return (1 - ReserveFraction) * min(1, float64(alive)/float64(max(1, published)))
 }
 
 // target is the holder's part by demand.
-func (o *Owner) target(r Renewal, h *holder, alive, published int, now time.Time) float64 {
-	if now.Sub(o.since) < TTL {
+func (o *Owner) targetFraction(r Renewal, h *holderState, alive, published int, now time.Time) float64 {
+	if now.Sub(o.waitFrom) < LeaseTTL {
 		// The grants of an owner before this one are still in use.
-		return r.Holding
+		return r.Fraction
 	}
 	sum := 0.0
 	for name, other := range o.holders {
-		if now.Sub(other.heard) > TTL {
+		if now.Sub(other.lastRenewal) > LeaseTTL {
 			delete(o.holders, name)
 			continue
 		}
-		sum += other.demand + minWeight
+		sum += other.demand + minDemandWeight
 	}
 	all := leasable(alive, published)
 	// Nobody gets much more than it asks for: what is not leased out can be given
 	// at once to the next daemon that asks, without taking it from anybody first.
-	wanted := headroom*h.demand + all/float64(2*max(1, published))
-	return min(wanted, all*(h.demand+minWeight)/sum)
+	wanted := demandHeadroom*h.demand + all/float64(2*max(1, published))
+	return min(wanted, all*(h.demand+minDemandWeight)/sum)
 }
 
 // available is what no other holder may be using.
-func (o *Owner) available(name string, alive, published int, now time.Time) float64 {
+func (o *Owner) availableFraction(name string, alive, published int, now time.Time) float64 {
 	left := leasable(alive, published)
 	for other, h := range o.holders {
 		if other != name {
-			left -= h.outstanding(now)
+			left -= h.maxInUse(now)
 		}
 	}
 	return max(0, left)
@@ -183,11 +183,11 @@
 // Idle tells whether nobody holds a lease any more.
 func (o *Owner) Idle(now time.Time) bool {
 	for _, h := range o.holders {
-		if h.outstanding(now) > 0 {
+		if h.maxInUse(now) > 0 {
 			return false
 		}
 	}
-	return now.Sub(o.since) > TTL
+	return now.Sub(o.waitFrom) > LeaseTTL
 }
 
 // Holder is a daemon's lease on one account.
@@ -203,11 +203,11 @@
 	if g.Sequence <= h.sequence {
 		return
 	}
-	h.fraction, h.sequence, h.expires = g.Fraction, g.Sequence, asked.Add(TTL)
+	h.fraction, h.sequence, h.expires = g.Fraction, g.Sequence, asked.Add(LeaseTTL)
 }
 
 // Leased is the fraction in force now, beside the floor.
-func (h *Holder) Leased(now time.Time) float64 {
+func (h *Holder) LeasedFraction(now time.Time) float64 {
 	if !now.Before(h.expires) {
 		return 0
 	}
@@ -218,9 +218,9 @@
 func (h *Holder) Expires() time.Time { return h.expires }
 
 // Renewal asks for more time, with the demand of the last period.
-func (h *Holder) Renewal(name string, demand float64, now time.Time) Renewal {
-	return Renewal{Holder: name, Demand: demand, Holding: h.Leased(now), Ack: h.sequence}
+func (h *Holder) NewRenewal(name string, demand float64, now time.Time) Renewal {
+	return Renewal{Holder: name, Demand: demand, Fraction: h.LeasedFraction(now), AckedSequence: h.sequence}
 }
 
 // Void ends the lease, after a pause of the process.
-func (h *Holder) Void() { h.expires = time.Time{} }
+func (h *Holder) Invalidate() { h.expires = time.Time{} }
--- a/core/share/share_test.go
+++ b/core/share/share_test.go
@@ -10,16 +10,16 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-const daemons = 6
+const daemonCount = 6
 
 // fleetModel is one account at several daemons that may be split in two. Each
 // side that has daemons has an owner of its own.
 type fleetModel struct {
 	now     time.Time
-	holders [daemons]*Holder
-	side    [daemons]int
+	holders [daemonCount]*Holder
+	side    [daemonCount]int
 	owners  map[int]*Owner // by the daemon that owns
-	demand  [daemons]float64
+	demand  [daemonCount]float64
 }
 
 func newFleetModel() *fleetModel {
@@ -52,26 +52,26 @@
 		o = NewOwner(false, m.now)
 		m.owners[id] = o
 	}
-	g := o.Renew(m.holders[i].Renewal(fmt.Sprint(i), m.demand[i], m.now), alive, daemons, m.now)
+	g := o.Renew(m.holders[i].NewRenewal(fmt.Sprint(i), m.demand[i], m.now), alive, daemonCount, m.now)
 	if !lost {
 		m.holders[i].Accept(g, m.now)
 	}
 }
 
-func (m *fleetModel) sum() float64 {
+func (m *fleetModel) totalFraction() float64 {
 	total := 0.0
 	for _, h := range m.holders {
-		total += h.Leased(m.now) + Floor(daemons)
+		total += h.LeasedFraction(m.now) + Floor(daemonCount)
 	}
 	return total
 }
 
-// TestTheSumStaysUnderTheLimit holds for splits, lost messages, deaths of owners
+// TestLeasesStayWithinLimit holds for splits, lost messages, deaths of owners
 // and holders, and any demand.
-func TestTheSumStaysUnderTheLimit(t *testing.T) {
+func TestLeasesStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newFleetModel()
-		daemon := rapid.IntRange(0, daemons-1)
+		daemon := rapid.IntRange(0, daemonCount-1)
 		t.Repeat(map[string]func(*rapid.T){
 			"renew": func(t *rapid.T) { m.renew(daemon.Draw(t, "daemon"), rapid.IntRange(0, 4).Draw(t, "lost") == 0) },
 			"wait": func(t *rapid.T) {
@@ -81,9 +81,9 @@
 			"split": func(t *rapid.T) {
 				i := daemon.Draw(t, "daemon")
 				m.side[i] ^= 1
-				m.forgetOwners()
+				m.dropStaleOwners()
 				if id, _ := m.owner(m.side[i]); m.owners[id] != nil {
-					m.owners[id].Joined(m.now)
+					m.owners[id].DaemonJoined(m.now)
 				}
 			},
 			"restart": func(t *rapid.T) {
@@ -92,7 +92,7 @@
 				delete(m.owners, i)
 			},
 			"": func(t *rapid.T) {
-				if s := m.sum(); s > 1+1e-9 {
+				if s := m.totalFraction(); s > 1+1e-9 {
 					t.Fatalf("the daemons may use %f of the limit", s)
 				}
 			},
@@ -101,7 +101,7 @@
 }
 
 // forgetOwners drops the state of daemons that no longer own the account.
-func (m *fleetModel) forgetOwners() {
+func (m *fleetModel) dropStaleOwners() {
 	for id := range m.owners {
 		if owner, _ := m.owner(m.side[id]); owner != id {
 			delete(m.owners, id)
@@ -114,24 +114,24 @@
 		for i := range m.holders {
 			m.renew(i, false)
 		}
-		m.now = m.now.Add(RenewEvery)
+		m.now = m.now.Add(RenewInterval)
 	}
 }
 
-func TestUseIsCloseToTheLimit(t *testing.T) {
+func TestLeasesUseMostOfLimit(t *testing.T) {
 	one := newFleetModel()
 	one.demand[3] = 1
 	one.settle()
-	if f := one.holders[3].Leased(one.now.Add(-time.Second)); f < 0.85 {
+	if f := one.holders[3].LeasedFraction(one.now.Add(-time.Second)); f < 0.85 {
 		t.Errorf("one daemon with all the traffic may use %.2f of the limit", f)
 	}
 	all := newFleetModel()
 	for i := range all.demand {
-		all.demand[i] = 1.0 / daemons
+		all.demand[i] = 1.0 / daemonCount
 	}
 	all.settle()
 	all.now = all.now.Add(-time.Second)
-	if s := all.sum(); s < 0.95 {
+	if s := all.totalFraction(); s < 0.95 {
 		t.Errorf("all together may use %.2f of the limit", s)
 	}
 }
--- a/core/stream/stream.go
+++ b/core/stream/stream.go
@@ -41,13 +41,13 @@
 
 // Assembler puts one attempt's chunks in order.
 type Assembler struct {
-	attempt string
-	next    int64
-	ended   bool
-	total   int64
-	finish  string
-	last    string
-	pending map[int64]string
+	attempt      string
+	next         int64
+	ended        bool
+	total        int64
+	finishReason string
+	lastText     string
+	pending      map[int64]string
 }
 
 // NewAssembler expects the chunks of an attempt from index first on.
@@ -62,31 +62,31 @@
 		return nil
 	}
 	if c.End {
-		return a.end(c)
+		return a.setEnd(c)
 	}
 	if a.ended && c.Index >= a.total {
 		return errors.Wrap(ErrConflict, fmt.Sprintf("index %d after an end at %d", c.Index, a.total))
 	}
 	if c.Index < a.next {
-		return a.duplicate(c)
+		return a.checkDuplicate(c)
 	}
 	if c.Index > a.next {
-		return a.hold(c)
+		return a.buffer(c)
 	}
 	if err := a.emit(c.Text, emit); err != nil {
 		return err
 	}
-	return a.drain(emit)
+	return a.emitBuffered(emit)
 }
 
 func (a *Assembler) emit(text string, emit func(int64, string) error) error {
 	index := a.next
 	a.next++
-	a.last = text
+	a.lastText = text
 	return emit(index, text)
 }
 
-func (a *Assembler) drain(emit func(int64, string) error) error {
+func (a *Assembler) emitBuffered(emit func(int64, string) error) error {
 	for len(a.pending) > 0 {
 		text, ok := a.pending[a.next]
 		if !ok {
@@ -101,14 +101,14 @@
 }
 
 // duplicate drops a chunk seen before; the last one can still be compared.
-func (a *Assembler) duplicate(c Chunk) error {
-	if c.Index == a.next-1 && c.Text != a.last {
+func (a *Assembler) checkDuplicate(c Chunk) error {
+	if c.Index == a.next-1 && c.Text != a.lastText {
 		return errors.Wrap(ErrConflict, fmt.Sprintf("index %d", c.Index))
 	}
 	return nil
 }
 
-func (a *Assembler) hold(c Chunk) error {
+func (a *Assembler) buffer(c Chunk) error {
 	if text, seen := a.pending[c.Index]; seen && text != c.Text {
 		return errors.Wrap(ErrConflict, fmt.Sprintf("index %d", c.Index))
 	}
@@ -122,14 +122,14 @@
 	return nil
 }
 
-func (a *Assembler) end(c Chunk) error {
+func (a *Assembler) setEnd(c Chunk) error {
 	if a.ended && c.Total != a.total {
 		return errors.Wrap(ErrConflict, fmt.Sprintf("ends at %d and at %d", a.total, c.Total))
 	}
 	if c.Total < a.next {
 		return errors.Wrap(ErrConflict, fmt.Sprintf("ends at %d after %d tokens", c.Total, a.next))
 	}
-	a.ended, a.total, a.finish = true, c.Total, c.FinishReason
+	a.ended, a.total, a.finishReason = true, c.Total, c.FinishReason
 	return nil
 }
 
@@ -140,7 +140,7 @@
 func (a *Assembler) Next() int64 { return a.next }
 
 // FinishReason is the target's reason for the end.
-func (a *Assembler) FinishReason() string { return a.finish }
+func (a *Assembler) FinishReason() string { return a.finishReason }
 
 // Close is called when the stream is over. It returns nil only for a whole answer.
 func (a *Assembler) Close() error {
--- a/core/stream/stream_test.go
+++ b/core/stream/stream_test.go
@@ -10,9 +10,9 @@
 
 func token(i int64) string { return fmt.Sprint("t", i) }
 
-// TestAnyOrderGivesTheWholeAnswerOrAFailure sends the chunks of an answer in any
+// TestAssemblerReordersChunks sends the chunks of an answer in any
 // order, with some dropped, doubled or of another attempt.
-func TestAnyOrderGivesTheWholeAnswerOrAFailure(t *testing.T) {
+func TestAssemblerReordersChunks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.Int64Range(0, 50).Draw(t, "total")
 		chunks := []Chunk{{Attempt: "a", End: true, Total: total}}
@@ -56,7 +56,7 @@
 	})
 }
 
-func TestLyingStreamsAreRefused(t *testing.T) {
+func TestConflictingChunksAreRejected(t *testing.T) {
 	cases := map[string][]Chunk{
 		"two texts for one index":  {{Attempt: "a", Text: "x"}, {Attempt: "a", Text: "y"}},
 		"two texts while waiting":  {{Attempt: "a", Index: 2, Text: "x"}, {Attempt: "a", Index: 2, Text: "y"}},
--- a/node/api/body.go
+++ b/node/api/body.go
@@ -88,7 +88,7 @@
 	}
 	cost := int64(len(data)) * bodyFactor
 	if !b.budget.take(cost) {
-		return fault.New(fault.OutOfMemory,
+		return fault.New(fault.BodyMemoryExhausted,
 			"this daemon's memory for request bodies is in use",
 			"send again, or have body_memory_mb raised").WithRetry(time.Second)
 	}
--- a/node/api/body_test.go
+++ b/node/api/body_test.go
@@ -77,7 +77,7 @@
 		{"whole", post("/", 5, "hello"), "ok"},
 		{"announced too large", post("/", 1001, ""), string(fault.TooLarge)},
 		{"stops in the middle", post("/", 100, "only this"), string(fault.BadRequest)},
-		{"larger than the shared memory", post("/", 900, strings.Repeat("x", 900)), string(fault.OutOfMemory)},
+		{"larger than the shared memory", post("/", 900, strings.Repeat("x", 900)), string(fault.BodyMemoryExhausted)},
 		{"chunks without end", "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n7d0\r\n" + strings.Repeat("x", 2000) + "\r\n0\r\n\r\n", string(fault.TooLarge)},
 	}
 	for _, c := range cases {
@@ -91,7 +91,7 @@
 	if got := send(t, address, post("/hold", 500, strings.Repeat("x", 500))); got != "holding" {
 		t.Fatalf("got %q", got)
 	}
-	if got := send(t, address, post("/", 300, strings.Repeat("x", 300))); got != string(fault.OutOfMemory) {
+	if got := send(t, address, post("/", 300, strings.Repeat("x", 300))); got != string(fault.BodyMemoryExhausted) {
 		t.Errorf("beside a held body: got %q", got)
 	}
 }
--- a/node/api/openai.go
+++ b/node/api/openai.go
@@ -212,7 +212,7 @@
 		Code:         e.Kind,
 		Remedy:       e.Remedy,
 		Execution:    e.Execution,
-		Retry:        e.Retry,
+		Retry:        e.Retryable,
 		RetryAfterMS: e.RetryAfter.Milliseconds(),
 		RequestID:    id,
 	}}
--- a/node/api/paths.go
+++ b/node/api/paths.go
@@ -149,7 +149,7 @@
 
 // starting gathers what is known for a call that comes before the daemon serves.
 func (s *pathServer) starting(c *pathCall) admission.Starting {
-	known := admission.Starting{Age: s.board.Age(), CallerTimeout: c.Left}
+	known := admission.Starting{Age: s.board.Age(), CallerTimeout: c.Timeout}
 	s.board.Members.View(func(t *membership.Table) { known.OtherDaemons, known.OthersServe = t.Others() })
 	return known
 }
@@ -172,12 +172,12 @@
 	}
 	if c.path.Open {
 		c.account = c.view.Tree.Anonymous()
-		if account, err := c.view.Tree.Authenticate(c.Key); err == nil {
+		if account, err := c.view.Tree.Authenticate(c.APIKey); err == nil {
 			c.account = account
 		}
 		return nil
 	}
-	account, err := c.view.Tree.Authenticate(c.Key)
+	account, err := c.view.Tree.Authenticate(c.APIKey)
 	if err != nil {
 		return err
 	}
@@ -189,8 +189,8 @@
 // caller and the route allow.
 func (c *pathCall) request(body []byte) *requestcontrol.Request {
 	allowed := c.path.Timeout
-	if c.Left > 0 {
-		allowed = min(allowed, c.Left)
+	if c.Timeout > 0 {
+		allowed = min(allowed, c.Timeout)
 	}
 	req := &requestcontrol.Request{
 		ID:        c.ID,
@@ -201,10 +201,10 @@
 		Deadline:  c.arrived.Add(allowed),
 		MaxTokens: c.OutputTokens,
 		Path:      c.path,
-		LastEvent: c.LastEvent,
+		LastEvent: c.LastEventID,
 		Forward: &forward.Message{
 			ID: c.ID, Method: c.r.Method, URI: c.r.RequestURI, Host: c.r.Host,
-			Header: endToEnd(c.r.Header), Body: body, CallerLeft: callerLeft(c.r),
+			Header: endToEnd(c.r.Header), Body: body, CallerDisconnected: callerLeft(c.r),
 		},
 	}
 	req.SetPromptTokens(c.PromptTokens)
@@ -239,7 +239,7 @@
 	header := c.w.Header()
 	c.answer.closeIfLeaving()
 	header.Set("Content-Type", "application/json")
-	s.dialect.WriteFailure(header, c.ID, e.Retry && e.Execution == fault.NotRun, e.RetryAfter)
+	s.dialect.WriteFailure(header, c.ID, e.Retryable && e.Execution == fault.NotRun, e.RetryAfter)
 	c.w.WriteHeader(e.Status())
 	if err := json.NewEncoder(c.w).Encode(errorBody(e, c.ID)); err != nil {
 		s.director.Record.Log.Debug("the caller did not take a failure", "request", c.ID, "error", err.Error())
--- a/node/api/server.go
+++ b/node/api/server.go
@@ -97,7 +97,7 @@
 		outcome := "whole"
 		if err != nil {
 			failure := fault.From(err)
-			if x.account == nil && failure.Retry && r.Header.Get(HeaderIdempotencyKey) != "" {
+			if x.account == nil && failure.Retryable && r.Header.Get(HeaderIdempotencyKey) != "" {
 				// Nothing was looked at, so an earlier call with the key may have run.
 				failure = failure.WithExecution(fault.Unknown)
 			}
@@ -164,7 +164,7 @@
 	if x.account == nil && x.r.ContentLength != 0 {
 		closeAfter(x.w) // The body has not been looked at.
 	}
-	if e.Retry {
+	if e.Retryable {
 		seconds := math.Ceil(e.RetryAfter.Seconds())
 		header.Set("Retry-After", strconv.Itoa(int(seconds)))
 	}
--- a/node/blackboard/poison.go
+++ b/node/blackboard/poison.go
@@ -58,10 +58,10 @@
 }
 
 // Crashed takes in that a target has ended under a request.
-func (t *PoisonTable) Crashed(c poison.Crash, at time.Time) poison.Finding {
+func (t *PoisonTable) Crashed(c poison.Crash, at time.Time) poison.CrashResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	f := t.table.Crashed(c, at)
+	f := t.table.RecordCrash(c, at)
 	if f.Quarantined {
 		t.callBack(c.Request)
 	}
@@ -73,28 +73,28 @@
 func (t *PoisonTable) Served(k poison.Key, at time.Time) (poison.Verdict, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.table.Served(k, at)
+	return t.table.RecordSuccess(k, at)
 }
 
 // Ask tells what is known of a request that is about to be sent.
-func (t *PoisonTable) Ask(k poison.Key, at time.Time) poison.Standing {
+func (t *PoisonTable) Ask(k poison.Key, at time.Time) poison.Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.table.Ask(k, at)
+	return t.table.Check(k, at)
 }
 
 // Try tells whether a quarantined request may be sent this once, and notes that it is.
 func (t *PoisonTable) Try(k poison.Key, at time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.table.Try(k, at)
+	return t.table.StartTrial(k, at)
 }
 
 // Grant notes that this daemon sends a quarantined request once, on another one's word.
 func (t *PoisonTable) Grant(k poison.Key, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.table.Grant(k, at)
+	t.table.RecordTrial(k, at)
 }
 
 // Learn takes in other daemons' verdicts and returns those to pass on.
@@ -102,7 +102,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, v := range verdicts {
-		if next, isNew := t.table.Learn(v, at); isNew {
+		if next, isNew := t.table.Merge(v, at); isNew {
 			news = append(news, next)
 			if !next.Lifted {
 				t.callBack(next.Request)
--- a/node/blackboard/shares.go
+++ b/node/blackboard/shares.go
@@ -64,7 +64,7 @@
 	}
 	fraction := share.Floor(t.listed)
 	if h := t.holders[account]; h != nil {
-		fraction += h.Leased(at)
+		fraction += h.LeasedFraction(at)
 	}
 	return fraction
 }
@@ -78,7 +78,7 @@
 		h = &share.Holder{}
 		t.holders[account] = h
 	}
-	return h.Renewal(self, demand, at)
+	return h.NewRenewal(self, demand, at)
 }
 
 // Accept takes over a grant asked for at the given time.
@@ -119,7 +119,7 @@
 	defer t.mu.Unlock()
 	var list []Holding
 	for account, h := range t.holders {
-		if f := h.Leased(at); f > 0 {
+		if f := h.LeasedFraction(at); f > 0 {
 			list = append(list, Holding{Account: account, Fraction: f})
 		}
 	}
@@ -130,7 +130,7 @@
 func (t *ShareTable) Adopt(holder string, holdings []Holding, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.adoptEnd = at.Add(share.TTL)
+	t.adoptEnd = at.Add(share.LeaseTTL)
 	for _, h := range holdings {
 		if o := t.owners[h.Account]; o != nil {
 			o.Adopt(holder, h.Fraction, at)
@@ -154,7 +154,7 @@
 	defer t.mu.Unlock()
 	t.settled = false
 	for _, o := range t.owners {
-		o.Joined(at)
+		o.DaemonJoined(at)
 	}
 }
 
@@ -164,10 +164,10 @@
 	defer t.mu.Unlock()
 	t.settled = false
 	for _, h := range t.holders {
-		h.Void()
+		h.Invalidate()
 	}
 	for _, o := range t.owners {
-		o.Joined(at)
+		o.DaemonJoined(at)
 	}
 }
 
@@ -176,7 +176,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	maps.DeleteFunc(t.owners, func(_ string, o *share.Owner) bool { return o.Idle(at) })
-	maps.DeleteFunc(t.holders, func(_ string, h *share.Holder) bool { return at.Sub(h.Expires()) > share.TTL })
+	maps.DeleteFunc(t.holders, func(_ string, h *share.Holder) bool { return at.Sub(h.Expires()) > share.LeaseTTL })
 	if at.After(t.adoptEnd) {
 		clear(t.adopted)
 	}
--- a/node/blackboard/started_anew_test.go
+++ b/node/blackboard/started_anew_test.go
@@ -129,13 +129,13 @@
 	} {
 		table := newTargetTable()
 		table.Sync([]hostlist.Host{host}, tree, now)
-		named := forward.Word{Notice: forward.Notice{Limit: forward.NamedLimit(2)}, Sent: now, At: now.Add(time.Millisecond)}
+		named := forward.TimedNotice{Notice: forward.Notice{Limit: forward.DeclaredLimit(2)}, Sent: now, Received: now.Add(time.Millisecond)}
 		table.Notice("a", named)
 		startAnew(table)
 		if view := table.Views("svc", now)[0]; view.RateLimit == nil {
 			t.Errorf("%s: the limit is forgotten", name)
 		}
-		lifted := forward.Word{Notice: forward.Notice{Limit: forward.Limit{Lifted: true}}, Sent: now.Add(time.Second), At: now.Add(time.Second)}
+		lifted := forward.TimedNotice{Notice: forward.Notice{Limit: forward.Limit{Lifted: true}}, Sent: now.Add(time.Second), Received: now.Add(time.Second)}
 		table.Notice("a", lifted)
 		if view := table.Views("svc", now.Add(time.Second))[0]; view.RateLimit != nil {
 			t.Errorf("%s: the limit is not lifted", name)
--- a/node/blackboard/target_calls.go
+++ b/node/blackboard/target_calls.go
@@ -77,7 +77,7 @@
 		tp.short.add(load.BacklogTokens, at)
 	}
 	if s.limiter != nil {
-		s.limiter.Count(at)
+		s.limiter.RecordCall(at)
 	}
 	placement.Gone = t.begin(s, attempt, load, at)
 	t.calls[attempt].prompt = r.PromptTokens
--- a/node/blackboard/target_limits.go
+++ b/node/blackboard/target_limits.go
@@ -19,12 +19,12 @@
 }
 
 // Word is the state as the target's own word, heard at a moment.
-func (l *LimitState) Word(at time.Time) forward.Word {
+func (l *LimitState) Word(at time.Time) forward.TimedNotice {
 	then := at.Add(-max(0, l.Ago))
 	if l.Lifted {
-		return forward.Word{Notice: forward.Notice{Limit: forward.Limit{Lifted: true}}, Sent: then, At: at}
+		return forward.TimedNotice{Notice: forward.Notice{Limit: forward.Limit{Lifted: true}}, Sent: then, Received: at}
 	}
-	return forward.Word{Notice: forward.Notice{Limit: forward.NamedLimit(l.PerSecond)}, At: then}
+	return forward.TimedNotice{Notice: forward.Notice{Limit: forward.DeclaredLimit(l.PerSecond)}, Received: then}
 }
 
 // rateLimit is what routing needs to know of a target's limit.
@@ -32,7 +32,7 @@
 	if s == nil {
 		return nil
 	}
-	return &routing.RateLimit{PerSecond: s.Rate(), Wait: s.Wait(at).Seconds(), SinceLastCall: s.Idle(at).Seconds()}
+	return &routing.RateLimit{PerSecond: s.Rate(), Wait: s.Wait(at).Seconds(), SinceLastCall: s.SinceLastCall(at).Seconds()}
 }
 
 // limit is the limit that the target has named.
@@ -45,7 +45,7 @@
 
 // limitState describes the target's limit for another daemon.
 func (s *targetState) limitState(at time.Time) LimitState {
-	return LimitState{Target: s.id, PerSecond: s.limiter.Limit().PerSecond, Ago: at.Sub(s.limiter.Named())}
+	return LimitState{Target: s.id, PerSecond: s.limiter.Limit().PerSecond, Ago: at.Sub(s.limiter.DeclaredAt())}
 }
 
 // Limited is the targets of a pool as routing sees them, where all that live have named limits.
@@ -99,7 +99,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.byID[id]; s != nil && s.limiter != nil {
-		s.limiter.Count(at)
+		s.limiter.RecordCall(at)
 		s.refresh(at)
 	}
 }
--- a/node/blackboard/target_notices.go
+++ b/node/blackboard/target_notices.go
@@ -9,24 +9,24 @@
 )
 
 // Notice takes in what a target said of itself beside an answer, and tells whether it is news.
-func (t *TargetTable) Notice(id string, said forward.Word) bool {
+func (t *TargetTable) Notice(id string, said forward.TimedNotice) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.byID[id]
 	if s == nil {
 		return false
 	}
-	if !t.notices.Take(id, s.address, s.started, said) {
+	if !t.notices.Record(id, s.address, s.started, said) {
 		return false
 	}
-	t.recallNotices(s, said.At)
-	s.refresh(said.At)
+	t.recallNotices(s, said.Received)
+	s.refresh(said.Received)
 	return true
 }
 
 // recallNotices gives a target's state what the target has said of itself; that outlives the state.
 func (t *TargetTable) recallNotices(s *targetState, at time.Time) {
-	s.saidLeaving = t.notices.Leaves(s.id, at)
+	s.saidLeaving = t.notices.Draining(s.id, at)
 	s.limiter = t.notices.RateLimiter(s.id)
 }
 
@@ -41,7 +41,7 @@
 	}
 	var ids []string
 	for _, s := range p.states {
-		if s.saidLeaving || t.notices.Rests(s.id, at) > 0 {
+		if s.saidLeaving || t.notices.BackoffLeft(s.id, at) > 0 {
 			ids = append(ids, s.id)
 		}
 	}
@@ -62,7 +62,7 @@
 		if s.state() != routing.Live {
 			continue
 		}
-		rest := t.notices.Rests(s.id, at)
+		rest := t.notices.BackoffLeft(s.id, at)
 		if rest == 0 && !slices.Contains(exclude, s.id) {
 			return 0, false
 		}
@@ -79,5 +79,5 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.byID[id]
-	return s != nil && s.state() == routing.Live && t.notices.Rests(id, at) == 0
+	return s != nil && s.state() == routing.Live && t.notices.BackoffLeft(id, at) == 0
 }
--- a/node/blackboard/target_pace.go
+++ b/node/blackboard/target_pace.go
@@ -56,7 +56,7 @@
 	}
 	var list []TargetAddress
 	for _, s := range p.states {
-		if s.state() == routing.Live && t.notices.Rests(s.id, at) == 0 {
+		if s.state() == routing.Live && t.notices.BackoffLeft(s.id, at) == 0 {
 			list = append(list, TargetAddress{ID: s.id, Pool: pool, Address: s.address})
 		}
 	}
--- a/node/blackboard/target_start.go
+++ b/node/blackboard/target_start.go
@@ -53,7 +53,7 @@
 		id: s.id, address: s.address, started: incarnation, listed: s.listed,
 		pool: s.pool, index: s.index, calls: map[string]*ownCall{},
 	}
-	t.notices.Seen(id, s.address, incarnation)
+	t.notices.UpdateTarget(id, s.address, incarnation)
 	t.recallNotices(fresh, at)
 	fresh.pool.states[fresh.index] = fresh
 	t.byID[id] = fresh
--- a/node/blackboard/target_views.go
+++ b/node/blackboard/target_views.go
@@ -122,7 +122,7 @@
 	for _, p := range t.pools {
 		p.refresh(at)
 		for i, s := range p.states {
-			list = append(list, TargetStatus{Pool: p.name, Address: s.address, View: p.targets[i], Failures: s.failures, OwnCalls: len(s.calls), Rest: t.notices.Rests(s.id, at), Limit: s.limit().String()})
+			list = append(list, TargetStatus{Pool: p.name, Address: s.address, View: p.targets[i], Failures: s.failures, OwnCalls: len(s.calls), Rest: t.notices.BackoffLeft(s.id, at), Limit: s.limit().String()})
 		}
 	}
 	slices.SortFunc(list, func(a, b TargetStatus) int {
--- a/node/blackboard/targets.go
+++ b/node/blackboard/targets.go
@@ -136,7 +136,7 @@
 func (t *TargetTable) Sync(hosts []hostlist.Host, tree *settings.Tree, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.notices.Trim(at)
+	t.notices.RemoveExpired(at)
 	pools := map[string]*targetPool{}
 	byID := map[string]*targetState{}
 	for _, h := range hosts {
@@ -161,7 +161,7 @@
 			s = &targetState{id: h.ID, address: h.Address, calls: map[string]*ownCall{}}
 		}
 		s.started = max(s.started, h.Incarnation)
-		t.notices.Seen(h.ID, h.Address, h.Incarnation)
+		t.notices.UpdateTarget(h.ID, h.Address, h.Incarnation)
 		t.recallNotices(s, at)
 		s.listed = routing.Live
 		if h.State == hostlist.Leaving {
--- a/node/cluster/shares.go
+++ b/node/cluster/shares.go
@@ -34,7 +34,7 @@
 func (c *Cluster) runShares(ctx context.Context) {
 	last := time.Now()
 	for ctx.Err() == nil {
-		controller.Sleep(ctx, share.RenewEvery)
+		controller.Sleep(ctx, share.RenewInterval)
 		now := time.Now()
 		c.renewShares(ctx, now, now.Sub(last))
 		last = now
@@ -82,7 +82,7 @@
 
 func (c *Cluster) renewalOf(account string, demand float64, now time.Time) renewal {
 	r := c.Board.Shares.Renewal(c.Board.Self.Name, account, demand, now)
-	return renewal{Account: account, Demand: r.Demand, Holding: r.Holding, Ack: r.Ack}
+	return renewal{Account: account, Demand: r.Demand, Holding: r.Fraction, Ack: r.AckedSequence}
 }
 
 func (c *Cluster) renewAt(ctx context.Context, owner string, renewals []renewal, asked time.Time) {
@@ -102,7 +102,7 @@
 	now := time.Now()
 	answers := make([]grantAnswer, 0, len(in))
 	for _, r := range in {
-		g := c.Board.Shares.Renew(r.Account, share.Renewal{Holder: from, Demand: r.Demand, Holding: r.Holding, Ack: r.Ack}, len(living), listed, now)
+		g := c.Board.Shares.Renew(r.Account, share.Renewal{Holder: from, Demand: r.Demand, Fraction: r.Holding, AckedSequence: r.Ack}, len(living), listed, now)
 		answers = append(answers, grantAnswer{Account: r.Account, Sequence: g.Sequence, Fraction: g.Fraction})
 	}
 	return answers, nil
--- a/node/controller/paces.go
+++ b/node/controller/paces.go
@@ -139,10 +139,10 @@
 	if c.Board.Targets.Started(t.ID, report.Started, now) {
 		c.Record.Log.Info("target started anew", "target", t.ID, "pool", t.Pool, "incarnation", report.Started, "from", "its report")
 	}
-	c.Board.Targets.SetPace(t.ID, report.Pace, now.Add(holds), now)
-	slow := engine.Slowdown(report.Pace) > 1
+	c.Board.Targets.SetPace(t.ID, report.Slowdown, now.Add(holds), now)
+	slow := engine.Slowdown(report.Slowdown) > 1
 	if slow != before {
-		c.Record.Log.Info("target's pace", "target", t.ID, "pool", t.Pool, "pace", report.Pace, "slow", slow)
+		c.Record.Log.Info("target's pace", "target", t.ID, "pool", t.Pool, "pace", report.Slowdown, "slow", slow)
 	}
 	return slow
 }
@@ -156,7 +156,7 @@
 		return forward.Report{}, err
 	}
 	defer c.Exchange.Close(reply)
-	c.Record.Notice(t.Pool, t.ID, reply.Said(), reply.Sent)
+	c.Record.Notice(t.Pool, t.ID, reply.TargetNotice(), reply.Sent)
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxReport))
 	if err != nil {
 		return forward.Report{}, errors.Wrap(err, "read the report")
--- a/node/onplatform/limit_fleet_test.go
+++ b/node/onplatform/limit_fleet_test.go
@@ -186,14 +186,14 @@
 	said := forward.Limit{Lifted: true}
 	if target != nil {
 		target.arrive(d.name)
-		said = forward.NamedLimit(target.perSecond)
+		said = forward.DeclaredLimit(target.perSecond)
 	}
 	pass(20 * time.Millisecond)
 	if target != nil {
 		target.tell(d.name)
 	}
 	record := telemetry.Recorder{Board: d.board, Log: slog.New(slog.DiscardHandler), Metrics: d.metrics}
-	if news := record.Notice("svc", id, forward.Notice{Limit: said}, sent); said.Named || news {
+	if news := record.Notice("svc", id, forward.Notice{Limit: said}, sent); said.Declared || news {
 		d.cluster.Placements.LimitSaid("svc", id, said, sent)
 	}
 	d.board.Targets.Finish(attempt, blackboard.CallSucceeded, time.Now())
--- a/node/requestcontrol/forward.go
+++ b/node/requestcontrol/forward.go
@@ -93,7 +93,7 @@
 	if errors.As(err, &typed) || errors.Is(err, errSink) || errors.Is(err, errQuarantined) || ctx.Err() != nil {
 		return false
 	}
-	if !f.progress.MayTryAgain() {
+	if !f.progress.MayRetry() {
 		return false
 	}
 	if f.progress.Sends() == 0 {
@@ -108,13 +108,13 @@
 
 // conclude ends a call that has failed for good.
 func (f *forwarding) conclude(ctx context.Context, err error) error {
-	if f.erred != nil && !f.progress.Begun && ctx.Err() == nil {
+	if f.erred != nil && !f.progress.AnswerStarted && ctx.Err() == nil {
 		return f.giveWhole(f.erred)
 	}
 	execution := f.progress.Execution()
 	var typed *fault.Error
 	if errors.As(err, &typed) {
-		return typed.WithExecution(execution).Honest()
+		return typed.WithExecution(execution).WithConsistentStatus()
 	}
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
@@ -139,7 +139,7 @@
 	d, r := f.director, f.request
 	attempt := NewAttempt()
 	again := f.progress.Sends() > 0
-	r.begun = f.progress.Begun
+	r.begun = f.progress.AnswerStarted
 	placement, err := d.place(ctx, r, attempt, again, f.exclude)
 	if err != nil {
 		return err
@@ -254,9 +254,9 @@
 	call := *r.Forward
 	header := http.Header(r.Forward.Header).Clone()
 	call.Header = header
-	call.Probed = probed(p)
-	d.Exchange.Dialect.WriteSend(header, &forward.Send{
-		Target: p.Decision.Chosen, Account: r.Account.Path, Left: time.Until(r.Deadline), LastEvent: f.lastEvent,
+	call.ProbeConnection = probed(p)
+	d.Exchange.Dialect.WriteSend(header, &forward.SendParams{
+		Target: p.Decision.Chosen, Account: r.Account.Path, Timeout: time.Until(r.Deadline), LastEventID: f.lastEvent,
 		Helpers: helpersOf(p),
 	})
 	f.atFault = ""
@@ -273,7 +273,7 @@
 	reply, err := d.Exchange.Send(watched, p.Address, &call)
 	if err != nil {
 		execution := target.ExecutionOf(err)
-		f.progress.Failed(execution, execution != fault.NotRun)
+		f.progress.RecordFailure(execution, execution != fault.NotRun)
 		if errors.Is(err, target.ErrCallerLeft) {
 			return errors.Wrap(errSink, err.Error())
 		}
@@ -285,19 +285,19 @@
 	switch {
 	case err == nil:
 	case errors.Is(err, errTurnedAway):
-		f.progress.Failed(fault.NotRun, true)
+		f.progress.RecordFailure(fault.NotRun, true)
 	default:
-		f.progress.Failed(fault.Unknown, true)
+		f.progress.RecordFailure(fault.Unknown, true)
 	}
 	return err
 }
 
 // hear takes in what a target says of itself in an answer. Its limit concerns all daemons.
 func (f *forwarding) hear(target string, reply *target.Reply) {
-	d, pool, said := f.director, f.request.Route.Pool.Name, reply.Said()
-	d.Record.Unread(pool, target, reply.Unread)
+	d, pool, said := f.director, f.request.Route.Pool.Name, reply.TargetNotice()
+	d.Record.Unread(pool, target, reply.UnknownHeaders)
 	news := d.Record.Notice(pool, target, said, reply.Sent)
-	if d.Placer != nil && (said.Limit.Named || news && said.Limit.Lifted) {
+	if d.Placer != nil && (said.Limit.Declared || news && said.Limit.Lifted) {
 		d.Placer.LimitSaid(pool, target, said.Limit, reply.Sent)
 	}
 }
@@ -305,27 +305,27 @@
 func helpersOf(p *blackboard.Placement) []forward.Helper {
 	var helpers []forward.Helper
 	for _, h := range p.Helpers {
-		helpers = append(helpers, forward.Helper{Address: h.Address, Ticket: ticketID(p, h.ID)})
+		helpers = append(helpers, forward.Helper{Address: h.Address, ReservationID: ticketID(p, h.ID)})
 	}
 	return helpers
 }
 
 // take does with an answer what its head says that it is good for.
 func (f *forwarding) take(reply *target.Reply, p *blackboard.Placement) error {
-	verdict := reply.Judge()
-	if f.progress.Begun && verdict == forward.Erred {
-		verdict = forward.Useless // The caller has the head of another run already.
+	verdict := reply.Classify()
+	if f.progress.AnswerStarted && verdict == forward.TargetError {
+		verdict = forward.Unusable // The caller has the head of another run already.
 	}
 	switch verdict {
-	case forward.TurnedAway:
-		f.atFault = reply.AtFault
+	case forward.Rejected:
+		f.atFault = reply.FailedHelper
 		if _, err := readWhole(reply); err != nil {
 			return errors.Wrap(errTurnedAway, err.Error())
 		}
-		return errors.Wrap(errTurnedAway, fmt.Sprintf("status %d, at fault %q", reply.Status, reply.AtFault))
-	case forward.Useless:
+		return errors.Wrap(errTurnedAway, fmt.Sprintf("status %d, at fault %q", reply.Status, reply.FailedHelper))
+	case forward.Unusable:
 		return errors.Wrap(errUseless, fmt.Sprintf("status %d, signed %v", reply.Status, reply.Signed))
-	case forward.Erred:
+	case forward.TargetError:
 		return f.takeErred(reply)
 	case forward.Deliver:
 	}
@@ -366,7 +366,7 @@
 }
 
 func (f *forwarding) giveWhole(a *wholeAnswer) error {
-	f.progress.Begun = true
+	f.progress.AnswerStarted = true
 	f.out.Begin(a.status, a.header, int64(len(a.body)))
 	if len(a.body) == 0 {
 		return nil
--- a/node/requestcontrol/left_test.go
+++ b/node/requestcontrol/left_test.go
@@ -70,7 +70,7 @@
 		Route: &settings.ResolvedRoute{Pool: &settings.ResolvedPool{Name: "svc"}, Repeatable: true},
 		Path:  &settings.ResolvedPath{Kind: settings.CallSafe, Goal: time.Second, MaxAttempts: 3},
 		Forward: &forward.Message{
-			ID: "r", Method: "GET", URI: "/a/", Host: "h.example", Header: map[string][]string{}, CallerLeft: func() bool { return true },
+			ID: "r", Method: "GET", URI: "/a/", Host: "h.example", Header: map[string][]string{}, CallerDisconnected: func() bool { return true },
 		},
 	}
 	failure := fault.From(d.Forward(context.Background(), r, noAnswer{t}))
--- a/node/requestcontrol/poison.go
+++ b/node/requestcontrol/poison.go
@@ -39,14 +39,14 @@
 	if !standing.Quarantined {
 		return false, nil
 	}
-	if standing.Due && d.mayTry(ctx, r.poisonKey()) {
+	if standing.TrialDue && d.mayTry(ctx, r.poisonKey()) {
 		d.record(r, decision.Record{
 			Kind: decision.KindAdmit, Outcome: decision.OutcomeAdmitted, CallKey: r.poisonKey().String(), Reason: "a quarantined call is tried once more",
 		})
 		return true, nil
 	}
 	refusal := fault.New(fault.CrashesTargets, "target after target has ended under this request, so it is sent to no other one",
-		"do not send it again as it is; operators find the targets in the log by the field call").WithRetry(standing.Left)
+		"do not send it again as it is; operators find the targets in the log by the field call").WithRetry(standing.RetryAfter)
 	d.record(r, decision.Record{
 		Kind: decision.KindAdmit, Outcome: decision.OutcomeRefused, CallKey: r.poisonKey().String(), Reason: refusal.Error(),
 	})
@@ -103,7 +103,7 @@
 		return
 	}
 	d.Record.Metrics.Crashes.WithLabelValues(r.Route.Pool.Name).Inc()
-	crash := poison.Crash{Request: r.poisonKey(), Target: id, Repeat: r.suspected}
+	crash := poison.Crash{Request: r.poisonKey(), Target: id, Suspected: r.suspected}
 	found := d.Board.Poison.Crashed(crash, time.Now())
 	if d.Crashes == nil || !found.Counted {
 		return
--- a/node/requestcontrol/relay.go
+++ b/node/requestcontrol/relay.go
@@ -21,7 +21,7 @@
 // returns nil when the stream has come to its end.
 func (f *forwarding) relay(reply *target.Reply, p *blackboard.Placement) error {
 	splitter := eventstream.Splitter{MaxEvent: maxEvent}
-	splitter.After(f.lastEvent)
+	splitter.ResumeAfter(f.lastEvent)
 	give := func(e eventstream.Event) error { return f.giveEvent(e, reply, p) }
 	buffer := make([]byte, relayBuffer)
 	for {
@@ -45,10 +45,10 @@
 
 // begin sends the head of the first run's answer, once.
 func (f *forwarding) begin(reply *target.Reply) {
-	if f.progress.Begun {
+	if f.progress.AnswerStarted {
 		return
 	}
-	f.progress.Begun = true
+	f.progress.AnswerStarted = true
 	f.out.Begin(reply.Status, reply.Header, -1)
 }
 
--- a/node/requestcontrol/request.go
+++ b/node/requestcontrol/request.go
@@ -104,11 +104,11 @@
 }
 
 // patience is how long a target may say nothing.
-func (r *Request) patience() forward.Patience {
+func (r *Request) patience() forward.SilenceTimeouts {
 	if r.Path != nil && r.Path.Kind == settings.CallStreaming {
-		return forward.StreamPatience(r.goal(), r.gapGoal())
+		return forward.StreamTimeouts(r.goal(), r.gapGoal())
 	}
-	return forward.PlainPatience(r.goal())
+	return forward.PlainTimeouts(r.goal())
 }
 
 // prepare works out what routing needs from the prompt, once.
--- a/node/requestcontrol/silence.go
+++ b/node/requestcontrol/silence.go
@@ -37,7 +37,7 @@
 // not, the target's silence ends nothing: the answer may still come.
 type silence struct {
 	forwarding *forwarding
-	patience   forward.Patience
+	patience   forward.SilenceTimeouts
 	cancel     context.CancelCauseFunc
 	// mu guards the timer against a run of tooLong that ends after the attempt.
 	mu    sync.Mutex
@@ -55,16 +55,16 @@
 	s := &silence{
 		forwarding: f, cancel: cancel,
 		patience: f.request.patience(),
-		another:  f.progress.MayTryAfter() && p.Decision.PrefillTime <= readAgain,
+		another:  f.progress.MayRetryAfterUnknown() && p.Decision.PrefillTime <= readAgain,
 		mustEnd:  len(p.Decision.Reservations) > 0,
 	}
 	if s.mustEnd {
-		s.patience = s.patience.Before(unusedTickets)
+		s.patience = s.patience.AtMost(unusedTickets)
 	}
-	if s.patience.First > 0 && (s.another || s.mustEnd) {
+	if s.patience.FirstEvent > 0 && (s.another || s.mustEnd) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.timer = time.AfterFunc(s.patience.First, s.tooLong)
+		s.timer = time.AfterFunc(s.patience.FirstEvent, s.tooLong)
 		if p.Gone != nil {
 			go s.untilGone(ctx, p.Gone)
 		}
@@ -89,11 +89,11 @@
 	if s.timer == nil {
 		return
 	}
-	if s.patience.Pause <= 0 {
+	if s.patience.BetweenEvents <= 0 {
 		s.timer.Stop()
 		return
 	}
-	s.timer.Reset(s.patience.Pause)
+	s.timer.Reset(s.patience.BetweenEvents)
 }
 
 // tooLong runs when the patience with the target is at its end.
@@ -114,7 +114,7 @@
 		s.end()
 		return
 	}
-	s.timer.Reset(s.patience.First) // The fleet's budget may have room later.
+	s.timer.Reset(s.patience.FirstEvent) // The fleet's budget may have room later.
 }
 
 // end cancels the attempt.
@@ -138,7 +138,7 @@
 	case errors.Is(cause, errQuarantined):
 		err = errors.Wrap(errQuarantined, err.Error())
 	case errors.Is(cause, errSilent):
-		err = errors.Wrap(errSilent, fmt.Sprintf("%v; bounds %v to the first event, %v between two", err, s.patience.First, s.patience.Pause))
+		err = errors.Wrap(errSilent, fmt.Sprintf("%v; bounds %v to the first event, %v between two", err, s.patience.FirstEvent, s.patience.BetweenEvents))
 	}
 	return err
 }
--- a/node/requestcontrol/silence_test.go
+++ b/node/requestcontrol/silence_test.go
@@ -51,8 +51,8 @@
 
 func TestASilentTargetIsLeft(t *testing.T) {
 	const never = 10 * time.Second
-	first := forward.StreamPatience(300*time.Millisecond, 250*time.Millisecond).First
-	pause := forward.StreamPatience(300*time.Millisecond, 250*time.Millisecond).Pause
+	first := forward.StreamTimeouts(300*time.Millisecond, 250*time.Millisecond).FirstEvent
+	pause := forward.StreamTimeouts(300*time.Millisecond, 250*time.Millisecond).BetweenEvents
 	event := 100 * time.Millisecond
 	for name, c := range map[string]struct {
 		rules   forward.Rules
@@ -103,7 +103,7 @@
 		if !errors.Is(err, errSilent) {
 			t.Fatal(err)
 		}
-		f.progress.Failed(fault.Unknown, true)
+		f.progress.RecordFailure(fault.Unknown, true)
 		if !f.mayTryAgain(context.Background(), err) {
 			t.Error("the repeat that was paid for is not made")
 		}
--- a/node/requestcontrol/tickets.go
+++ b/node/requestcontrol/tickets.go
@@ -151,7 +151,7 @@
 	if err != nil {
 		return err
 	}
-	h.director.Record.Notice(h.request.Route.Pool.Name, t.target, reply.Said(), reply.Sent)
+	h.director.Record.Notice(h.request.Route.Pool.Name, t.target, reply.TargetNotice(), reply.Sent)
 	_, err = readWhole(reply)
 	exchange.Close(reply)
 	if err != nil {
--- a/node/target/exchange.go
+++ b/node/target/exchange.go
@@ -22,7 +22,7 @@
 	// ReadCall decodes what a caller says of its request.
 	ReadCall(h http.Header) forward.Call
 	// WriteSend sets what the daemon says to a target.
-	WriteSend(h http.Header, s *forward.Send)
+	WriteSend(h http.Header, s *forward.SendParams)
 	// ReadHead decodes the head of a target's answer.
 	ReadHead(status int, h http.Header) forward.Head
 	// Reserve makes the order by which a target sets memory aside under an id for so
@@ -115,11 +115,11 @@
 	if err != nil {
 		return nil, &CallError{Execution: fault.NotRun, Err: errors.Wrap(err, "connect to the target")}
 	}
-	if err := ch.setProbed(c.Probed); err != nil {
+	if err := ch.setProbed(c.ProbeConnection); err != nil {
 		ch.close()
 		return nil, &CallError{Execution: fault.NotRun, Err: errors.Wrap(err, "set up the connection to the target")}
 	}
-	if c.CallerLeft != nil && c.CallerLeft() {
+	if c.CallerDisconnected != nil && c.CallerDisconnected() {
 		e.keep(ch) // Nothing was written to it.
 		return nil, &CallError{Execution: fault.NotRun, Err: ErrCallerLeft}
 	}
--- a/node/target/exchange_test.go
+++ b/node/target/exchange_test.go
@@ -20,10 +20,10 @@
 // plainDialect takes the id of an answer from a header of the test's own.
 type plainDialect struct{}
 
-func (plainDialect) ReadCall(http.Header) forward.Call      { return forward.Call{} }
-func (plainDialect) WriteSend(http.Header, *forward.Send)   {}
-func (plainDialect) Release(string, string) forward.Message { return forward.Message{} }
-func (plainDialect) Report(string) forward.Message          { return forward.Message{} }
+func (plainDialect) ReadCall(http.Header) forward.Call          { return forward.Call{} }
+func (plainDialect) WriteSend(http.Header, *forward.SendParams) {}
+func (plainDialect) Release(string, string) forward.Message     { return forward.Message{} }
+func (plainDialect) Report(string) forward.Message              { return forward.Message{} }
 
 func (plainDialect) ReadReport([]byte) (forward.Report, error) { return forward.Report{}, nil }
 
@@ -209,13 +209,13 @@
 	})
 	e := NewExchanger(plainDialect{})
 	m := message("x", "")
-	m.CallerLeft = func() bool { return true }
+	m.CallerDisconnected = func() bool { return true }
 	_, err := e.Send(context.Background(), address, m)
 	if !errors.Is(err, ErrCallerLeft) || ExecutionOf(err) != fault.NotRun {
 		t.Errorf("the send ended with %v", err)
 	}
 	m = message("x", "")
-	m.CallerLeft = func() bool { return false }
+	m.CallerDisconnected = func() bool { return false }
 	if got, err := exchange(t, e, address, m); err != nil || got != fmt.Sprint(0, 0) {
 		t.Errorf("the next call got %q %v, want the first answer of the connection that was kept", got, err)
 	}
--- a/node/target/probed_test.go
+++ b/node/target/probed_test.go
@@ -62,7 +62,7 @@
 	e := NewExchanger(plainDialect{})
 	send := func(probed bool) tcpOptions {
 		m := message("x", "")
-		m.Probed = probed
+		m.ProbeConnection = probed
 		reply, err := e.Send(context.Background(), address, m)
 		if err != nil {
 			t.Fatal(err)
--- a/node/telemetry/notice.go
+++ b/node/telemetry/notice.go
@@ -17,22 +17,22 @@
 // Notice takes in what a target said of itself beside the answer to a call sent then, and tells
 // whether it is news.
 func (r *Recorder) Notice(pool, target string, said forward.Notice, sent time.Time) bool {
-	return r.TakeWord(pool, target, forward.Word{Notice: said, Sent: sent, At: time.Now()})
+	return r.TakeWord(pool, target, forward.TimedNotice{Notice: said, Sent: sent, Received: time.Now()})
 }
 
 // TakeWord takes a target's word about itself, heard here or by another daemon, to the blackboard,
 // and to log and metrics where it is news.
-func (r *Recorder) TakeWord(pool, target string, said forward.Word) bool {
+func (r *Recorder) TakeWord(pool, target string, said forward.TimedNotice) bool {
 	if said.Notice == (forward.Notice{}) || !r.Board.Targets.Notice(target, said) {
 		return false
 	}
 	for word, holds := range map[string]bool{
-		noticeLeaving: said.Leaving, noticeRest: said.Rest > 0, noticeLimit: said.Limit.Named, noticeLifted: said.Limit.Lifted,
+		noticeLeaving: said.Draining, noticeRest: said.Backoff > 0, noticeLimit: said.Limit.Declared, noticeLifted: said.Limit.Lifted,
 	} {
 		if holds {
 			r.Metrics.Notices.WithLabelValues(pool, word).Inc()
 		}
 	}
-	r.Log.Info("target's notice", "target", target, "pool", pool, "leaving", said.Leaving, "rest_ms", said.Rest.Milliseconds(), "limit", said.Limit.String())
+	r.Log.Info("target's notice", "target", target, "pool", pool, "leaving", said.Draining, "rest_ms", said.Backoff.Milliseconds(), "limit", said.Limit.String())
 	return true
 }
