--- a/core/hostlist/incarnation_test.go
+++ b/core/hostlist/incarnation_test.go
@@ -7,11 +7,11 @@
 	"pgregory.net/rapid"
 )
 
-func started(id string, revision Position, incarnation int64, state State) Host {
+func targetWithIncarnation(id string, revision Position, incarnation int64, state State) Host {
 	return Host{ID: id, Role: RoleTarget, Address: "10.0.0.1:80", Pool: "p", State: state, Revision: revision, Incarnation: incarnation}
 }
 
-func stateOf(t *Table, id string) Host {
+func findHost(t *Table, id string) Host {
 	for _, h := range t.Hosts() {
 		if h.ID == id {
 			return h
@@ -20,40 +20,40 @@
 	return Host{}
 }
 
-// TestALaterStartReplacesAnEarlier: a target that started again under its id is another
+// TestHigherIncarnationReplacesLower: a target that started again under its id is another
 // process; what is heard of the earlier one afterwards changes nothing, but that it leaves is
 // believed until the living one says otherwise.
-func TestALaterStartReplacesAnEarlier(t *testing.T) {
+func TestHigherIncarnationReplacesLower(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := NewTable()
-	merge := func(h Host) bool { return table.Merge(Facts{AsOf: h.Revision, Hosts: []Host{h}}, now) }
-	merge(started("a", 1, 100, Live))
-	if !merge(started("a", 2, 200, Live)) || stateOf(table, "a").Incarnation != 200 {
-		t.Fatalf("a later start is no news: %+v", stateOf(table, "a"))
+	merge := func(h Host) bool { return table.Merge(Update{AsOf: h.Revision, Hosts: []Host{h}}, now) }
+	merge(targetWithIncarnation("a", 1, 100, Live))
+	if !merge(targetWithIncarnation("a", 2, 200, Live)) || findHost(table, "a").Incarnation != 200 {
+		t.Fatalf("a later start is no news: %+v", findHost(table, "a"))
 	}
-	if merge(started("a", 3, 100, Live)) || stateOf(table, "a").Incarnation != 200 {
-		t.Fatalf("an earlier start, heard later, is taken: %+v", stateOf(table, "a"))
+	if merge(targetWithIncarnation("a", 3, 100, Live)) || findHost(table, "a").Incarnation != 200 {
+		t.Fatalf("an earlier start, heard later, is taken: %+v", findHost(table, "a"))
 	}
 	if table.Revision() != 3 {
 		t.Errorf("the revision is %d: peers would tell of it again and again", table.Revision())
 	}
-	merge(started("a", 4, 100, Leaving))
-	if got := stateOf(table, "a"); got.State != Leaving || got.Incarnation != 200 {
+	merge(targetWithIncarnation("a", 4, 100, Leaving))
+	if got := findHost(table, "a"); got.State != Leaving || got.Incarnation != 200 {
 		t.Fatalf("that it leaves is not believed: %+v", got)
 	}
-	merge(started("a", 5, 200, Live))
-	if got := stateOf(table, "a"); got.State != Live {
+	merge(targetWithIncarnation("a", 5, 200, Live))
+	if got := findHost(table, "a"); got.State != Live {
 		t.Fatalf("the living one is not believed: %+v", got)
 	}
-	merge(started("a", 6, 0, Live))
-	if got := stateOf(table, "a"); got.Incarnation != 200 {
+	merge(targetWithIncarnation("a", 6, 0, Live))
+	if got := findHost(table, "a"); got.Incarnation != 200 {
 		t.Fatalf("an entry that does not tell its start is guessed to be another: %+v", got)
 	}
 }
 
-// TestStartsInAnyOrder: facts of starts that come in any order, twice, and through peers end
+// TestHighestIncarnationWinsInAnyOrder: facts of starts that come in any order, twice, and through peers end
 // in the highest start.
-func TestStartsInAnyOrder(t *testing.T) {
+func TestHighestIncarnationWinsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		// The store's history: each start is written after the one before, and beats of an
@@ -63,7 +63,7 @@
 		for revision := Position(1); revision <= 8; revision++ {
 			incarnation := int64(rapid.IntRange(1, 4).Draw(t, "start"))
 			highest = max(highest, incarnation)
-			history = append(history, started("a", revision, incarnation, Live))
+			history = append(history, targetWithIncarnation("a", revision, incarnation, Live))
 		}
 		tables := []*Table{NewTable(), NewTable()}
 		for range 30 {
@@ -73,13 +73,13 @@
 				continue
 			}
 			h := history[rapid.IntRange(0, len(history)-1).Draw(t, "fact")]
-			tables[i].Merge(Facts{AsOf: h.Revision, Hosts: []Host{h}}, now)
+			tables[i].Merge(Update{AsOf: h.Revision, Hosts: []Host{h}}, now)
 		}
 		for i, table := range tables {
 			for _, h := range history {
-				table.Merge(Facts{AsOf: h.Revision, Hosts: []Host{h}}, now)
+				table.Merge(Update{AsOf: h.Revision, Hosts: []Host{h}}, now)
 			}
-			if got := stateOf(table, "a").Incarnation; got != highest {
+			if got := findHost(table, "a").Incarnation; got != highest {
 				t.Fatalf("daemon %d believes in start %d, want %d", i, got, highest)
 			}
 		}
--- a/core/hostlist/position.go
+++ b/core/hostlist/position.go
@@ -9,29 +9,29 @@
 type Position int64
 
 const (
-	// eraBits is where the era begins: half a million changes a second for 12 days fit below.
-	eraBits = 40
+	// eraShift is where the era begins: half a million changes a second for 12 days fit below.
+	eraShift = 40
 	// confirmed marks the position of a read that was made when an era had settled. It lies
 	// between its revision and the next.
-	confirmed = 1
+	settledBit = 1
 )
 
 // FirstEra is the era of a store that never came back from a copy.
 const FirstEra = 1
 
-// At is the position of a revision in an era; the era of a store that tells none is zero.
-func At(era, revision int64) Position { return Position(era<<eraBits + revision<<1) }
+// NewPosition is the position of a revision in an era; the era of a store that tells none is zero.
+func NewPosition(era, revision int64) Position { return Position(era<<eraShift + revision<<1) }
 
 // Confirmed is the position of a read at p when the era had settled.
-func (p Position) Confirmed() Position { return p | confirmed }
+func (p Position) AsSettled() Position { return p | settledBit }
 
-func (p Position) isConfirmed() bool { return p&confirmed != 0 }
+func (p Position) isSettled() bool { return p&settledBit != 0 }
 
 // Era is the store's era.
-func (p Position) Era() int64 { return int64(p) >> eraBits }
+func (p Position) Era() int64 { return int64(p) >> eraShift }
 
 // Revision is the store's revision within the era.
-func (p Position) Revision() int64 { return int64(p) & (1<<eraBits - 1) >> 1 }
+func (p Position) Revision() int64 { return int64(p) & (1<<eraShift - 1) >> 1 }
 
 // String is era and revision as logs show them; without the era where there are none.
 func (p Position) String() string {
--- a/core/hostlist/restored.go
+++ b/core/hostlist/restored.go
@@ -6,25 +6,25 @@
 
 // MayBeCopy tells whether the store has come back from an older copy before, so that what was
 // read from it alone may be older than what others know.
-func (t *Table) MayBeCopy() bool { return t.whole.Era() > FirstEra }
+func (t *Table) StoreWasRestored() bool { return t.fullReadAt.Era() > FirstEra }
 
 // lacksLost tells whether facts may lack what was lost when the store came back from a copy: the
 // first read of a daemon that has not seen the time before.
-func (t *Table) lacksLost(f *Facts) bool {
-	return f.Whole && t.whole == 0 && f.AsOf.Era() > FirstEra && !f.AsOf.isConfirmed()
+func (t *Table) mayLackLostWrites(f *Update) bool {
+	return f.Full && t.fullReadAt == 0 && f.AsOf.Era() > FirstEra && !f.AsOf.isSettled()
 }
 
 // putListed takes over an entry of a read of the whole. One that was changed before what is
 // known here, and was not known all the same, counts from the read on: peers that know as much
 // would not ask for it by its own position.
-func (t *Table) putListed(h Host, asOf Position) bool {
+func (t *Table) putFromFullRead(h Host, asOf Position) bool {
 	mayBeOld := h.Revision.Era() < asOf.Era()
-	if mayBeOld && t.entries[h.ID] == nil && h.Revision <= t.whole {
+	if mayBeOld && t.entries[h.ID] == nil && h.Revision <= t.fullReadAt {
 		return false // A read after that did not list it, so most likely it has ended.
 	}
 	known := h.Revision <= t.revision
-	if !t.put(h) {
-		return mayBeOld && t.putLeaving(h, asOf)
+	if !t.putIfNewer(h) {
+		return mayBeOld && t.putLeavingState(h, asOf)
 	}
 	if known {
 		t.entries[h.ID].host.Revision = max(h.Revision, asOf)
@@ -34,7 +34,7 @@
 
 // putLeaving takes over that a target leaves from an entry that may be older than what is known,
 // or may have been written again after the store's return: no process takes that word back.
-func (t *Table) putLeaving(h Host, asOf Position) bool {
+func (t *Table) putLeavingState(h Host, asOf Position) bool {
 	e := t.entries[h.ID]
 	if h.State != Leaving || e.host.State != Live || h.Incarnation < e.host.Incarnation {
 		return false
@@ -43,9 +43,9 @@
 	return true
 }
 
-// afterReturn is the state that a newer entry gives a process. A store that came back from an
+// stateAfterRestore is the state that a newer entry gives a process. A store that came back from an
 // older copy lists a process as it was before it said that it leaves, under its old revision.
-func afterReturn(known, h Host) State {
+func stateAfterRestore(known, h Host) State {
 	lost := h.Revision.Era() > known.Revision.Era() && h.Revision.Revision() <= known.Revision.Revision()
 	if lost && known.State == Leaving {
 		return Leaving
--- a/core/hostlist/table.go
+++ b/core/hostlist/table.go
@@ -10,12 +10,12 @@
 // list does not hold such hosts.
 const Gone State = "gone"
 
-// Facts are what a store or a peer says of hosts. Each host carries the position at
+// Update are what a store or a peer says of hosts. Each host carries the position at
 // which the store last changed its entry, so facts may come in any order, twice, and
 // from several sides.
-type Facts struct {
+type Update struct {
 	// Whole means that a host without a fact here has no entry as of AsOf.
-	Whole bool `cbor:"1,keyasint,omitempty"`
+	Full bool `cbor:"1,keyasint,omitempty"`
 	// AsOf is the store's position up to which the facts are complete.
 	AsOf Position `cbor:"2,keyasint"`
 	// Hosts are the facts; a host of state Gone has been removed.
@@ -30,44 +30,44 @@
 // Table merges facts into a list of hosts. It is pure; the caller passes the time.
 //
 // Entries run out while the store is away, and those of living targets are back
-// within returnGrace of its return. Until then a removal is in doubt: the host stays
+// within storeReturnGrace of its return. Until then a removal is in doubt: the host stays
 // listed, and counts as gone only if no newer fact brings it back.
 type Table struct {
 	entries  map[string]*entry
 	revision Position
 	// whole is the position of the last read of the whole list.
-	whole Position
+	fullReadAt Position
 	// part is the position of the first page of a list, where that was read alone.
-	part Position
+	firstPageAt Position
 	// away is true while the store does not answer; back is when it last returned.
-	away bool
-	back time.Time
+	storeDown   bool
+	storeBackAt time.Time
 }
 
 type entry struct {
 	host Host
 	// removed is the revision of a removal in doubt, and doubtUntil when it counts;
 	// both are zero where there is no doubt.
-	removed    Position
-	doubtUntil time.Time
+	unconfirmedRemoval Position
+	confirmAt          time.Time
 	// goneAt is when the removal was learned.
 	goneAt time.Time
 }
 
 const (
-	// returnGrace is how long after the store's return removals are in doubt. Targets
+	// storeReturnGrace is how long after the store's return removals are in doubt. Targets
 	// report every 1.2 s or so and are back within some two seconds.
-	returnGrace = 2500 * time.Millisecond
+	storeReturnGrace = 2500 * time.Millisecond
 	// Removals in one answer are in doubt, also where the store was not seen to be away,
-	// from leastMass on and from massShare of the listed hosts on: a silent outage shows
-	// like this, while planned work takes a few targets away at a time. massGrace is how
+	// from massRemovalMin on and from massRemovalShare of the listed hosts on: a silent outage shows
+	// like this, while planned work takes a few targets away at a time. massRemovalGrace is how
 	// long that doubt lasts; with the pause until it is looked at (0.25 s) it stays below
 	// the 2 s after which a target that left may get no more work.
-	leastMass = 4
-	massShare = 0.25
-	massGrace = 1500 * time.Millisecond
-	// keepGone is how long removals are remembered, for peers that lag behind.
-	keepGone = time.Minute
+	massRemovalMin   = 4
+	massRemovalShare = 0.25
+	massRemovalGrace = 1500 * time.Millisecond
+	// tombstoneRetention is how long removals are remembered, for peers that lag behind.
+	tombstoneRetention = time.Minute
 )
 
 // NewTable returns an empty table.
@@ -79,65 +79,67 @@
 func (t *Table) Revision() Position {
 	revision := t.revision
 	for _, e := range t.entries {
-		if e.removed > 0 {
-			revision = min(revision, e.removed-1)
+		if e.unconfirmedRemoval > 0 {
+			revision = min(revision, e.unconfirmedRemoval-1)
 		}
 	}
 	return revision
 }
 
 // ReadWhole tells whether the whole list has been read from the store itself.
-func (t *Table) ReadWhole() bool { return t.whole > 0 }
+func (t *Table) HasFullRead() bool { return t.fullReadAt > 0 }
 
 // ReadPart tells whether the first page of the list has been read from the store itself.
-func (t *Table) ReadPart() bool { return t.part > 0 }
+func (t *Table) HasFirstPage() bool { return t.firstPageAt > 0 }
 
 // Incomplete tells whether only a part of the list is known: neither the store nor a peer has told the
 // whole as it was when the first page was read.
-func (t *Table) Incomplete() bool { return t.part > 0 && t.whole == 0 && t.Revision() < t.part }
+func (t *Table) Incomplete() bool {
+	return t.firstPageAt > 0 && t.fullReadAt == 0 && t.Revision() < t.firstPageAt
+}
 
 // Away tells whether the store is known to be away.
-func (t *Table) Away() bool { return t.away }
+func (t *Table) StoreDown() bool { return t.storeDown }
 
 // StoreAway records that the store did not answer.
-func (t *Table) StoreAway() { t.away = true }
+func (t *Table) MarkStoreDown() { t.storeDown = true }
 
 // StoreAnswered records an answer of the store and tells whether it had been away.
-func (t *Table) StoreAnswered(now time.Time) (returned bool) {
-	returned = t.away
+func (t *Table) MarkStoreUp(now time.Time) (returned bool) {
+	returned = t.storeDown
 	if returned {
-		t.away, t.back = false, now
+		t.storeDown, t.storeBackAt = false, now
 	}
 	return returned
 }
 
 // Merge takes facts in and tells whether the list of hosts has changed.
-func (t *Table) Merge(f Facts, now time.Time) bool {
+func (t *Table) Merge(f Update, now time.Time) bool {
 	changed := false
-	if f.Whole && t.whole > 0 && f.AsOf.Era() > t.whole.Era() {
-		t.back = now // What the copy lacks is written again, as after an outage.
+	if f.Full && t.fullReadAt > 0 && f.AsOf.Era() > t.fullReadAt.Era() {
+		t.storeBackAt = now // What the copy lacks is written again, as after an outage.
 	}
-	t.remember(f.Hosts, now)
+	t.recordTombstones(f.Hosts, now)
 	removals := t.removals(f)
-	doubt := t.doubt(len(removals), now)
+	doubt := t.removalConfirmTime(len(removals), now)
 	if f.Confirmed {
 		doubt = time.Time{}
 	}
 	for _, h := range f.Hosts {
-		if h.State != Gone && t.add(h, &f, now) {
+		if h.State != Gone && t.addEntry(h, &f, now) {
 			changed = true
 		}
 	}
 	for _, h := range removals {
-		t.remove(h, doubt, now)
+		t.removeEntry(h, doubt, now)
 		changed = changed || doubt.IsZero()
 	}
-	complete := f.completeTo(len(removals) > 0 && !doubt.IsZero() || t.lacksLost(&f))
+	complete := f.completeUpTo(len(removals) > 0 && !doubt.IsZero() || t.mayLackLostWrites(&f))
 	switch {
-	case f.Whole:
-		t.whole = max(t.whole, f.AsOf)
+	case f.Full:
+		t.fullReadAt = max(t.fullReadAt, f.AsOf)
 	case f.Partial:
-		t.part = max(t.part, f.AsOf)
+		t.firstPageAt = max(t.firstPageAt, f.AsOf)
 	}
 	t.revision = max(t.revision, complete)
 	return changed
@@ -147,8 +149,8 @@
 // doubt or not. A peer withholds removals that it doubts but tells of later changes, so
 // only its own word counts; the store's changes come in order, and what is in doubt of them
 // is taken off by Revision.
-func (f *Facts) completeTo(doubtful bool) Position {
-	if f.Confirmed || f.Whole && !doubtful {
+func (f *Update) completeUpTo(doubtful bool) Position {
+	if f.Confirmed || f.Full && !doubtful {
 		return f.AsOf
 	}
 	if f.Partial {
@@ -162,14 +164,14 @@
 }
 
 // doubt is when so many removals in one answer count; zero means at once.
-func (t *Table) doubt(removals int, now time.Time) time.Time {
+func (t *Table) removalConfirmTime(removals int, now time.Time) time.Time {
 	switch {
-	case t.away:
-		return now.Add(returnGrace) // Tick waits for the store's return besides.
-	case now.Before(t.back.Add(returnGrace)):
-		return t.back.Add(returnGrace)
-	case removals >= leastMass && float64(removals) >= massShare*float64(t.listed()):
-		return now.Add(massGrace)
+	case t.storeDown:
+		return now.Add(storeReturnGrace) // Tick waits for the store's return besides.
+	case now.Before(t.storeBackAt.Add(storeReturnGrace)):
+		return t.storeBackAt.Add(storeReturnGrace)
+	case removals >= massRemovalMin && float64(removals) >= massRemovalShare*float64(t.listedCount()):
+		return now.Add(massRemovalGrace)
 	default:
 		return time.Time{}
 	}
@@ -177,7 +179,7 @@
 
 // remember notes removals of hosts that are not listed, so that an older fact which
 // comes later does not bring them back.
-func (t *Table) remember(hosts []Host, now time.Time) {
+func (t *Table) recordTombstones(hosts []Host, now time.Time) {
 	for _, h := range hosts {
 		if h.State != Gone {
 			continue
@@ -193,8 +195,8 @@
 	}
 }
 
-// listed is the number of hosts that are not gone.
-func (t *Table) listed() int {
+// firstEraHost is the number of hosts that are not gone.
+func (t *Table) listedCount() int {
 	n := 0
 	for _, e := range t.entries {
 		if e.host.State != Gone {
@@ -205,7 +207,7 @@
 }
 
 // removals lists the hosts that the facts take away.
-func (t *Table) removals(f Facts) []Host {
+func (t *Table) removals(f Update) []Host {
 	var gone []Host
 	present := map[string]bool{}
 	for _, h := range f.Hosts {
@@ -214,7 +216,7 @@
 			gone = append(gone, h)
 		}
 	}
-	if !f.Whole {
+	if !f.Full {
 		return gone
 	}
 	for id, e := range t.entries {
@@ -227,33 +229,33 @@
 
 // add takes a host's entry in. One that a later read of the whole did not list is gone,
 // or, around an outage, in doubt like other removals.
-func (t *Table) add(h Host, f *Facts, now time.Time) bool {
-	if f.Whole {
-		return t.putListed(h, f.AsOf)
+func (t *Table) addEntry(h Host, f *Update, now time.Time) bool {
+	if f.Full {
+		return t.putFromFullRead(h, f.AsOf)
 	}
-	if t.entries[h.ID] != nil || h.Revision > t.whole {
-		return t.put(h)
+	if t.entries[h.ID] != nil || h.Revision > t.fullReadAt {
+		return t.putIfNewer(h)
 	}
-	doubt := t.doubt(0, now)
+	doubt := t.removalConfirmTime(0, now)
 	if doubt.IsZero() {
 		return false
 	}
-	t.put(h)
-	t.remove(Host{ID: h.ID, State: Gone, Revision: t.whole}, doubt, now)
+	t.putIfNewer(h)
+	t.removeEntry(Host{ID: h.ID, State: Gone, Revision: t.fullReadAt}, doubt, now)
 	return true
 }
 
 // put takes over a host's entry if it is newer.
-func (t *Table) put(h Host) bool {
+func (t *Table) putIfNewer(h Host) bool {
 	e := t.entries[h.ID]
-	if e != nil && h.Revision <= max(e.host.Revision, e.removed) {
-		if e.host.State == Gone || e.removed > 0 || h.Incarnation <= e.host.Incarnation {
+	if e != nil && h.Revision <= max(e.host.Revision, e.unconfirmedRemoval) {
+		if e.host.State == Gone || e.unconfirmedRemoval > 0 || h.Incarnation <= e.host.Incarnation {
 			return false
 		}
 		h.Revision = e.host.Revision // What was heard since is of an earlier process.
 	}
 	if e != nil {
-		h = afterStart(e.host, h)
+		h = resolveIncarnation(e.host, h)
 	}
 	if h.State == Gone {
 		e.host = h
@@ -268,16 +270,16 @@
 	return before != h
 }
 
-// afterStart is what a newer entry says of a host that is known. An entry of an earlier process
+// resolveIncarnation is what a newer entry says of a host that is known. An entry of an earlier process
 // under the same id, written late, says nothing of the living one; but a target that said it
 // leaves gets no new work until the living one says that it does not.
-func afterStart(known, h Host) Host {
+func resolveIncarnation(known, h Host) Host {
 	switch {
 	case h.Incarnation == 0:
 		h.Incarnation = known.Incarnation
-		h.State = afterReturn(known, h)
+		h.State = stateAfterRestore(known, h)
 	case h.Incarnation == known.Incarnation:
-		h.State = afterReturn(known, h)
+		h.State = stateAfterRestore(known, h)
 	case h.Incarnation < known.Incarnation:
 		late := h
 		h = known
@@ -290,22 +292,22 @@
 }
 
 // remove marks a host as gone, or as removed in doubt, which leaves it listed.
-func (t *Table) remove(h Host, doubt, now time.Time) {
+func (t *Table) removeEntry(h Host, doubt, now time.Time) {
 	e := t.entries[h.ID]
 	if doubt.IsZero() {
-		t.confirm(e, h.Revision, now)
+		t.confirmRemoval(e, h.Revision, now)
 		return
 	}
-	e.removed = max(e.removed, h.Revision)
-	if e.doubtUntil.IsZero() {
-		e.doubtUntil = doubt
+	e.unconfirmedRemoval = max(e.unconfirmedRemoval, h.Revision)
+	if e.confirmAt.IsZero() {
+		e.confirmAt = doubt
 	}
 }
 
 // confirm makes a removal count.
-func (t *Table) confirm(e *entry, revision Position, now time.Time) {
+func (t *Table) confirmRemoval(e *entry, revision Position, now time.Time) {
 	e.host.State, e.host.Revision, e.goneAt = Gone, revision, now
-	e.removed, e.doubtUntil = 0, time.Time{}
+	e.unconfirmedRemoval, e.confirmAt = 0, time.Time{}
 }
 
 // Tick ends doubts and forgets old removals. It tells whether the list has changed.
@@ -315,13 +317,13 @@
 	for id, e := range t.entries {
 		switch {
 		case e.host.State == Gone:
-			if now.Sub(e.goneAt) > keepGone {
+			if now.Sub(e.goneAt) > tombstoneRetention {
 				delete(t.entries, id)
 			}
-		case e.doubtUntil.IsZero() || t.away || now.Before(e.doubtUntil):
+		case e.confirmAt.IsZero() || t.storeDown || now.Before(e.confirmAt):
 		default:
-			t.revision = max(t.revision, e.removed)
-			t.confirm(e, e.removed, now)
+			t.revision = max(t.revision, e.unconfirmedRemoval)
+			t.confirmRemoval(e, e.unconfirmedRemoval, now)
 			changed = true
 		}
 	}
@@ -342,8 +344,8 @@
 
 // Since lists the facts above a position, removals included, for a peer. A removal in
 // doubt is not told yet.
-func (t *Table) Since(revision Position) Facts {
-	f := Facts{AsOf: t.Revision(), Confirmed: true}
+func (t *Table) Since(revision Position) Update {
+	f := Update{AsOf: t.Revision(), Confirmed: true}
 	for _, e := range t.entries {
 		if e.host.Revision > revision {
 			f.Hosts = append(f.Hosts, e.host)
--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -27,9 +27,9 @@
 // The pace and the bounds of membership.
 const (
 	// Neighbours is the most links that a daemon opens.
-	Neighbours = 4
-	// HeartbeatEvery is the time between heartbeats on a link.
-	HeartbeatEvery = time.Second
+	MaxNeighbours = 4
+	// HeartbeatInterval is the time between heartbeats on a link.
+	HeartbeatInterval = time.Second
 	// DeadAfter is the silence after which a neighbour is declared dead.
 	DeadAfter = 3 * time.Second
 	// ForgetAfter is how long an open fleet remembers a daemon that died or left, and
@@ -90,15 +90,15 @@
 	Incarnation int64
 	// Started is the incarnation that the process began with, as far as heard; a
 	// denial raises Incarnation but not this.
-	Started int64
+	StartIncarnation int64
 	// Revision is the settings revision it told, zero if it is no neighbour.
-	Revision int64
+	SettingsRevision int64
 	// Heard is when it was last heard directly.
-	Heard time.Time
+	LastHeard time.Time
 	// watched is when this daemon began to expect heartbeats.
-	watched time.Time
+	expectedSince time.Time
 	// ended is when an open fleet's daemon was found dead or gone.
-	ended time.Time
+	endedAt time.Time
 }
 
 // Table is the view of the fleet.
@@ -110,19 +110,19 @@
 	// stale is true where the members have changed since the neighbours were chosen. They are
 	// chosen when they are next asked for: a daemon that joins hears of all others in one
 	// message, and to choose anew for each of 294 took 12 ms of a core, 0.06 s of a fifth of one.
-	stale bool
+	neighboursStale bool
 	// rumors about daemons that are not on the list yet.
-	early map[string]Rumor
+	unlistedRumors map[string]Rumor
 	// open fleets have no list; own is how this daemon introduces itself.
-	open bool
-	own  Host
+	openFleet bool
+	selfHost  Host
 	// leaving is true once this daemon has said that it goes.
 	leaving bool
 }
 
 // NewTable returns a table that knows only its own daemon.
 func NewTable(self string, incarnation int64) *Table {
-	return &Table{self: self, incarnation: incarnation, members: map[string]*Member{}, early: map[string]Rumor{}}
+	return &Table{self: self, incarnation: incarnation, members: map[string]*Member{}, unlistedRumors: map[string]Rumor{}}
 }
 
 // Incarnation is the daemon's own incarnation, which rises when others wrongly
@@ -137,7 +137,7 @@
 		m := t.members[h.Name]
 		if m == nil || m.Address != h.Address {
 			m = &Member{}
-			if r, ok := t.early[h.Name]; ok {
+			if r, ok := t.unlistedRumors[h.Name]; ok {
 				m.State, m.Incarnation = r.State, r.Incarnation
 			}
 		}
@@ -145,7 +145,7 @@
 		members[h.Name] = m
 	}
 	t.members = members
-	clear(t.early)
+	clear(t.unlistedRumors)
 	t.chooseNeighbours(now)
 }
 
@@ -153,23 +153,23 @@
 func (t *Table) chooseNeighbours(now time.Time) {
 	var others []string
 	for name, m := range t.members {
-		if name != t.self && (!t.open || m.State == Alive) {
+		if name != t.self && (!t.openFleet || m.State == Alive) {
 			others = append(others, name)
 		}
 	}
-	chosen := rendezvous.Top(t.self, others, Neighbours-1)
+	chosen := rendezvous.Top(t.self, others, MaxNeighbours-1)
 	if next := t.successor(others); next != "" && !slices.Contains(chosen, next) {
 		chosen = append(chosen, next)
 	} else if len(others) > len(chosen) {
-		chosen = rendezvous.Top(t.self, others, Neighbours)
+		chosen = rendezvous.Top(t.self, others, MaxNeighbours)
 	}
 	for _, name := range chosen {
 		if !slices.Contains(t.neighbours, name) {
-			t.members[name].watched = now
+			t.members[name].expectedSince = now
 		}
 	}
 	slices.Sort(chosen)
-	t.neighbours, t.stale = chosen, false
+	t.neighbours, t.neighboursStale = chosen, false
 }
 
 // ringKey places hosts on the ring.
@@ -190,7 +190,7 @@
 
 // NeighbourNames lists the daemons to keep links to.
 func (t *Table) NeighbourNames() []string {
-	if t.stale {
+	if t.neighboursStale {
 		t.chooseNeighbours(time.Time{})
 	}
 	return t.neighbours
@@ -198,14 +198,14 @@
 
 // Heard takes a direct sign of life, with the incarnation that the process began
 // with and the one in force. It returns a rumor to pass on, if it is news.
-func (t *Table) Heard(name string, started, incarnation, revision int64, now time.Time) (Rumor, bool) {
+func (t *Table) RecordHeartbeat(name string, started, incarnation, revision int64, now time.Time) (Rumor, bool) {
 	m := t.members[name]
 	if m == nil {
 		return Rumor{}, false
 	}
-	m.Heard = now
-	m.Revision = revision
-	m.Started = max(m.Started, started)
+	m.LastHeard = now
+	m.SettingsRevision = revision
+	m.StartIncarnation = max(m.StartIncarnation, started)
 	return t.Receive(Rumor{Name: name, Incarnation: incarnation, State: Alive})
 }
 
@@ -213,14 +213,14 @@
 // one, or for one of the daemon's own death the denial.
 func (t *Table) Receive(r Rumor) (Rumor, bool) {
 	if r.Name == t.self {
-		return t.deny(r)
+		return t.refute(r)
 	}
 	m := t.members[r.Name]
-	if m == nil && t.open {
-		return t.introduce(r)
+	if m == nil && t.openFleet {
+		return t.addMember(r)
 	}
 	if m == nil {
-		t.early[r.Name] = r
+		t.unlistedRumors[r.Name] = r
 		return Rumor{}, false
 	}
 	if !newer(r, m) {
@@ -229,9 +229,9 @@
 	// A first sign of life of a listed daemon is what everybody assumes anyway.
 	expected := r.State == Alive && m.State == Alive && m.Incarnation == 0
 	m.State, m.Incarnation = r.State, r.Incarnation
-	if t.open {
-		t.follow(m, r)
-		return m.rumor(), true
+	if t.openFleet {
+		t.updateMember(m, r)
+		return m.asRumor(), true
 	}
 	return r, !expected
 }
@@ -239,12 +239,12 @@
 // Leave notes that this daemon goes, so that it does not deny what is said of it.
 func (t *Table) Leave() { t.leaving = true }
 
-func (t *Table) deny(r Rumor) (Rumor, bool) {
+func (t *Table) refute(r Rumor) (Rumor, bool) {
 	if r.State == Alive || r.Incarnation < t.incarnation || t.leaving {
 		return Rumor{}, false
 	}
 	t.incarnation = r.Incarnation + 1
-	if t.open {
+	if t.openFleet {
 		t.members[t.self].Incarnation = t.incarnation
 		return t.Introduction(), true
 	}
@@ -254,15 +254,15 @@
 // Tick declares silent neighbours dead and returns the rumors to send.
 func (t *Table) Tick(now time.Time) []Rumor {
 	var rumors []Rumor
-	t.forget(now)
+	t.removeEnded(now)
 	for _, name := range slices.Clone(t.NeighbourNames()) {
 		m := t.members[name]
-		if m.watched.IsZero() && t.open {
-			m.watched = now
+		if m.expectedSince.IsZero() && t.openFleet {
+			m.expectedSince = now
 		}
-		last := m.Heard
-		if m.watched.After(last) {
-			last = m.watched
+		last := m.LastHeard
+		if m.expectedSince.After(last) {
+			last = m.expectedSince
 		}
 		if m.State != Alive || now.Sub(last) < DeadAfter {
 			continue
@@ -270,7 +270,7 @@
 		m.State = Dead
 		rumors = append(rumors, Rumor{Name: name, Incarnation: m.Incarnation, State: Dead})
 	}
-	if t.open && len(rumors) > 0 {
+	if t.openFleet && len(rumors) > 0 {
 		t.chooseNeighbours(now)
 	}
 	return rumors
@@ -278,14 +278,14 @@
 
 // Void forgets when neighbours were heard, after a pause of the process: they are
 // given the full time again before they are declared dead.
-func (t *Table) Void(now time.Time) {
+func (t *Table) ResetTimeouts(now time.Time) {
 	for _, m := range t.members {
-		m.watched = now
+		m.expectedSince = now
 	}
 }
 
 // News lists what differs from "all listed daemons live", for a new link.
-func (t *Table) News() []Rumor {
+func (t *Table) SyncRumors() []Rumor {
 	rumors := []Rumor{{Name: t.self, Incarnation: t.incarnation, State: Alive}}
 	for name, m := range t.members {
 		if m.State != Alive && name != t.self {
@@ -316,7 +316,7 @@
 
 // Living lists the names of the daemons that are believed to be alive, itself
 // included, sorted.
-func (t *Table) Living() []string {
+func (t *Table) AliveNames() []string {
 	var names []string
 	for name, m := range t.members {
 		if name == t.self || m.State == Alive {
@@ -329,22 +329,22 @@
 
 // Others counts the living daemons beside this one and tells whether one of them has
 // settings.
-func (t *Table) Others() (living int, haveSettings bool) {
+func (t *Table) CountOthers() (living int, haveSettings bool) {
 	for name, m := range t.members {
 		if name == t.self || m.State != Alive {
 			continue
 		}
 		living++
-		haveSettings = haveSettings || m.Revision > 0
+		haveSettings = haveSettings || m.SettingsRevision > 0
 	}
 	return living, haveSettings
 }
 
 // Size is the number of living daemons, itself included.
-func (t *Table) Size() int {
-	living, _ := t.Others()
+func (t *Table) AliveCount() int {
+	living, _ := t.CountOthers()
 	return living + 1
 }
 
 // Listed is the number of daemons on the platform's list, at least one.
-func (t *Table) Listed() int { return max(1, len(t.members)) }
+func (t *Table) ListedCount() int { return max(1, len(t.members)) }
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -10,17 +10,17 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// mesh is a number of tables with their links; rumors travel at once.
-type mesh struct {
-	tables map[string]*Table
-	down   map[string]bool
-	side   map[string]int
-	now    time.Time
-	hops   int
+// testFleet is a number of tables with their links; rumors travel at once.
+type testFleet struct {
+	tables    map[string]*Table
+	down      map[string]bool
+	partition map[string]int
+	now       time.Time
+	maxHops   int
 }
 
-func newMesh(n int) *mesh {
-	m := &mesh{tables: map[string]*Table{}, down: map[string]bool{}, side: map[string]int{}, now: epoch}
+func newTestFleet(n int) *testFleet {
+	m := &testFleet{tables: map[string]*Table{}, down: map[string]bool{}, partition: map[string]int{}, now: epoch}
 	var hosts []Host
 	for i := range n {
 		hosts = append(hosts, Host{Name: fmt.Sprint("d", i), Address: fmt.Sprint("a", i)})
@@ -33,19 +33,19 @@
 	return m
 }
 
-func (m *mesh) linked(a, b string) bool {
-	return !m.down[a] && !m.down[b] && m.side[a] == m.side[b]
+func (m *testFleet) connected(a, b string) bool {
+	return !m.down[a] && !m.down[b] && m.partition[a] == m.partition[b]
 }
 
 // links lists both ends of a daemon's links, as links work in both directions.
-func (m *mesh) links(name string) []string {
+func (m *testFleet) links(name string) []string {
 	var list []string
 	for other, t := range m.tables {
 		for _, n := range t.NeighbourNames() {
-			if other == name && m.linked(name, n) {
+			if other == name && m.connected(name, n) {
 				list = append(list, n)
 			}
-			if n == name && m.linked(name, other) {
+			if n == name && m.connected(name, other) {
 				list = append(list, other)
 			}
 		}
@@ -53,7 +53,7 @@
 	return list
 }
 
-func (m *mesh) spread(from string, r Rumor) {
+func (m *testFleet) gossip(from string, r Rumor) {
 	type item struct {
 		to   string
 		r    Rumor
@@ -70,27 +70,27 @@
 		i := queue[0]
 		queue = queue[1:]
 		if next, news := m.tables[i.to].Receive(i.r); news {
-			m.hops = max(m.hops, i.hops)
+			m.maxHops = max(m.maxHops, i.hops)
 			push(i.to, next, i.hops+1)
 		}
 	}
 }
 
-func (m *mesh) second() {
-	m.now = m.now.Add(HeartbeatEvery)
+func (m *testFleet) runSecond() {
+	m.now = m.now.Add(HeartbeatInterval)
 	for name, t := range m.tables {
 		for _, n := range t.NeighbourNames() {
-			if !m.linked(name, n) {
+			if !m.connected(name, n) {
 				continue
 			}
 			for _, pair := range [][2]string{{name, n}, {n, name}} {
 				to := m.tables[pair[0]]
-				if r, news := to.Heard(pair[1], 1, m.tables[pair[1]].Incarnation(), 1, m.now); news {
-					m.spread(pair[0], r)
+				if r, news := to.RecordHeartbeat(pair[1], 1, m.tables[pair[1]].Incarnation(), 1, m.now); news {
+					m.gossip(pair[0], r)
 				}
-				for _, r := range m.tables[pair[1]].News() {
+				for _, r := range m.tables[pair[1]].SyncRumors() {
 					if next, news := to.Receive(r); news {
-						m.spread(pair[0], next)
+						m.gossip(pair[0], next)
 					}
 				}
 			}
@@ -101,71 +101,71 @@
 			continue
 		}
 		for _, r := range t.Tick(m.now) {
-			m.spread(name, r)
+			m.gossip(name, r)
 		}
 	}
 }
 
-func TestADeadDaemonIsKnownEverywhereAndLinksStayBounded(t *testing.T) {
+func TestDeathReachesWholeFleetOverBoundedLinks(t *testing.T) {
 	for _, n := range []int{2, 6, 60, 520} {
-		m := newMesh(n)
+		m := newTestFleet(n)
 		for _, table := range m.tables {
-			if got := len(table.NeighbourNames()); got > Neighbours {
+			if got := len(table.NeighbourNames()); got > MaxNeighbours {
 				t.Fatalf("%d links in a fleet of %d", got, n)
 			}
 		}
-		m.second()
+		m.runSecond()
 		m.down["d1"] = true
 		for range 4 {
-			m.second()
+			m.runSecond()
 		}
 		for name, table := range m.tables {
 			member, _ := table.Member("d1")
 			if name != "d1" && member.State != Dead {
 				t.Fatalf("of %d daemons, %s believes d1 %v", n, name, member.State)
 			}
-			if name != "d1" && len(table.Living()) != n-1 {
-				t.Fatalf("of %d daemons, %s believes %d alive", n, name, len(table.Living()))
+			if name != "d1" && len(table.AliveNames()) != n-1 {
+				t.Fatalf("of %d daemons, %s believes %d alive", n, name, len(table.AliveNames()))
 			}
 		}
-		if m.hops > 12 {
-			t.Errorf("the news took %d hops among %d", m.hops, n)
+		if m.maxHops > 12 {
+			t.Errorf("the news took %d hops among %d", m.maxHops, n)
 		}
 	}
 }
 
-func TestBothSidesOfASplitFindTogetherAgain(t *testing.T) {
+func TestPartitionHeals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 30).Draw(t, "n")
-		m := newMesh(n)
-		m.second()
+		m := newTestFleet(n)
+		m.runSecond()
 		for name := range m.tables {
-			m.side[name] = 0
+			m.partition[name] = 0
 		}
 		for i := range n {
-			m.side[fmt.Sprint("d", i)] = rapid.IntRange(0, 1).Draw(t, "side")
+			m.partition[fmt.Sprint("d", i)] = rapid.IntRange(0, 1).Draw(t, "side")
 		}
 		for range 5 {
-			m.second()
+			m.runSecond()
 		}
-		clear(m.side)
+		clear(m.partition)
 		for range 6 {
-			m.second()
+			m.runSecond()
 		}
 		for name, table := range m.tables {
-			if got := len(table.Living()); got != n {
+			if got := len(table.AliveNames()); got != n {
 				t.Fatalf("%s believes %d of %d alive after the split", name, got, n)
 			}
 		}
 	})
 }
 
-func TestAPausedDaemonDoesNotDeclareOthersDead(t *testing.T) {
-	m := newMesh(3)
-	m.second()
+func TestResetTimeoutsAfterPauseDeclaresNoDeaths(t *testing.T) {
+	m := newTestFleet(3)
+	m.runSecond()
 	table := m.tables["d0"]
 	woken := m.now.Add(time.Hour)
-	table.Void(woken)
+	table.ResetTimeouts(woken)
 	if rumors := table.Tick(woken); len(rumors) != 0 {
 		t.Fatalf("says %v on old beliefs", rumors)
 	}
--- a/core/membership/open.go
+++ b/core/membership/open.go
@@ -11,8 +11,8 @@
 // NewOpenTable returns a table of an open fleet, which knows only its own daemon.
 func NewOpenTable(own Host, incarnation int64) *Table {
 	t := NewTable(own.Name, incarnation)
-	t.open, t.own = true, own
-	t.members[own.Name] = &Member{Host: own, Incarnation: incarnation, Started: incarnation}
+	t.openFleet, t.selfHost = true, own
+	t.members[own.Name] = &Member{Host: own, Incarnation: incarnation, StartIncarnation: incarnation}
 	return t
 }
 
@@ -20,22 +20,22 @@
 func (t *Table) Introduction() Rumor {
 	return Rumor{
 		Name: t.self, Incarnation: t.incarnation, State: Alive,
-		Address: t.own.Address, DataCentre: t.own.DataCentre, Region: t.own.Region, Cores: t.own.Cores,
+		Address: t.selfHost.Address, DataCentre: t.selfHost.DataCentre, Region: t.selfHost.Region, Cores: t.selfHost.Cores,
 	}
 }
 
 // Everybody lists all that is known of an open fleet, for a daemon that lacks some.
-func (t *Table) Everybody() []Rumor {
+func (t *Table) AllRumors() []Rumor {
 	rumors := []Rumor{t.Introduction()}
 	for name, m := range t.members {
 		if name != t.self {
-			rumors = append(rumors, m.rumor())
+			rumors = append(rumors, m.asRumor())
 		}
 	}
 	return rumors
 }
 
-func (m *Member) rumor() Rumor {
+func (m *Member) asRumor() Rumor {
 	return Rumor{
 		Name: m.Name, Incarnation: m.Incarnation, State: m.State,
 		Address: m.Address, DataCentre: m.DataCentre, Region: m.Region, Cores: m.Cores,
@@ -46,7 +46,7 @@
 // their Digests.
 func (t *Table) Digest() uint64 {
 	sum := uint64(0)
-	for _, d := range t.Digests() {
+	for _, d := range t.BucketDigests() {
 		sum += d
 	}
 	return sum
@@ -61,7 +61,7 @@
 const digestKey = "digest"
 
 // Digests identify who is alive in an open fleet, in parts.
-func (t *Table) Digests() []uint64 {
+func (t *Table) BucketDigests() []uint64 {
 	digests := make([]uint64, digestBuckets)
 	for name, m := range t.members {
 		if name == t.self || m.State == Alive {
@@ -74,19 +74,19 @@
 
 // Differing lists what is known of the members in whose parts a peer's digests differ. When
 // both sides have told each other that, both know what either knew.
-func (t *Table) Differing(theirs []uint64) []Rumor {
+func (t *Table) DifferingRumors(theirs []uint64) []Rumor {
 	if len(theirs) != digestBuckets {
-		return t.Everybody() // The peer's version compares in other parts.
+		return t.AllRumors() // The peer's version compares in other parts.
 	}
-	own := t.Digests()
-	return slices.DeleteFunc(t.Everybody(), func(r Rumor) bool {
+	own := t.BucketDigests()
+	return slices.DeleteFunc(t.AllRumors(), func(r Rumor) bool {
 		part := rendezvous.Score(digestKey, r.Name) % digestBuckets
 		return own[part] == theirs[part]
 	})
 }
 
 // Lost lists the daemons of an open fleet that died and may come back.
-func (t *Table) Lost() []Member {
+func (t *Table) DeadMembers() []Member {
 	var lost []Member
 	for _, m := range t.members {
 		if m.State == Dead {
@@ -98,7 +98,7 @@
 }
 
 // introduce adds a daemon that a rumor of an open fleet tells of.
-func (t *Table) introduce(r Rumor) (Rumor, bool) {
+func (t *Table) addMember(r Rumor) (Rumor, bool) {
 	if r.State != Alive || r.Address == "" {
 		return Rumor{}, false
 	}
@@ -106,17 +106,17 @@
 		Host:        Host{Name: r.Name, Address: r.Address, DataCentre: r.DataCentre, Region: r.Region, Cores: r.Cores},
 		Incarnation: r.Incarnation,
 	}
-	t.stale = true
+	t.neighboursStale = true
 	return r, true
 }
 
 // follow takes over what a newer rumor of an open fleet's daemon changes.
-func (t *Table) follow(m *Member, r Rumor) {
-	m.ended, m.watched = time.Time{}, time.Time{}
+func (t *Table) updateMember(m *Member, r Rumor) {
+	m.endedAt, m.expectedSince = time.Time{}, time.Time{}
 	if r.Address != "" {
 		m.Address, m.DataCentre, m.Region, m.Cores = r.Address, r.DataCentre, r.Region, r.Cores
 	}
-	t.stale = true
+	t.neighboursStale = true
 }
 
 func newer(r Rumor, m *Member) bool {
@@ -127,16 +127,16 @@
 }
 
 // forget drops daemons of an open fleet that ended long ago.
-func (t *Table) forget(now time.Time) {
-	if !t.open {
+func (t *Table) removeEnded(now time.Time) {
+	if !t.openFleet {
 		return
 	}
 	for name, m := range t.members {
 		switch {
 		case m.State == Alive || name == t.self:
-		case m.ended.IsZero():
-			m.ended = now
-		case now.Sub(m.ended) > ForgetAfter:
+		case m.endedAt.IsZero():
+			m.endedAt = now
+		case now.Sub(m.endedAt) > ForgetAfter:
 			delete(t.members, name)
 		}
 	}
--- a/core/membership/strong.go
+++ b/core/membership/strong.go
@@ -1,20 +1,20 @@
 package membership
 
-// strongShare is the part of the strongest host's processor from which a host counts as
+// minStrongShare is the part of the strongest host's processor from which a host counts as
 // strong. Hosts of one kind are all strong; where kinds are mixed they differ fourfold.
-const strongShare = 0.5
+const minStrongShare = 0.5
 
-// Strong keeps the members whose hosts give them much of a processor, which are those to
+// StrongMembers keeps the members whose hosts give them much of a processor, which are those to
 // take on work for all. A member that has not told counts as weak; where nobody has, all are
 // alike.
-func Strong(members []Member) []Member {
+func StrongMembers(members []Member) []Member {
 	most := 0.0
 	for _, m := range members {
 		most = max(most, m.Cores)
 	}
 	var strong []Member
 	for _, m := range members {
-		if m.Cores >= strongShare*most {
+		if m.Cores >= minStrongShare*most {
 			strong = append(strong, m)
 		}
 	}
--- a/core/membership/strong_test.go
+++ b/core/membership/strong_test.go
@@ -22,7 +22,7 @@
 	}
 	for name, c := range cases {
 		got := ""
-		for _, m := range Strong(c.members) {
+		for _, m := range StrongMembers(c.members) {
 			got += m.Name
 		}
 		if got != c.want {
@@ -31,14 +31,14 @@
 	}
 }
 
-// TestCoresAreIntroduced: others learn what a host gives its daemon with the introduction
+// TestCoresSpreadWithRumors: others learn what a host gives its daemon with the introduction
 // and with what is passed on.
-func TestCoresAreIntroduced(t *testing.T) {
+func TestCoresSpreadWithRumors(t *testing.T) {
 	a := NewOpenTable(Host{Name: "a", Address: "a:1", Cores: 0.8}, 1)
 	b := NewOpenTable(Host{Name: "b", Address: "b:1", Cores: 0.2}, 1)
 	c := NewOpenTable(Host{Name: "c", Address: "c:1"}, 1)
 	b.Receive(a.Introduction())
-	for _, r := range b.Everybody() {
+	for _, r := range b.AllRumors() {
 		c.Receive(r)
 	}
 	for name, want := range map[string]float64{"a": 0.8, "b": 0.2} {
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -17,42 +17,42 @@
 	"doorstack.dev/core/rendezvous"
 )
 
-// PerDataCentre is the most daemons of a data centre that watch, and PerFleet the number that
+// MaxPerDataCentre is the most daemons of a data centre that watch, and MinPerFleet the number that
 // the whole fleet needs: one in each data centre, and more up to this. An outage that turns a
 // third of the hosts away cuts six of them off together in one of 700 cases. Each change ends
 // the wait of each watcher: a played day of 123 hosts in five data centres took 569 calls in
 // place of 1,354 with two in each and a hold of 1.8 s.
 const (
-	PerDataCentre = 2
-	PerFleet      = 6
+	MaxPerDataCentre = 2
+	MinPerFleet      = 6
 )
 
 // The bounds of a hold. A change that all watches miss is found at the end of one of them.
 const (
 	// AnswerMargin is how long an answer may come after the end of the hold.
 	AnswerMargin = 800 * time.Millisecond
-	// throughFleet is how long news takes to all daemons, as measured over 76 hosts.
-	throughFleet = 400 * time.Millisecond
-	// holdMost bounds a hold where a platform allows more: no operator should wait longer for
+	// fleetPropagation is how long news takes to all daemons, as measured over 76 hosts.
+	fleetPropagation = 400 * time.Millisecond
+	// maxHold bounds a hold where a platform allows more: no operator should wait longer for
 	// a change to be in force, whatever the platform puts up with.
-	holdMost = 4 * time.Second
-	// holdLeast bounds the calls where a platform asks for more haste: two a second by each
+	maxHold = 4 * time.Second
+	// minHold bounds the calls where a platform asks for more haste: two a second by each
 	// watcher.
-	holdLeast = 500 * time.Millisecond
-	// HoldDefault suits platforms that do not say how soon their store settles: 3 s is the
+	minHold = 500 * time.Millisecond
+	// DefaultHold suits platforms that do not say how soon their store settles: 3 s is the
 	// shortest that users have asked for.
-	HoldDefault = 1800 * time.Millisecond
+	DefaultHold = 1800 * time.Millisecond
 )
 
-// Hold is the longest time that a watch is held, where the platform's store settles in so much
+// HoldTime is the longest time that a watch is held, where the platform's store settles in so much
 // time after it was disturbed: what it cut without a word has to be known everywhere then. Each
 // watcher holds as if it were the only one that reaches the store. Where nothing changes six
 // watchers make 3.3 calls a second for 3 s, and 1.6 for 5 s.
-func Hold(settles time.Duration) time.Duration {
+func HoldTime(settles time.Duration) time.Duration {
 	if settles <= 0 {
-		return HoldDefault
+		return DefaultHold
 	}
-	return min(holdMost, max(holdLeast, settles-AnswerMargin-throughFleet))
+	return min(maxHold, max(minHold, settles-AnswerMargin-fleetPropagation))
 }
 
 // Member is a living daemon of the fleet.
@@ -62,22 +62,22 @@
 	Strong bool
 }
 
-// Watches decides for one daemon. Strong ones watch before others: whoever watches reads all
+// ShouldWatch decides for one daemon. Strong ones watch before others: whoever watches reads all
 // that changes from the store, a megabyte where settings are large, which takes 0.5 s of a
 // link of 20 Mbit/s and 0.3 s of a fifth of a core before the first peer can have it. One that
 // is not among the members is alone as far as it knows, and watches.
-func Watches(self string, members []Member) bool {
+func ShouldWatch(self string, members []Member) bool {
 	at := slices.IndexFunc(members, func(m Member) bool { return m.Name == self })
 	if at < 0 {
 		return true
 	}
 	own := members[at].DataCentre
-	place := slices.Index(watchersOf(own, members), self)
-	return place == 0 || place > 0 && hasSecond(own, members)
+	place := slices.Index(candidates(own, members), self)
+	return place == 0 || place > 0 && secondWatches(own, members)
 }
 
-// watchersOf lists the daemons of a data centre that may watch, the first choice first.
-func watchersOf(dataCentre string, members []Member) []string {
+// candidates lists the daemons of a data centre that may watch, the first choice first.
+func candidates(dataCentre string, members []Member) []string {
 	var strong, weak []string
 	for _, m := range members {
 		switch {
@@ -88,21 +88,21 @@
 			weak = append(weak, m.Name)
 		}
 	}
-	watchers := rendezvous.Top(watchKey, strong, PerDataCentre)
-	return append(watchers, rendezvous.Top(watchKey, weak, PerDataCentre-len(watchers))...)
+	watchers := rendezvous.Top(scoreKey, strong, MaxPerDataCentre)
+	return append(watchers, rendezvous.Top(scoreKey, weak, MaxPerDataCentre-len(watchers))...)
 }
 
-// hasSecond tells whether the second choice of a data centre watches too: in as many data
-// centres as the fleet needs for PerFleet watchers.
-func hasSecond(dataCentre string, members []Member) bool {
+// secondWatches tells whether the second choice of a data centre watches too: in as many data
+// centres as the fleet needs for MinPerFleet watchers.
+func secondWatches(dataCentre string, members []Member) bool {
 	var centres []string
 	for _, m := range members {
 		if !slices.Contains(centres, m.DataCentre) {
 			centres = append(centres, m.DataCentre)
 		}
 	}
-	return slices.Contains(rendezvous.Top(watchKey, centres, max(0, PerFleet-len(centres))), dataCentre)
+	return slices.Contains(rendezvous.Top(scoreKey, centres, max(0, MinPerFleet-len(centres))), dataCentre)
 }
 
-// watchKey keeps the scores of watchers apart from others.
-const watchKey = "watch"
+// scoreKey keeps the scores of watchers apart from others.
+const scoreKey = "watch"
--- a/core/watch/watch_test.go
+++ b/core/watch/watch_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func fleet(t *rapid.T) []Member {
+func drawFleet(t *rapid.T) []Member {
 	var members []Member
 	for c := range rapid.IntRange(1, 8).Draw(t, "data centres") {
 		for i := range rapid.IntRange(1, 20).Draw(t, "daemons") {
@@ -20,27 +20,27 @@
 }
 
 func watchers(members []Member) []Member {
-	return slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return !Watches(m.Name, members) })
+	return slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return !ShouldWatch(m.Name, members) })
 }
 
-// wanted is the number of daemons that have to watch in a data centre of so many, in a fleet
-// of so many data centres: all that are needed for PerFleet, no more than PerDataCentre.
-func wanted(daemons, centres int) (least, most int) {
-	least, most = 1, min(daemons, PerDataCentre)
+// watcherBounds is the number of daemons that have to watch in a data centre of so many, in a fleet
+// of so many data centres: all that are needed for MinPerFleet, no more than MaxPerDataCentre.
+func watcherBounds(daemons, centres int) (least, most int) {
+	least, most = 1, min(daemons, MaxPerDataCentre)
 	switch {
-	case centres*PerDataCentre <= PerFleet:
+	case centres*MaxPerDataCentre <= MinPerFleet:
 		least = most
-	case centres >= PerFleet:
+	case centres >= MinPerFleet:
 		most = 1
 	}
 	return least, most
 }
 
-// TestEachDataCentreWatches: in each data centre a daemon watches, in as many a second one as
+// TestEachDataCentreHasWatchers: in each data centre a daemon watches, in as many a second one as
 // the fleet needs, and where one of them dies another takes its place.
-func TestEachDataCentreWatches(t *testing.T) {
+func TestEachDataCentreHasWatchers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		members := fleet(t)
+		members := drawFleet(t)
 		for len(members) > 0 {
 			size, found := map[string]int{}, map[string]int{}
 			for _, m := range members {
@@ -50,7 +50,7 @@
 				found[m.DataCentre]++
 			}
 			for centre, n := range size {
-				if least, most := wanted(n, len(size)); found[centre] < least || found[centre] > most {
+				if least, most := watcherBounds(n, len(size)); found[centre] < least || found[centre] > most {
 					t.Fatalf("%d watchers of %d daemons in %s, one of %d data centres", found[centre], n, centre, len(size))
 				}
 			}
@@ -60,69 +60,69 @@
 	})
 }
 
-// TestEnoughWatch: a fleet of any shape has PerFleet watchers where its data centres have
+// TestWatcherCount: a fleet of any shape has MinPerFleet watchers where its data centres have
 // enough daemons, and one in each of them at least.
-func TestEnoughWatch(t *testing.T) {
+func TestWatcherCount(t *testing.T) {
 	for centres := 1; centres <= 8; centres++ {
 		var members []Member
 		for i := range 60 * centres {
 			members = append(members, Member{fmt.Sprint("d", i), fmt.Sprint("c", i%centres), i%7 == 0})
 		}
-		want := max(centres, min(PerFleet, centres*PerDataCentre))
+		want := max(centres, min(MinPerFleet, centres*MaxPerDataCentre))
 		if got := len(watchers(members)); got != want {
 			t.Errorf("%d data centres: %d watchers, want %d", centres, got, want)
 		}
 	}
 }
 
-// TestAnyWatcherAloneIsInTime: all watches are cut without a word and all watchers but one
+// TestSingleWatcherFindsChangeWithinSettleTime: all watches are cut without a word and all watchers but one
 // are cut off from the store, unknown to their peers. That one finds a change within the time
 // in which the store settles, with what the way through a large fleet takes. With one watcher
 // that looked often and five that held for up to 8 s, which one it was decided: a change came
 // 3.6 s late.
-func TestAnyWatcherAloneIsInTime(t *testing.T) {
+func TestSingleWatcherFindsChangeWithinSettleTime(t *testing.T) {
 	const (
 		answerMargin = 800 * time.Millisecond
 		throughFleet = 400 * time.Millisecond
 	)
 	for _, settles := range []time.Duration{1700 * time.Millisecond, 2 * time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second, 20 * time.Second} {
-		if late := Hold(settles) + answerMargin + throughFleet; late > settles {
+		if late := HoldTime(settles) + answerMargin + throughFleet; late > settles {
 			t.Errorf("a change is known after %v, the store settles in %v", late, settles)
 		}
 	}
-	if Hold(0) > Hold(3*time.Second) {
-		t.Errorf("a platform that does not say how soon its store settles is asked each %v", Hold(0))
+	if HoldTime(0) > HoldTime(3*time.Second) {
+		t.Errorf("a platform that does not say how soon its store settles is asked each %v", HoldTime(0))
 	}
 }
 
-// TestAloneItWatches: a daemon that knows nobody, not even itself, watches.
-func TestAloneItWatches(t *testing.T) {
+// TestUnlistedDaemonWatches: a daemon that knows nobody, not even itself, watches.
+func TestUnlistedDaemonWatches(t *testing.T) {
 	for _, members := range [][]Member{nil, {{"other", "c", true}}} {
-		if !Watches("self", members) {
+		if !ShouldWatch("self", members) {
 			t.Errorf("among %v it does not watch", members)
 		}
 	}
 }
 
-// TestCallsDoNotGrowWithTheFleet: a fleet of 76 in three data centres makes as many calls
+// TestCallRateIsIndependentOfFleetSize: a fleet of 76 in three data centres makes as many calls
 // as one of six, and no more than 4 a second.
-func TestCallsDoNotGrowWithTheFleet(t *testing.T) {
+func TestCallRateIsIndependentOfFleetSize(t *testing.T) {
 	for _, size := range []int{6, 9, 76} {
 		var members []Member
 		for i := range size {
 			members = append(members, Member{fmt.Sprint("d", i), fmt.Sprint("c", i%3), i < 6})
 		}
-		if calls := float64(len(watchers(members))) / Hold(0).Seconds(); calls > 4 {
+		if calls := float64(len(watchers(members))) / HoldTime(0).Seconds(); calls > 4 {
 			t.Errorf("%d hosts: %.2f calls a second", size, calls)
 		}
 	}
 }
 
-// TestStrongHostsWatch: where a data centre has strong hosts they watch before weak ones, so
+// TestStrongHostsWatchFirst: where a data centre has strong hosts they watch before weak ones, so
 // that a megabyte of settings is read over fast links first.
-func TestStrongHostsWatch(t *testing.T) {
+func TestStrongHostsWatchFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		members := fleet(t)
+		members := drawFleet(t)
 		strong, centres := map[string]int{}, map[string]bool{}
 		for _, m := range members {
 			centres[m.DataCentre] = true
@@ -137,7 +137,7 @@
 			}
 		}
 		for centre, n := range strong {
-			if least, most := wanted(n, len(centres)); found[centre] < least || found[centre] > most {
+			if least, most := watcherBounds(n, len(centres)); found[centre] < least || found[centre] > most {
 				t.Fatalf("%d strong watchers of %d strong hosts in %s", found[centre], n, centre)
 			}
 		}
--- a/node/api/paths.go
+++ b/node/api/paths.go
@@ -150,7 +150,7 @@
 // starting gathers what is known for a call that comes before the daemon serves.
 func (s *pathServer) starting(c *pathCall) admission.Starting {
 	known := admission.Starting{Age: s.board.Age(), CallerTimeout: c.Timeout}
-	s.board.Members.View(func(t *membership.Table) { known.OtherDaemons, known.OthersServe = t.Others() })
+	s.board.Members.View(func(t *membership.Table) { known.OtherDaemons, known.OthersServe = t.CountOthers() })
 	return known
 }
 
--- a/node/blackboard/directory.go
+++ b/node/blackboard/directory.go
@@ -39,7 +39,7 @@
 }
 
 // Since lists the facts above a position, for a peer.
-func (t *DirectoryTable) Since(revision hostlist.Position) hostlist.Facts {
+func (t *DirectoryTable) Since(revision hostlist.Position) hostlist.Update {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.table.Since(revision)
@@ -47,7 +47,7 @@
 
 // MergeFacts takes facts in and puts a changed list in force. It tells whether the
 // list has changed.
-func (b *Blackboard) MergeFacts(f hostlist.Facts, at time.Time) bool {
+func (b *Blackboard) MergeFacts(f hostlist.Update, at time.Time) bool {
 	return b.changeDirectory(at, func(t *hostlist.Table) bool { return t.Merge(f, at) })
 }
 
--- a/node/blackboard/members.go
+++ b/node/blackboard/members.go
@@ -103,7 +103,7 @@
 func (t *MemberTable) Sharers() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.members.Size()
+	return t.members.AliveCount()
 }
 
 // View runs f on the membership under the table's lock. f must not keep it.
@@ -117,7 +117,7 @@
 func (t *MemberTable) Living() (living []string, listed int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.members.Living(), t.members.Listed()
+	return t.members.AliveNames(), t.members.ListedCount()
 }
 
 // Members lists the daemons on the platform's list.
@@ -193,5 +193,5 @@
 func (t *MemberTable) Void(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.members.Void(at)
+	t.members.ResetTimeouts(at)
 }
--- a/node/cluster/cost_test.go
+++ b/node/cluster/cost_test.go
@@ -51,7 +51,7 @@
 		h := c.heartbeat(false)
 		board.Members.View(func(t *membership.Table) {
 			for _, name := range links {
-				t.Heard(name, 1, h.Incarnation, 1, time.Now())
+				t.RecordHeartbeat(name, 1, h.Incarnation, 1, time.Now())
 			}
 			t.Tick(time.Now())
 		})
--- a/node/cluster/explain.go
+++ b/node/cluster/explain.go
@@ -31,7 +31,7 @@
 	for _, m := range c.Board.Members.Members() {
 		status := admin.MemberStatus{
 			Name: m.Name, Address: m.Address, DataCentre: m.DataCentre, Region: m.Region,
-			State: m.State.String(), Incarnation: m.Incarnation, Revision: m.Revision, Heard: m.Heard,
+			State: m.State.String(), Incarnation: m.Incarnation, Revision: m.SettingsRevision, Heard: m.LastHeard,
 		}
 		if m.Leaving {
 			status.State += ", leaving"
--- a/node/cluster/leases.go
+++ b/node/cluster/leases.go
@@ -225,7 +225,7 @@
 		return "its daemon is not on the host list any more"
 	case m.State == membership.Dead:
 		return "its daemon is dead"
-	case m.Started > r.Incarnation:
+	case m.StartIncarnation > r.Incarnation:
 		return "its daemon has restarted"
 	}
 	return ""
--- a/node/cluster/members.go
+++ b/node/cluster/members.go
@@ -36,7 +36,7 @@
 
 // The pace and the bounds of the members' loop.
 const (
-	heartbeatTimeout = membership.HeartbeatEvery
+	heartbeatTimeout = membership.HeartbeatInterval
 	// newsEvery is the number of heartbeats between those that carry all news, to
 	// repair rumors that got lost.
 	newsEvery = 10
@@ -59,7 +59,7 @@
 		work.Go(func() { c.join(ctx) })
 		work.Go(func() { c.Placements.run(ctx) })
 	}
-	ticker := time.NewTicker(membership.HeartbeatEvery)
+	ticker := time.NewTicker(membership.HeartbeatInterval)
 	defer ticker.Stop()
 	for beat := 0; ctx.Err() == nil; beat++ {
 		c.beat(ctx, beat%newsEvery == 0)
@@ -110,7 +110,7 @@
 		if c.open() {
 			h.Digest = t.Digest()
 		} else if withNews {
-			h.News = t.News()
+			h.News = t.SyncRumors()
 		}
 	})
 	if c.open() {
@@ -157,7 +157,7 @@
 		}
 	}
 	c.Board.Members.View(func(t *membership.Table) {
-		add(t.Heard(from, h.Started, h.Incarnation, h.Revision, time.Now()))
+		add(t.RecordHeartbeat(from, h.Started, h.Incarnation, h.Revision, time.Now()))
 		if h.Leaving {
 			add(t.Receive(membership.Rumor{Name: from, Incarnation: h.Incarnation, State: membership.Left}))
 		}
@@ -249,7 +249,7 @@
 		return false
 	}
 	read := false
-	c.Board.Directory.View(func(t *hostlist.Table) { read = (t.ReadWhole() || t.ReadPart()) && !t.MayBeCopy() })
+	c.Board.Directory.View(func(t *hostlist.Table) { read = (t.HasFullRead() || t.HasFirstPage()) && !t.StoreWasRestored() })
 	return read
 }
 
--- a/node/cluster/open.go
+++ b/node/cluster/open.go
@@ -65,7 +65,7 @@
 		for _, m := range t.Members() {
 			known[m.Address] = m.State == membership.Alive
 		}
-		for _, m := range t.Lost() {
+		for _, m := range t.DeadMembers() {
 			addresses = append(addresses, m.Address)
 		}
 		for _, seed := range seeds {
@@ -87,7 +87,7 @@
 // none.
 func (c *Cluster) knowsFleet() bool {
 	others := 0
-	c.Board.Members.View(func(t *membership.Table) { others, _ = t.Others() })
+	c.Board.Members.View(func(t *membership.Table) { others, _ = t.CountOthers() })
 	return others > 0 || c.searched.Load() || time.Since(c.started) > compareTimeout
 }
 
@@ -132,7 +132,7 @@
 	}
 	c.receive(ctx, []membership.Rumor{in}, from)
 	var all []membership.Rumor
-	c.Board.Members.View(func(t *membership.Table) { all = t.Everybody() })
+	c.Board.Members.View(func(t *membership.Table) { all = t.AllRumors() })
 	return all, nil
 }
 
@@ -159,7 +159,7 @@
 	var digests []uint64
 	c.Board.Members.View(func(t *membership.Table) {
 		if t.Digest() != digest {
-			digests = t.Digests()
+			digests = t.BucketDigests()
 		}
 	})
 	if digests == nil || !c.mayReconcile(from, time.Now()) {
@@ -173,7 +173,7 @@
 // serveDigests tells a peer what this daemon knows where their digests differ.
 func (c *Cluster) serveDigests(ctx context.Context, from string, theirs []uint64) (done, error) {
 	var rumors []membership.Rumor
-	c.Board.Members.View(func(t *membership.Table) { rumors = t.Differing(theirs) })
+	c.Board.Members.View(func(t *membership.Table) { rumors = t.DifferingRumors(theirs) })
 	if len(rumors) == 0 {
 		return done{}, nil
 	}
--- a/node/cluster/placement.go
+++ b/node/cluster/placement.go
@@ -153,7 +153,7 @@
 	}
 	incarnations := map[string]int64{}
 	var names []string
-	for _, m := range membership.Strong(able) {
+	for _, m := range membership.StrongMembers(able) {
 		names = append(names, m.Name)
 		incarnations[m.Name] = m.Incarnation
 	}
--- a/node/cluster/placement_test.go
+++ b/node/cluster/placement_test.go
@@ -40,7 +40,7 @@
 	board := blackboard.New(blackboard.Identity{Name: "self", DataCentre: "dc", Region: "r"}, blackboard.DefaultLimits())
 	board.Members.Open()
 	board.Settings.Adopt(&blackboard.SettingsView{Tree: tree, Revision: 1})
-	facts := hostlist.Facts{Whole: true, AsOf: hostlist.Position(targets)}
+	facts := hostlist.Update{Full: true, AsOf: hostlist.Position(targets)}
 	for i := range targets {
 		facts.Hosts = append(facts.Hosts, hostlist.Host{
 			ID: fmt.Sprint("t", i), Role: hostlist.RoleTarget, Address: fmt.Sprint("10.0.0.1:", i+1), Pool: "svc",
--- a/node/cluster/targetnews.go
+++ b/node/cluster/targetnews.go
@@ -19,7 +19,7 @@
 	Since hostlist.Position `cbor:"1,keyasint"`
 }
 
-func (c *Cluster) serveTargets(_ context.Context, _ string, in targetsRequest) (hostlist.Facts, error) {
+func (c *Cluster) serveTargets(_ context.Context, _ string, in targetsRequest) (hostlist.Update, error) {
 	return c.Board.Directory.Since(in.Since), nil
 }
 
@@ -36,7 +36,7 @@
 	if h.targets <= own {
 		return
 	}
-	var facts hostlist.Facts
+	var facts hostlist.Update
 	if err := c.targetNews.fetch(ctx, h.from, peer.KindFacts, targetsRequest{Since: own}, &facts); err != nil {
 		c.Record.Log.Warn("targets could not be fetched from a peer", "peer", h.from, "revision", h.targets.String(), "error", err.Error())
 		return
--- a/node/controller/directory.go
+++ b/node/controller/directory.go
@@ -17,7 +17,7 @@
 	// Targets returns all entries or what changed since the last call, for which it
 	// waits. An answer has to begin within patience after that; zero leaves the time to
 	// the source.
-	Targets(ctx context.Context, wait, patience time.Duration) (hostlist.Facts, error)
+	Targets(ctx context.Context, wait, patience time.Duration) (hostlist.Update, error)
 }
 
 // Directory keeps the targets of a platform that publishes entries.
@@ -107,7 +107,7 @@
 // alone tells whether no other daemon is known.
 func (c *Directory) alone() bool {
 	others := 0
-	c.Board.Members.View(func(t *membership.Table) { others, _ = t.Others() })
+	c.Board.Members.View(func(t *membership.Table) { others, _ = t.CountOthers() })
 	return others == 0
 }
 
@@ -125,7 +125,7 @@
 // was answered.
 func (c *Directory) read(ctx context.Context, hold time.Duration) bool {
 	c.Board.Directory.View(func(t *hostlist.Table) {
-		if t.Away() {
+		if t.StoreDown() {
 			hold = probeWait // An answer at once tells that the store is back.
 		}
 	})
@@ -141,7 +141,7 @@
 	c.Record.Metrics.PlatformRead.WithLabelValues("hosts", "read").Inc()
 	c.Record.Reach(blackboard.StageStore)
 	returned := false
-	c.Board.Directory.View(func(t *hostlist.Table) { returned = t.StoreAnswered(now) })
+	c.Board.Directory.View(func(t *hostlist.Table) { returned = t.MarkStoreUp(now) })
 	if returned {
 		c.Record.Log.Info("dependency is back", "dependency", "store", "revision", facts.AsOf.String())
 	}
@@ -198,8 +198,8 @@
 	c.Record.Metrics.PlatformRead.WithLabelValues("hosts", "failed").Inc()
 	known := false
 	c.Board.Directory.View(func(t *hostlist.Table) {
-		known = t.Away()
-		t.StoreAway()
+		known = t.StoreDown()
+		t.MarkStoreDown()
 	})
 	if !known {
 		c.Record.Log.Warn("dependency is lost", "dependency", "store", "error", err.Error())
@@ -207,12 +207,12 @@
 }
 
 // MergeFrom takes facts of a peer in.
-func (c *Directory) MergeFrom(peer string, facts hostlist.Facts) {
-	facts.Whole = false
+func (c *Directory) MergeFrom(peer string, facts hostlist.Update) {
+	facts.Full = false
 	c.merge(facts, "peer "+peer, time.Now())
 }
 
-func (c *Directory) merge(facts hostlist.Facts, from string, now time.Time) {
+func (c *Directory) merge(facts hostlist.Update, from string, now time.Time) {
 	if !c.Board.MergeFacts(facts, now) {
 		return
 	}
@@ -228,7 +228,7 @@
 const manyTargets = 8
 
 // logFacts writes a line for each target, or one for all that live where they are many.
-func (c *Directory) logFacts(facts hostlist.Facts, from string) {
+func (c *Directory) logFacts(facts hostlist.Update, from string) {
 	var living []string
 	for _, h := range facts.Hosts {
 		if len(facts.Hosts) >= manyTargets && h.State == hostlist.Live {
--- a/node/controller/directory_test.go
+++ b/node/controller/directory_test.go
@@ -24,7 +24,7 @@
 		Changed: func() { told++ },
 	}
 	leaving := hostlist.Host{ID: "a", State: hostlist.Leaving, Address: "10.0.0.1:1", Revision: 4}
-	news := hostlist.Facts{AsOf: 4, Confirmed: true, Hosts: []hostlist.Host{leaving}}
+	news := hostlist.Update{AsOf: 4, Confirmed: true, Hosts: []hostlist.Host{leaving}}
 	c.MergeFrom("peer", news)
 	if told != 1 {
 		t.Fatalf("told %d times of a change", told)
@@ -44,14 +44,14 @@
 // watchCut is when a watch that is cut without a word is given up.
 const watchCut = 2600 * time.Millisecond
 
-func (s *silentOnce) Targets(ctx context.Context, _, _ time.Duration) (hostlist.Facts, error) {
+func (s *silentOnce) Targets(ctx context.Context, _, _ time.Duration) (hostlist.Update, error) {
 	s.called = append(s.called, time.Now())
 	if len(s.called) == 1 {
 		Sleep(ctx, watchCut)
-		return hostlist.Facts{}, context.DeadlineExceeded
+		return hostlist.Update{}, context.DeadlineExceeded
 	}
 	s.enough()
-	return hostlist.Facts{Whole: true, AsOf: 1}, nil
+	return hostlist.Update{Full: true, AsOf: 1}, nil
 }
 
 // TestAWatchThatWasCutIsFollowedAtOnce: the next call came after a pause of 0.1 to 0.3 s,
@@ -82,13 +82,13 @@
 	enough context.CancelFunc
 }
 
-func (s *newsOnly) Targets(context.Context, time.Duration, time.Duration) (hostlist.Facts, error) {
+func (s *newsOnly) Targets(context.Context, time.Duration, time.Duration) (hostlist.Update, error) {
 	s.called = append(s.called, time.Now())
 	if len(s.called) == s.calls {
 		s.enough()
 	}
 	revision := hostlist.Position(len(s.called))
-	return hostlist.Facts{AsOf: revision, Hosts: []hostlist.Host{{ID: "a", State: hostlist.Live, Address: "10.0.0.1:1", Revision: revision}}}, nil
+	return hostlist.Update{AsOf: revision, Hosts: []hostlist.Host{{ID: "a", State: hostlist.Live, Address: "10.0.0.1:1", Revision: revision}}}, nil
 }
 
 // TestNewsThatGoOnAreGathered: a daemon that knows nobody waits a second after its first read,
@@ -120,20 +120,20 @@
 	answered chan time.Time
 }
 
-func (s *silentStore) Targets(ctx context.Context, _, patience time.Duration) (hostlist.Facts, error) {
+func (s *silentStore) Targets(ctx context.Context, _, patience time.Duration) (hostlist.Update, error) {
 	if !time.Now().Before(s.back) {
 		select {
 		case s.answered <- time.Now():
 		default:
 		}
 		<-ctx.Done()
-		return hostlist.Facts{}, ctx.Err()
+		return hostlist.Update{}, ctx.Err()
 	}
 	if patience == 0 {
 		patience = 2 * time.Second
 	}
 	Sleep(ctx, patience)
-	return hostlist.Facts{}, context.DeadlineExceeded
+	return hostlist.Update{}, context.DeadlineExceeded
 }
 
 // TestOneOfManyHearsSoonThatTheStoreIsBack: 100 hosts start at one moment behind a silent store. The
@@ -172,18 +172,18 @@
 // pagedAt is the position of the paged list.
 const pagedAt = 7
 
-func (s *pagedStore) Targets(ctx context.Context, _, _ time.Duration) (hostlist.Facts, error) {
+func (s *pagedStore) Targets(ctx context.Context, _, _ time.Duration) (hostlist.Update, error) {
 	s.calls++
 	hosts := []hostlist.Host{{ID: "a", State: hostlist.Live, Address: "10.0.0.1:1", Revision: 3}, {ID: "b", State: hostlist.Live, Address: "10.0.0.2:1", Revision: 5}}
 	switch s.calls {
 	case 1:
-		return hostlist.Facts{Partial: true, AsOf: pagedAt, Hosts: hosts[:1]}, nil
+		return hostlist.Update{Partial: true, AsOf: pagedAt, Hosts: hosts[:1]}, nil
 	case 2:
 		s.whole <- time.Now()
-		return hostlist.Facts{Whole: true, AsOf: pagedAt, Hosts: hosts}, nil
+		return hostlist.Update{Full: true, AsOf: pagedAt, Hosts: hosts}, nil
 	}
 	<-ctx.Done()
-	return hostlist.Facts{}, ctx.Err()
+	return hostlist.Update{}, ctx.Err()
 }
 
 // TestTheRestOfALongListIsLeftToThoseThatWatch: a daemon that watches reads on at once, another one only
@@ -213,7 +213,7 @@
 			go d.Run(ctx)
 			Sleep(ctx, 500*time.Millisecond)
 			if c.told > 0 {
-				d.MergeFrom("peer", hostlist.Facts{AsOf: c.told, Confirmed: true, Hosts: []hostlist.Host{{ID: "b", State: hostlist.Live, Address: "10.0.0.2:1", Revision: 5}}})
+				d.MergeFrom("peer", hostlist.Update{AsOf: c.told, Confirmed: true, Hosts: []hostlist.Host{{ID: "b", State: hostlist.Live, Address: "10.0.0.2:1", Revision: 5}}})
 			}
 			Sleep(ctx, 2*restMost)
 			select {
--- a/node/daemon/daemon.go
+++ b/node/daemon/daemon.go
@@ -160,7 +160,7 @@
 // adapt provisions what is different on a platform.
 func (d *Daemon) adapt() {
 	d.settings.Watch = feedWait
-	directory := &controller.Directory{Board: d.Board, Source: d.adapter.Targets, Record: d.record, Watches: d.watches, Changed: d.cluster.Poke, Hold: watch.Hold(d.adapter.Settles)}
+	directory := &controller.Directory{Board: d.Board, Source: d.adapter.Targets, Record: d.record, Watches: d.watches, Changed: d.cluster.Poke, Hold: watch.HoldTime(d.adapter.Settles)}
 	d.cluster.Directory = directory
 	d.Adapt(d.adapter.Seeds, d.adapter.Repeats, d.adapter.Grace)
 	d.Board.Members.Open()
@@ -188,14 +188,14 @@
 		}
 	}
 	strong := map[string]bool{}
-	for _, m := range membership.Strong(living) {
+	for _, m := range membership.StrongMembers(living) {
 		strong[m.Name] = true
 	}
 	members := make([]watch.Member, 0, len(living))
 	for _, m := range living {
 		members = append(members, watch.Member{Name: m.Name, DataCentre: m.DataCentre, Strong: strong[m.Name]})
 	}
-	return watch.Watches(d.Config.Name, members)
+	return watch.ShouldWatch(d.Config.Name, members)
 }
 
 // Adapt takes over settings of a platform that change while the daemon runs.
--- a/node/onplatform/findings_test.go
+++ b/node/onplatform/findings_test.go
@@ -33,9 +33,9 @@
 		d := f.daemons[asker]
 		leaving := hostlist.Host{
 			ID: "t1", Role: hostlist.RoleTarget, Address: f.targets["t1"].Address(), Pool: plain,
-			DataCentre: "z1", Region: "r1", State: hostlist.Leaving, Slots: 6, Revision: hostlist.At(1, 1000),
+			DataCentre: "z1", Region: "r1", State: hostlist.Leaving, Slots: 6, Revision: hostlist.NewPosition(1, 1000),
 		}
-		d.Board.MergeFacts(hostlist.Facts{AsOf: hostlist.At(1, 1000), Hosts: []hostlist.Host{leaving}}, time.Now())
+		d.Board.MergeFacts(hostlist.Update{AsOf: hostlist.NewPosition(1, 1000), Hosts: []hostlist.Host{leaving}}, time.Now())
 		for range 6 {
 			a := f.ask(safe)
 			a.Daemon = d.boot.Callers
--- a/node/onplatform/limit_fleet_test.go
+++ b/node/onplatform/limit_fleet_test.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	facts := hostlist.Facts{Whole: true, AsOf: 1}
+	facts := hostlist.Update{Full: true, AsOf: 1}
 	for i := range targets {
 		facts.Hosts = append(facts.Hosts, hostlist.Host{
 			ID: fmt.Sprint("t", i), Role: hostlist.RoleTarget, Address: fmt.Sprintf("10.1.0.%d:1", i), Pool: "svc", State: hostlist.Live, Revision: 1, Slots: 64,
--- a/node/onplatform/spread_test.go
+++ b/node/onplatform/spread_test.go
@@ -198,7 +198,7 @@
 	for _, other := range f.daemons {
 		members = append(members, watch.Member{Name: other.name, DataCentre: other.centre})
 	}
-	return watch.Watches(d.name, members)
+	return watch.ShouldWatch(d.name, members)
 }
 
 // publish gives a configuration to the daemons that watch the store.
@@ -230,7 +230,7 @@
 
 // tell gives one daemon the store's word that a target leaves.
 func (f *spreadFleet) tell(d *spreadDaemon, id string, revision hostlist.Position) {
-	d.directory.MergeFrom("store", hostlist.Facts{AsOf: revision, Confirmed: true, Hosts: []hostlist.Host{{
+	d.directory.MergeFrom("store", hostlist.Update{AsOf: revision, Confirmed: true, Hosts: []hostlist.Host{{
 		ID: id, Role: hostlist.RoleTarget, Address: "10.1.0.1:1", Pool: "svc", State: hostlist.Leaving, Revision: revision,
 	}}})
 }
--- a/node/onplatform/verdicts_test.go
+++ b/node/onplatform/verdicts_test.go
@@ -56,7 +56,7 @@
 	f.restart(func(int) bool { return true })
 	f.until("all others", func(d *spreadDaemon) bool {
 		known := 0
-		d.board.Members.View(func(members *membership.Table) { known = members.Size() })
+		d.board.Members.View(func(members *membership.Table) { known = members.AliveCount() })
 		return known == size
 	})
 	var bad, sound []poison.Key
