--- a/core/routing/settle.go
+++ b/core/routing/answering.go
@@ -5,48 +5,47 @@
 	"slices"
 )
 
-// Which of the engines that read a prompt answers, and where its memory is.
+// This file decides which of the engines that prefill a prompt answers, and where its KV cache is.
 const (
-	// reservationShare is the part of a target's free memory that a ticket may take, and
-	// reservationMargin what is asked for beyond the need, since memory comes in blocks.
+	// reservationShare is the share of a target's free memory that a reservation may take.
+	// reservationMargin scales the reserved memory, since memory is allocated in blocks.
 	reservationShare  = 0.9
 	reservationMargin = 1.02
 )
 
-// settle takes the target that answers: one with room for the whole prompt and the
-// fewest writers whose callers wait closely. Where none has the room, the one with the
-// most keeps what it can, and helpers set memory aside for the rest.
+// chooseAnswering chooses the target that answers: one with room for the whole request and
+// the fewest gap-sensitive requests. Where none has the room, the target with the most free
+// memory holds what it can, and helpers reserve memory for the rest.
 func (s *Scratch) chooseAnswering(r *Request, targets []Target, chosen []int, d *Decision) bool {
-	first := -1
+	answering := -1
 	for _, i := range chosen {
 		t := &targets[i]
 		if t.freeMemory() < r.MemoryTokens() || t.full() || t.rateLimited(r) {
 			continue
 		}
-		if first < 0 || compareAnswering(t, &targets[first]) < 0 {
-			first = i
+		if answering < 0 || compareAnswering(t, &targets[answering]) < 0 {
+			answering = i
 		}
 	}
-	if first < 0 {
-		first = s.divideMemory(r, targets, chosen, d)
+	if answering < 0 {
+		answering = s.divideMemory(r, targets, chosen, d)
 	}
-	if first < 0 {
+	if answering < 0 {
 		return false
 	}
 	d.Verdict = Place
-	d.Chosen = targets[first].ID
+	d.Chosen = targets[answering].ID
 	for _, i := range chosen {
-		if i != first {
+		if i != answering {
 			d.Helpers = append(d.Helpers, targets[i].ID)
 		}
 	}
 	return true
 }
 
-// compareAnswering prefers a target whose calls did not fail lately, then the one with the
-// fewest writers whose callers wait closely, and then the one with the most requests: where
-// long prompts write beside each other, more engines are free for parts that no writer
-// bears.
+// compareAnswering prefers a target without recent failures, then the one with the fewest
+// gap-sensitive requests, and then the one with the most requests: when long prompts are
+// decoded beside each other, more engines are free for parts that no gap goal allows.
 func compareAnswering(a, b *Target) int {
 	return cmp.Or(
 		cmp.Compare(int(a.RecentFailures), int(b.RecentFailures)),
@@ -55,14 +54,14 @@
 	)
 }
 
-// divide finds memory for a prompt that no target has room for: the target that
-// answers, and tickets at as few helpers as can be, since each ticket is ordered,
-// renewed and released. It returns -1 where there is not enough, or where the prompt
-// would fit one target once that is less full.
+// divideMemory finds memory for a request that no target has room for. It returns the target
+// that answers, and adds reservations at as few helpers as possible, since each reservation
+// is requested, renewed and released. It returns -1 where there is not enough memory, or
+// where the request would fit one target when that is less full.
 func (s *Scratch) divideMemory(r *Request, targets []Target, chosen []int, d *Decision) int {
 	order := slices.Clone(chosen)
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(targets[b].freeMemory(), targets[a].freeMemory()) })
-	// A ticket takes no call, so one that is exhausted may hold one.
+	// A reservation is no call, so a rate-limited target may hold one.
 	if first := slices.IndexFunc(order, func(i int) bool { return !targets[i].rateLimited(r) }); first > 0 {
 		leader := order[first]
 		order = slices.Insert(slices.Delete(order, first, first+1), 0, leader)
--- a/core/routing/filter.go
+++ b/core/routing/filter.go
@@ -1,11 +1,10 @@
 package routing
 
-// Filter names the rule that took a target out.
+// Filter names the rule that rejected a target.
 type Filter string
 
-// The filters, in the order in which they are asked. The first three are about
-// the target itself; the later ones are about room, so a request that only they
-// reject waits instead of failing.
+// The filters. The first four concern the target itself; the later ones concern
+// capacity, so a request that is rejected only by them waits instead of failing.
 const (
 	FilterState       Filter = "state"
 	FilterExcluded    Filter = "excluded"
@@ -19,13 +18,13 @@
 	FilterReserved    Filter = "reserved"
 )
 
-// memoryLimit tells whether the filter rejects a target that works but takes no call more: it may read a part
-// of a prompt that another one answers.
+// lacksRoom reports whether the filter rejects a working target only because it takes no more calls:
+// it can still prefill a part of a prompt that another target answers.
 func (f Filter) lacksRoom() bool {
 	return f == FilterMemory || f == FilterConcurrency || f == FilterLimit
 }
 
-// Rejections counts the targets taken out by each filter.
+// Rejections counts the targets that each filter rejected.
 type Rejections struct {
 	State       int `json:"state,omitempty"`
 	Excluded    int `json:"excluded,omitempty"`
@@ -39,12 +38,12 @@
 	Reserved    int `json:"reserved,omitempty"`
 }
 
-// waitable is the number of targets that only lacked room.
+// temporary returns the number of targets that were rejected only for lack of capacity.
 func (r *Rejections) temporary() int {
 	return r.Concurrency + r.Limit + r.Memory + r.Backlog + r.Long + r.Reserved
 }
 
-// count adds one and returns the new count of the filter.
+// count adds one rejection by the filter and returns the new count.
 func (r *Rejections) count(f Filter) int {
 	n := r.counter(f)
 	*n++
@@ -92,7 +91,7 @@
 	case t.rateLimited(r):
 		return FilterLimit
 	case t.MemoryTokens == 0:
-		return "" // A plain service has no memory and reads no prompt.
+		return "" // A plain service has no KV cache and prefills no prompt.
 	case t.Load.MemoryTokens+r.MemoryTokens() > memoryLimit(p, long, t.MemoryTokens):
 		return FilterMemory
 	case t.ReservedFor != "" && t.ReservedFor != r.ID:
@@ -105,8 +104,8 @@
 	return ""
 }
 
-// memoryLimit is the memory that a request may fill up to. Long requests leave the
-// headroom free, so that short ones find a place beside them.
+// memoryLimit returns the memory, in tokens, up to which the request may fill a target.
+// Long requests leave the headroom free, so that short ones fit beside them.
 func memoryLimit(p *Params, long bool, memory int64) int64 {
 	if long {
 		return int64(float64(memory) * (1 - p.MemoryHeadroom))
@@ -114,9 +113,9 @@
 	return memory
 }
 
-// longPrefillFits tells whether one more long prefill may go to the target: it must
-// have a place left, and if it holds none yet, the pool must allow one more
-// target to hold some.
+// longPrefillFits reports whether one more long prefill may go to the target: it must
+// be below the limit per target, and if it has no long prefill yet, the pool must be
+// below its limit of targets with long prefills.
 func longPrefillFits(p *Params, longHolders int, t *Target) bool {
 	if t.Load.LongPrefills >= p.LongPerTarget {
 		return false
@@ -133,13 +132,13 @@
 	return false
 }
 
-// RejectionCount is the number of targets that a filter took out.
+// RejectionCount is the number of targets that a filter rejected.
 type RejectionCount struct {
 	Filter Filter
 	Count  int
 }
 
-// Counts lists the rejections by filter, in the order of the filters.
+// Counts returns the rejections by filter, in the order of the filters.
 func (r *Rejections) Counts() []RejectionCount {
 	filters := []Filter{FilterState, FilterExcluded, FilterBreaker, FilterUnloaded, FilterConcurrency, FilterLimit, FilterMemory, FilterBacklog, FilterLong, FilterReserved}
 	counts := make([]RejectionCount, 0, len(filters))
--- a/core/routing/limit.go
+++ b/core/routing/limit.go
@@ -2,24 +2,24 @@
 
 import "math"
 
-// RateLimit is what keeps calls from a target that has named how many it takes from all daemons.
+// RateLimit is the rate limit that a target has declared for the calls of all daemons.
 type RateLimit struct {
-	// PerSecond is the rate of calls that it is given, in requests a second.
+	// PerSecond is the allowed rate, in requests per second.
 	PerSecond float64 `json:"per_s"`
-	// Wait is the time until one more call keeps to that, counting the calls placed by this daemon,
-	// in seconds.
+	// Wait is the time until one more call is within the rate, counting the calls placed by this
+	// daemon, in seconds.
 	Wait float64 `json:"wait_s,omitempty"`
-	// Idle is the time since the last of them, in seconds.
+	// SinceLastCall is the time since the last call placed by this daemon, in seconds.
 	SinceLastCall float64 `json:"idle_s,omitempty"`
 }
 
-// exhausted tells whether the target's limit leaves no room for the request now.
+// rateLimited reports whether the target's rate limit allows no call for the request now.
 func (t *Target) rateLimited(r *Request) bool {
 	return t.RateLimit != nil && t.RateLimit.timeToNextCall(r) > 0
 }
 
-// wait is the time, in seconds, until the target may be given the request. A daemon that decides
-// alone does not know of the others' calls and takes an equal part of the rate.
+// timeToNextCall returns the time, in seconds, until the target may be given the request. An
+// uncoordinated daemon does not know the calls of the others and uses an equal share of the rate.
 func (l *RateLimit) timeToNextCall(r *Request) float64 {
 	if !r.Uncoordinated {
 		return l.Wait
@@ -27,7 +27,7 @@
 	return max(l.Wait, 1/l.ownRate(r)-l.SinceLastCall)
 }
 
-// part is the rate that this daemon may use, in requests a second.
+// ownRate returns the rate that this daemon may use, in requests per second.
 func (l *RateLimit) ownRate(r *Request) float64 {
 	if !r.Uncoordinated {
 		return l.PerSecond
@@ -35,10 +35,10 @@
 	return l.PerSecond / float64(max(1, r.DaemonCount))
 }
 
-// timeToTurn is the time, in seconds, after which a request's turn comes that so many others wait before,
-// where every target that could take it has named a limit; false where one has not.
-func timeToTurn(r *Request, before int, targets []Target) (float64, bool) {
-	rate, soonest := 0.0, math.Inf(1)
+// timeToTurn returns the time, in seconds, until a request with so many others queued before it can be
+// placed, and false where a target that could take it has no rate limit or no target could.
+func timeToTurn(r *Request, queuedBefore int, targets []Target) (float64, bool) {
+	rate, earliest := 0.0, math.Inf(1)
 	for i := range targets {
 		t := &targets[i]
 		if t.State != Live || t.Unloaded || excluded(r, t.ID) {
@@ -48,27 +48,27 @@
 			return 0, false
 		}
 		rate += t.RateLimit.ownRate(r)
-		soonest = min(soonest, t.RateLimit.timeToNextCall(r))
+		earliest = min(earliest, t.RateLimit.timeToNextCall(r))
 	}
 	if rate == 0 {
 		return 0, false
 	}
-	return soonest + float64(before)/rate, true
+	return earliest + float64(queuedBefore)/rate, true
 }
 
-// RefuseRateLimited tells whether a waiting request is refused because its turn under the targets' limits is
-// foreseen after its goal, and returns that decision. One that has been let wait, or placed before, is
-// refused only where it cannot be answered at all, and one whose answer has begun never.
-func RefuseRateLimited(r *Request, before int, targets []Target) (Decision, bool) {
-	wait, limited := timeToTurn(r, before, targets)
+// RefuseRateLimited reports whether a waiting request is refused because the targets' rate limits are
+// predicted to admit it after its goal, and returns that decision. A request that was accepted to wait
+// or placed before is refused only where it would miss its deadline, and a started answer never.
+func RefuseRateLimited(r *Request, queuedBefore int, targets []Target) (Decision, bool) {
+	wait, limited := timeToTurn(r, queuedBefore, targets)
 	if !limited || r.AnswerStarted {
 		return Decision{}, false
 	}
-	left := r.UntilDeadline
+	remaining := r.UntilDeadline
 	if r.Goal > 0 && !r.Retry && !r.WaitAccepted {
-		left = min(left, r.Goal-r.Waited)
+		remaining = min(remaining, r.Goal-r.Waited)
 	}
-	if wait <= max(0, left) {
+	if wait <= max(0, remaining) {
 		return Decision{}, false
 	}
 	return Decision{Request: *r, Verdict: Refuse, RetryAfter: wait, Considered: len(targets), Rejections: Rejections{Limit: len(targets)}}, true
--- a/core/routing/pick.go
+++ b/core/routing/pick.go
@@ -7,12 +7,12 @@
 )
 
 // pickWidth is the number of best targets that the picker draws from. Two of
-// them are drawn at random and the better one wins: with one report seen by
-// many daemons, always taking the very best would send them all to one target.
+// them are drawn at random and the better one is taken: many daemons see the same
+// report, so always taking the best would send all of their requests to one target.
 const pickWidth = 4
 
 // pickSlack bounds how much worse than the best a drawn target may be, as a
-// share of the best score plus a floor in seconds.
+// share of the best score; pickSlackFloor is added, in seconds.
 const (
 	pickSlack      = 0.25
 	pickSlackFloor = 0.010
@@ -24,22 +24,22 @@
 	total float64
 }
 
-// rejected is a target's index with the filter that took it out.
+// rejected is a target's index with the filter that rejected it.
 type rejected struct {
 	index  int
 	filter Filter
 }
 
-// Scratch holds the memory of a decision between calls. It must not be shared
+// Scratch holds the buffers of a decision, for reuse between calls. It must not be shared
 // between goroutines.
 type Scratch struct {
 	best     []ranked
 	rejected []rejected
-	// readers and chosen are indices of targets that may read, or will read, a part.
+	// prefillers are indices of targets that may prefill a part, chosen of those that will.
 	prefillers, chosen []int
-	// opening is what the answer costs an engine that has no close writers, in seconds.
+	// packingCost is the cost of decoding the answer on an engine without gap-sensitive requests, in seconds.
 	packingCost float64
-	// harms are the targets that may read a part, with what that disturbs.
+	// disturbances are the targets that may prefill a part, with the requests that this disturbs.
 	disturbances []disturbance
 }
 
@@ -71,7 +71,7 @@
 	return d
 }
 
-// scan filters and scores all targets and returns the largest live memory.
+// scan filters and scores all targets and returns the largest memory of a live one.
 func (s *Scratch) scan(r *Request, p *Params, long bool, targets []Target, d *Decision) int64 {
 	s.best = s.best[:0]
 	s.rejected = s.rejected[:0]
@@ -94,7 +94,7 @@
 	return largest
 }
 
-// keep inserts c into the best list, which stays sorted and short.
+// keep inserts c into the list of best targets, which stays sorted and short.
 func (s *Scratch) keep(c ranked) {
 	if len(s.best) == MaxRecorded/2 {
 		if c.total >= s.best[len(s.best)-1].total {
@@ -113,7 +113,7 @@
 	return cmp.Compare(a.index, b.index)
 }
 
-// applyCached ranks again the few targets that hold a prefix of the prompt.
+// rankCached ranks the few targets that hold a prefix of the prompt again, with the time it saves.
 func (s *Scratch) rankCached(r *Request, p *Params, long bool, holders int, targets []Target) {
 	for _, c := range r.Cached {
 		if c.Target < 0 || c.Target >= len(targets) {
@@ -162,10 +162,10 @@
 	return n
 }
 
-// examplesPerFilter bounds the rejected targets recorded for each filter.
+// examplesPerFilter bounds the rejected targets recorded per filter.
 const examplesPerFilter = 2
 
-// record copies the best candidates, then examples of rejected ones.
+// recordCandidates copies the best candidates, then examples of rejected ones.
 func (s *Scratch) recordCandidates(r *Request, p *Params, long bool, targets []Target) []Candidate {
 	list := make([]Candidate, 0, min(len(s.best)+len(s.rejected), MaxRecorded))
 	for _, b := range s.best {
@@ -193,9 +193,9 @@
 	return 0
 }
 
-// Replay makes a recorded decision again from its recorded candidates and tells
-// whether the outcome is the same. The targets that were not recorded are known
-// to be worse or rejected; Rejections counts them, Replay cannot see them.
+// Replay makes a recorded decision again from its recorded candidates and returns
+// the new decision, to be compared with d. Targets that were not recorded scored
+// worse or were rejected; Rejections counts the latter, but Replay does not see them.
 func (d *Decision) Replay() Decision {
 	targets := make([]Target, len(d.Candidates))
 	r := d.Request
--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -1,14 +1,16 @@
-// Package routing chooses a target for a request: filters take out targets that
-// cannot serve it now, scorers estimate in seconds what each remaining target
-// would cost its first token, and the picker takes one of the best.
+// Package routing chooses a target for a request. It is used by the daemon that places a
+// pool's calls: the pool's coordinator or, without one, each daemon for its own calls. It
+// decides from the request's estimated lengths and latency goals, the state and load of the
+// targets, and the pool's policy. Filters exclude targets that cannot take the request now,
+// scorers estimate a time to first token for each remaining target, and the picker draws
+// from the best. Where the timing of the pool's engines is known (Params.Timing), a long
+// prompt is split and prefilled by several targets.
 //
-// All scores have one unit, seconds of time to first token, so that a cached
-// prefix, a queue in front of an engine and a longer way to another data centre
-// can be weighed against each other without invented weights.
+// All scores are seconds of time to first token, so that a cached prefix, a queue at an
+// engine and the way to another data centre can be compared without weights.
 //
-// Everything is a pure function of its inputs. The caller passes the time, the
-// targets with their last reports, and a random seed, so that a recorded
-// decision can be made again.
+// A decision is a pure function of its inputs. The caller passes elapsed times, the targets
+// with their last reports, and a random seed, so that a recorded decision can be replayed.
 package routing
 
 import (
@@ -17,28 +19,28 @@
 	"doorstack.dev/core/engine"
 )
 
-// State is what is known of a target's life.
+// State is the stage of a target's life cycle, which tells whether it takes requests.
 type State uint8
 
 // The states of a target.
 const (
-	// Live targets take work.
+	// Live targets take requests.
 	Live State = iota
-	// Leaving targets finish what they have and take nothing new.
+	// Draining targets finish their requests and take no new ones.
 	Draining
-	// Gone targets are no longer on the host list, or do not answer.
+	// Unavailable targets are no longer on the host list, or do not answer.
 	Unavailable
 )
 
 // Load is an amount of work at a target.
 type Load struct {
-	// Requests is the number of calls.
+	// Requests is the number of requests.
 	Requests int `json:"requests,omitempty"`
-	// MemoryTokens is the KV cache that they take, in tokens.
+	// MemoryTokens is the KV cache that the requests take, in tokens.
 	MemoryTokens int64 `json:"memory_tokens,omitempty"`
-	// BacklogTokens are prompt tokens not yet read.
+	// BacklogTokens is the number of prompt tokens not prefilled yet.
 	BacklogTokens int64 `json:"backlog_tokens,omitempty"`
-	// LongPrefills is the number of long prompts not yet read to the end.
+	// LongPrefills is the number of long prompts whose prefill is not finished.
 	LongPrefills int `json:"long_prefills,omitempty"`
 }
 
@@ -52,7 +54,7 @@
 	}
 }
 
-// Sub returns the difference of two loads, no part of it below zero.
+// Sub returns the difference of two loads, with each field at least zero.
 func (l Load) Sub(o Load) Load {
 	return Load{
 		Requests:      max(0, l.Requests-o.Requests),
@@ -62,142 +64,141 @@
 	}
 }
 
-// Target is a target as this daemon believes it to be.
+// Target is the state of a target as known to this daemon.
 type Target struct {
-	// ID names the target; it is its address.
+	// ID is the target's address, which identifies it.
 	ID string `json:"id"`
-	// DataCentre and Region say where it stands.
+	// DataCentre and Region are the location of the target.
 	DataCentre string `json:"data_centre"`
 	Region     string `json:"region,omitempty"`
-	// State is the worse of what the host list and the target itself say.
+	// State is the worse of the host list's state and the target's own.
 	State State `json:"state,omitempty"`
-	// MemoryTokens is its KV cache, in tokens; zero for plain services.
+	// MemoryTokens is the size of the KV cache, in tokens; zero for plain services.
 	MemoryTokens int64 `json:"memory_tokens,omitempty"`
-	// PrefillRate is the prompt tokens that it reads a second.
+	// PrefillRate is the prefill speed, in prompt tokens per second.
 	PrefillRate float64 `json:"prefill_rate,omitempty"`
-	// MaxConcurrent bounds the calls at one time; zero is no bound.
+	// MaxConcurrent bounds the concurrent requests; zero means no bound.
 	MaxConcurrent int `json:"max_concurrent,omitempty"`
-	// Load is the reported load with this daemon's own later work on top.
+	// Load is the reported load plus the requests that this daemon has placed since.
 	Load Load `json:"load"`
-	// ReportAge is the age of the report in Load.
+	// ReportAge is the age of the report behind Load.
 	ReportAge time.Duration `json:"report_age_ns,omitempty"`
-	// BreakerOpen is true while calls to the target keep failing.
+	// BreakerOpen reports whether the circuit breaker is open: calls to the target keep failing.
 	BreakerOpen bool `json:"breaker_open,omitempty"`
-	// ReservedFor is the long request the target is being emptied for, if any.
+	// ReservedFor is the ID of the long request that the target is kept free for, if any.
 	ReservedFor string `json:"reserved_for,omitempty"`
-	// Reading is the time, in seconds, that the engine still reads before it has read
-	// all prompts that it was given; for engines of known timing.
+	// PendingPrefill is the time, in seconds, until the engine has prefilled all prompts
+	// placed on it; for engines of known timing.
 	PendingPrefill float64 `json:"reading_s,omitempty"`
-	// Fresh is the reading time, in seconds, of what it was given within its last pass: an engine
-	// that writes reads all of that in its next one, however little it has to read else.
+	// RecentPrefill is the prefill time, in seconds, of what was placed on the engine within its
+	// last pass. A decoding engine does all of it in its next pass, even if PendingPrefill is less.
 	RecentPrefill float64 `json:"fresh_s,omitempty"`
-	// GapGoal is the least goal for the pause between two events among the requests at
-	// the target, in seconds; zero where none has one. Tight is the number of requests
-	// with a goal that a pass full of reading would miss by far.
+	// GapGoal is the smallest gap goal among the requests at the target, in seconds; zero
+	// where none has one. A gap is the time between two events of a stream. GapSensitive
+	// is the number of requests whose gap goal a pass full of prefill would miss by far.
 	GapGoal      float64 `json:"gap_goal_s,omitempty"`
 	GapSensitive int     `json:"tight,omitempty"`
-	// Writers are the requests at the target by their goals for the pause between two
-	// events, the closest first, but for those whose goal has been missed already.
+	// DecodeGroups are the requests at the target grouped by gap goal, the smallest first,
+	// without those whose gap goal has been missed already.
 	DecodeGroups []DecodeGroup `json:"writers,omitempty"`
-	// UnreadTokens is the length of the prompts that the target has not read its part of,
-	// and HoldUp how long, in seconds, all of them can be held up and still be answered in
-	// time; what is given to an engine to read for another one goes before them.
+	// PendingPromptTokens is the length of the prompts whose part at the target is not
+	// prefilled yet, and PrefillSlack the time, in seconds, by which all of them can be
+	// delayed and still be answered in time. A part placed later is prefilled before them.
 	PendingPromptTokens int64   `json:"unread_tokens,omitempty"`
 	PrefillSlack        float64 `json:"hold_up_s,omitempty"`
-	// Trouble counts the target's lately failed calls; older ones count less.
+	// RecentFailures counts the target's recently failed calls; older ones count less.
 	RecentFailures float64 `json:"trouble,omitempty"`
-	// Pace is the factor by which the target's work takes longer than its timing says; zero
-	// and one are a sound target's.
+	// Slowdown is the factor by which the target's work takes longer than its timing says;
+	// zero and one mean its usual speed.
 	Slowdown float64 `json:"pace,omitempty"`
-	// Limit is set while the target names how many calls it takes from all daemons.
+	// RateLimit is set while the target declares a rate limit for the calls of all daemons.
 	RateLimit *RateLimit `json:"limit,omitempty"`
-	// Unloaded is true while the target does not serve the pool's model.
+	// Unloaded reports whether the target does not serve the pool's model at present.
 	Unloaded bool `json:"unloaded,omitempty"`
 }
 
-// DecodeGroup are requests at a target that have the same goal for the pause between two
-// events of their streams.
+// DecodeGroup sums up the requests at a target that have the same gap goal.
 type DecodeGroup struct {
-	// GapGoal is that goal, in seconds.
+	// GapGoal is the longest gap that the callers want, in seconds.
 	GapGoal float64 `json:"gap_goal_s"`
-	// Tokens is the length of the requests, taken together.
+	// Tokens is the total length of the requests.
 	Tokens int64 `json:"tokens"`
 }
 
-// CachedPrefix says that a target is believed to hold the start of a prompt.
+// CachedPrefix says that a target is expected to have the start of a prompt in its KV cache.
 type CachedPrefix struct {
-	// Target is the index in the list of targets.
+	// Target is the index of the target in the list passed to Decide.
 	Target int `json:"target"`
-	// Tokens is the length of the prefix.
+	// Tokens is the length of the cached prefix.
 	Tokens int64 `json:"tokens"`
 }
 
-// Request is what routing needs to know of a request.
+// Request is the input of a decision that describes the request.
 type Request struct {
-	// ID is the request id.
+	// ID is the request ID.
 	ID string `json:"id"`
 	// PromptTokens and OutputTokens are the estimated lengths.
 	PromptTokens int64 `json:"prompt_tokens"`
 	OutputTokens int64 `json:"output_tokens"`
-	// DataCentre is the data centre of the daemon.
+	// DataCentre is the data centre of the daemon that received the request.
 	DataCentre string `json:"data_centre"`
-	// Cached lists targets believed to hold the start of the prompt.
+	// Cached lists the targets expected to hold a prefix of the prompt.
 	Cached []CachedPrefix `json:"cached,omitempty"`
-	// Exclude lists targets that an earlier attempt of the request used.
+	// Exclude lists the IDs of targets that must not be chosen, such as those of earlier attempts.
 	Exclude []string `json:"exclude,omitempty"`
-	// Goal is the time to the first event that the caller wants, and GapGoal the
-	// longest pause between two events, in seconds; zero where there is none.
+	// Goal is the time to the first event that the caller wants, and GapGoal the longest
+	// time between two events, in seconds; zero where there is no goal.
 	Goal    float64 `json:"goal_s,omitempty"`
 	GapGoal float64 `json:"gap_goal_s,omitempty"`
 	// Waited is how long the request has waited, in seconds.
 	Waited float64 `json:"waited_s,omitempty"`
-	// LetWait is true where an earlier look has let it wait for its turn.
+	// WaitAccepted reports whether an earlier decision let the request wait under rate limits.
 	WaitAccepted bool `json:"let_wait,omitempty"`
-	// Left is the time until its deadline, in seconds.
+	// UntilDeadline is the time until the request's deadline, in seconds.
 	UntilDeadline float64 `json:"left_s,omitempty"`
-	// Ahead is the reading time of the long prompts that wait before it, in seconds.
+	// PrefillAhead is the prefill time of the long prompts queued before the request, in seconds.
 	PrefillAhead float64 `json:"ahead_s,omitempty"`
-	// Recorded means that the candidates of a decision to wait need no record, as one of a
-	// moment before has them.
+	// OmitCandidates leaves the candidates out of a decision to wait, because a decision
+	// shortly before has recorded them.
 	OmitCandidates bool `json:"-"`
-	// Retry is true where the request has been placed before: it is not refused for being late, and
-	// does not wait for a better place. Begun is true where its caller has a part of the answer: it
-	// is not refused at all.
+	// Retry reports whether the request has been placed before: it is not refused for being late, and
+	// does not wait for a better placement. AnswerStarted reports whether the caller has a part of the
+	// answer: the request is never refused.
 	Retry         bool `json:"retry,omitempty"`
 	AnswerStarted bool `json:"begun,omitempty"`
-	// Seed makes the pick; it differs from daemon to daemon.
+	// Seed is the seed of random choices; it differs between daemons.
 	Seed uint64 `json:"seed"`
-	// Blind is true where a daemon that does not place the pool's calls for all decides
-	// alone: it knows its own calls at the targets and none of the others'.
+	// Uncoordinated reports whether the daemon decides without the coordinator that places the
+	// pool's calls for all daemons: it knows its own calls at the targets but not the others'.
 	Uncoordinated bool `json:"blind,omitempty"`
-	// Sharers is the number of daemons that share the targets, this one among them.
+	// DaemonCount is the number of daemons that share the targets, including this one.
 	DaemonCount int `json:"sharers,omitempty"`
 }
 
-// MemoryTokens is the KV cache that the request takes when it is done.
+// MemoryTokens returns the KV cache that the request takes at its end, in tokens.
 func (r *Request) MemoryTokens() int64 { return r.PromptTokens + r.OutputTokens }
 
-// Params are the policy values of the pool, in plain types.
+// Params are the policy values of the pool.
 type Params struct {
 	// LongPromptTokens is the length from which a prompt counts as long.
 	LongPromptTokens int64 `json:"long_prompt_tokens"`
-	// LongPerTarget is the most long prefills on one target.
+	// LongPerTarget is the maximum number of long prefills on one target.
 	LongPerTarget int `json:"long_per_target"`
-	// LongTargets is the most targets that hold long prefills at one time.
+	// LongTargets is the maximum number of targets with long prefills at one time.
 	LongTargets int `json:"long_targets"`
 	// MemoryHeadroom is the share of memory that long requests leave free.
 	MemoryHeadroom float64 `json:"memory_headroom"`
-	// PrefixWeight scales the time that a cached prefix saves.
+	// PrefixWeight scales the prefill time that a cached prefix saves.
 	PrefixWeight float64 `json:"prefix_weight"`
-	// RemotePenalty is the cost of another data centre, in seconds.
+	// RemotePenalty is the cost of a target in another data centre, in seconds.
 	RemotePenalty float64 `json:"remote_penalty_s"`
-	// MaxBacklog is the most seconds of prefill queued at a target.
+	// MaxBacklog is the maximum prefill queued at a target, in seconds.
 	MaxBacklog float64 `json:"max_backlog_s"`
-	// Timing is what the engines' work costs; nil where it is not known.
+	// Timing is the cost model of the pool's engines; nil where it is not known.
 	Timing *engine.Timing `json:"timing,omitempty"`
 }
 
-// IsLong tells whether a prompt counts as long.
+// IsLong reports whether a prompt counts as long.
 func (p *Params) IsLong(promptTokens int64) bool { return promptTokens >= p.LongPromptTokens }
 
 // Verdict is the outcome of a decision.
@@ -207,23 +208,23 @@
 const (
 	// Place means that the request goes to the chosen target now.
 	Place Verdict = "place"
-	// Wait means that targets exist but all are full at the moment.
+	// Wait means that targets exist but none has room at the moment.
 	Wait Verdict = "wait"
-	// None means that no target can serve the request as things stand.
+	// None means that no target can serve the request in the present state.
 	None Verdict = "none"
-	// Refuse means that the request would wait too long and should come back later.
+	// Refuse means that the request would wait too long and its caller should retry later.
 	Refuse Verdict = "refuse"
-	// Group means that the request exceeds one target's memory.
+	// Group means that the request exceeds one target's memory and needs a group of targets.
 	Group Verdict = "group"
 )
 
-// MemoryReservation is memory to be set aside at a target.
+// MemoryReservation is KV cache memory to be reserved at a target, in tokens.
 type MemoryReservation struct {
 	Target string `json:"target"`
 	Tokens int64  `json:"tokens"`
 }
 
-// Scores are the parts of a target's estimated time to first token, in seconds.
+// Scores are the terms of a target's estimated time to first token, in seconds.
 type Scores struct {
 	Backlog      float64 `json:"backlog_s"`
 	Prefill      float64 `json:"prefill_s"`
@@ -234,79 +235,79 @@
 	PrefixSaved  float64 `json:"prefix_saved_s"`
 	Packing      float64 `json:"packing_s,omitempty"`
 	Failures     float64 `json:"trouble_s,omitempty"`
-	// Lateness is the cost of a time that is likely to pass the caller's goal.
+	// Lateness is the penalty for a first event that is likely to miss the caller's goal.
 	Lateness float64 `json:"lateness_s,omitempty"`
-	// Chance keeps daemons that decide alone from all choosing the same target.
+	// Jitter keeps uncoordinated daemons from all choosing the same target.
 	Jitter float64 `json:"chance_s,omitempty"`
 }
 
-// Total is the estimated time to first token in seconds.
+// Total returns the estimated time to first token, in seconds.
 func (s *Scores) Total() float64 {
 	return s.Backlog + s.Prefill + s.Batch + s.Memory + s.Interference + s.Locality + s.Packing + s.Failures + s.Lateness + s.Jitter - s.PrefixSaved
 }
 
-// Candidate is a target with what the filters and scorers said of it.
+// Candidate is a target with the results of the filters and scorers.
 type Candidate struct {
 	// Target is the state that the decision was made from.
 	Target Target `json:"target"`
-	// Rejected is the filter that took the target out; empty if none did.
+	// Rejected is the filter that rejected the target; empty if none did.
 	Rejected Filter `json:"rejected,omitempty"`
-	// CachedTokens is the believed cached prefix at the target.
+	// CachedTokens is the length of the prefix expected to be cached at the target.
 	CachedTokens int64 `json:"cached_tokens,omitempty"`
 	// Scores are set where no filter rejected the target.
 	Scores Scores `json:"scores"`
 }
 
-// Decision is a choice with its inputs and reasons.
+// Decision is the outcome of a decision with its inputs and reasons.
 type Decision struct {
 	Request Request `json:"request"`
 	Params  Params  `json:"params"`
 	Verdict Verdict `json:"verdict"`
-	// Chosen is the id of the chosen target.
+	// Chosen is the ID of the chosen target, which answers the request.
 	Chosen string `json:"chosen,omitempty"`
-	// Helpers are the targets that read parts of the prompt for the chosen one.
+	// Helpers are the IDs of the targets that prefill parts of the prompt for the chosen one.
 	Helpers []string `json:"helpers,omitempty"`
-	// Tickets are the parts of the prompt's memory that helpers set aside, where one
-	// target has no room for the whole.
+	// Reservations are the parts of the request's KV cache that helpers reserve, where no
+	// target has room for the whole.
 	Reservations []MemoryReservation `json:"tickets,omitempty"`
-	// Forced means that the prompt goes beside writers whose callers do not bear it,
-	// because it outweighs them.
+	// Forced reports whether parts of the prompt are placed beside requests whose gap goals
+	// they miss, because those requests are much shorter than the prompt.
 	Forced bool `json:"forced,omitempty"`
-	// Reading is the time to read the whole prompt, and Part that of each part, in
-	// seconds; for engines of known timing.
+	// PrefillTime is the time to prefill the whole prompt, and PartPrefillTime that of
+	// each part, in seconds; for engines of known timing.
 	PrefillTime     float64 `json:"reading_s,omitempty"`
 	PartPrefillTime float64 `json:"part_s,omitempty"`
-	// Foreseen is the time to the first event that a prompt which waits can expect, from
-	// its arrival, in seconds.
+	// PredictedFirstEvent is the predicted time from the request's arrival to its first
+	// event, in seconds.
 	PredictedFirstEvent float64 `json:"foreseen_s,omitempty"`
-	// ComeBack is the time, in seconds, after which a refused request's turn would have come; zero
-	// where that is not foreseen.
+	// RetryAfter is the time, in seconds, until a refused request would have been placed;
+	// zero where that is not predicted.
 	RetryAfter float64 `json:"come_back_s,omitempty"`
 	// Pool sums up the targets of known timing that the decision was made from.
 	Pool *PoolState `json:"pool,omitempty"`
-	// Considered is the number of targets looked at.
+	// Considered is the number of targets passed to the decision.
 	Considered int `json:"considered"`
-	// Rejections counts the targets that each filter took out.
+	// Rejections counts the targets that each filter rejected.
 	Rejections Rejections `json:"rejections"`
-	// LongHolders is the number of targets that held long prefills.
+	// LongHolders is the number of targets with long prefills.
 	LongHolders int `json:"long_holders,omitempty"`
-	// Candidates are the best targets first, then examples of rejected ones, at
-	// most MaxRecorded.
+	// Candidates are the best targets followed by examples of rejected ones, at most
+	// MaxRecorded.
 	Candidates []Candidate `json:"candidates"`
 }
 
 // PoolState sums up the live targets of a pool of engines.
 type PoolState struct {
-	// Live is the number of live targets, Close that of those with writers whose
-	// callers wait closely, and Deep that of those with a deep part to read.
+	// Live is the number of live targets, GapSensitive that of those with gap-sensitive
+	// requests, and HeavyPrefill that of those with more than heavyPart of pending prefill.
 	Live         int `json:"live"`
 	GapSensitive int `json:"close"`
 	HeavyPrefill int `json:"deep"`
-	// Writers is the number of calls at them.
+	// Requests is the number of requests at the live targets.
 	Requests int `json:"writers"`
-	// Reading is the time that they will read, taken together, in seconds.
+	// PendingPrefill is the sum of their pending prefill, in seconds.
 	PendingPrefill float64 `json:"reading_s"`
 }
 
-// MaxRecorded bounds the candidates kept in a decision.
+// MaxRecorded bounds the candidates recorded in a decision without known timing.
 const MaxRecorded = 16
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -33,10 +33,10 @@
 		{"model not loaded", 1000, func(x *Target) { x.Unloaded = true }, FilterUnloaded, None},
 		{"all calls taken", 1000, func(x *Target) { x.MaxConcurrent, x.Load.Requests = 2, 2 }, FilterConcurrency, Wait},
 		{"memory full", 1000, func(x *Target) { x.Load.MemoryTokens = 399_500 }, FilterMemory, Wait},
-		{"headroom is for short ones", 50_000, func(x *Target) { x.Load.MemoryTokens = 320_000 }, FilterMemory, Wait},
+		{"headroom is for short prompts", 50_000, func(x *Target) { x.Load.MemoryTokens = 320_000 }, FilterMemory, Wait},
 		{"backlog", 1000, func(x *Target) { x.Load.BacklogTokens = 20_001 }, FilterBacklog, Wait},
 		{"second long prefill", 50_000, func(x *Target) { x.Load.LongPrefills = 1 }, FilterLong, Wait},
-		{"being emptied for another", 1000, func(x *Target) { x.ReservedFor = "other" }, FilterReserved, Wait},
+		{"reserved for another request", 1000, func(x *Target) { x.ReservedFor = "other" }, FilterReserved, Wait},
 		{"more than one engine", 900_000, func(*Target) {}, FilterMemory, Group},
 	}
 	for _, c := range cases {
@@ -61,7 +61,7 @@
 	p := testParams()
 	var s Scratch
 	if d := s.Decide(&r, &p, targets); d.Verdict != Wait || d.Rejections.Long != 3 {
-		t.Fatalf("a third target took a long prompt: %+v", d)
+		t.Fatalf("with two of at most two long targets: %+v, want wait, all three rejected by the long filter", d)
 	}
 	p.LongTargets = 3
 	if d := s.Decide(&r, &p, targets); d.Chosen != "c" {
@@ -83,7 +83,7 @@
 	}
 }
 
-// TestReplayGivesSameOutcome is the promise behind "explain --replay".
+// TestReplayGivesSameOutcome checks what "explain --replay" relies on.
 func TestReplayGivesSameOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, p, targets := drawDecision(t)
@@ -91,12 +91,12 @@
 		d := s.Decide(&r, &p, targets)
 		again := d.Replay()
 		if again.Verdict != d.Verdict || again.Chosen != d.Chosen {
-			t.Fatalf("replay says %s %q, decision was %s %q", again.Verdict, again.Chosen, d.Verdict, d.Chosen)
+			t.Fatalf("Replay = %s %q, want %s %q", again.Verdict, again.Chosen, d.Verdict, d.Chosen)
 		}
 	})
 }
 
-// TestChosenTargetIsNeverRejected checks the safety side for all inputs.
+// TestChosenTargetIsNeverRejected checks for random inputs that no filter rejects the chosen target.
 func TestChosenTargetIsNeverRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, p, targets := drawDecision(t)
@@ -107,7 +107,7 @@
 				continue
 			}
 			if f := filter(&r, &p, p.IsLong(r.PromptTokens), d.LongHolders, &targets[i]); f != "" {
-				t.Fatalf("chose %s, which %s rejects", d.Chosen, f)
+				t.Fatalf("chose %s, which filter %s rejects", d.Chosen, f)
 			}
 		}
 	})
--- a/core/routing/score.go
+++ b/core/routing/score.go
@@ -1,18 +1,18 @@
 package routing
 
-// The costs below are seconds added to a first token. They come from the shape
-// of continuous batching, not from one engine: every running request adds a
-// little to each step, memory near its end makes an engine evict or queue, and
-// a long prefill beside a short one takes part of the token budget of a step.
+// The costs below are added to the estimated time to first token, in seconds. They follow
+// from continuous batching, not from one engine: every running request adds a little
+// to each step, nearly full memory makes an engine evict or queue, and a long prefill
+// beside a short one takes part of the token budget of a step.
 const (
-	// secondsPerRunning is added for each running call at the target.
+	// secondsPerRunning is added for each running request at the target.
 	secondsPerRunning = 0.0005
-	// memoryKnee is the share of memory in use from which pressure counts.
+	// memoryKnee is the share of memory in use above which memory pressure is scored.
 	memoryKnee = 0.8
 	// secondsAtFullMemory is the cost of a target whose memory is full.
 	secondsAtFullMemory = 0.5
-	// secondsPerFailure is added for each lately failed call, up to maxFailures of them:
-	// a target that loses some of its answers looks healthy to everybody else.
+	// secondsPerFailure is added for each recently failed call, up to maxFailures of them:
+	// a target that loses some of its answers looks healthy by every other measure.
 	secondsPerFailure = 0.05
 	maxFailures       = 4
 	// secondsPerLong is added to a short request for each long prefill beside it.
@@ -20,7 +20,7 @@
 )
 
 // score estimates the time to first token of the request at the target. It writes
-// to s, because copying a result for each of 2,300 targets takes half the time.
+// to s because copying a result for each of 2,300 targets takes half the time.
 func (s *Scores) score(r *Request, p *Params, long bool, t *Target) {
 	*s = Scores{Failures: failurePenalty(t), Jitter: jitter(r, t)}
 	s.Batch = secondsPerRunning * float64(t.Load.Requests)
@@ -42,12 +42,12 @@
 	}
 }
 
-// failurePenalty is the cost of a target whose calls failed lately.
+// failurePenalty returns the cost, in seconds, of the target's recently failed calls.
 func failurePenalty(t *Target) float64 { return secondsPerFailure * min(t.RecentFailures, maxFailures) }
 
-// backlogAhead is the part of a target's unread prompt tokens that stands before the
-// request. Engines honour priorities, so a short request passes long prefills;
-// what remains before it is bounded by what the daemons let through.
+// backlogAhead returns the part of a target's prefill backlog that is ahead of the request,
+// in tokens. Engines honour priorities, so a short request passes long prefills; the
+// rest ahead of it is bounded by what the daemons admit.
 func backlogAhead(p *Params, long bool, t *Target) float64 {
 	if long || t.Load.LongPrefills == 0 {
 		return float64(t.Load.BacklogTokens)
@@ -56,7 +56,7 @@
 	return float64(max(0, min(short, p.LongPromptTokens)))
 }
 
-// prefixSaved is the prefill time that a cached prefix saves.
+// prefixSaved returns the prefill time, in seconds, that a cached prefix saves.
 func prefixSaved(r *Request, p *Params, t *Target, cached int64) float64 {
 	if t.PrefillRate <= 0 {
 		return 0
--- a/core/routing/timed.go
+++ b/core/routing/timed.go
@@ -1,34 +1,34 @@
 package routing
 
-// Engines whose timing is known are chosen by what a request would do to the passes
-// of its engine: a prompt that is read beside requests that write makes all of their
-// callers wait for it. Short prompts are packed onto few engines, long ones are read
-// in parts on many, and a part goes beside writers only where their callers bear it.
+// Where the timing of the engines is known, a target is chosen by what a request would do
+// to the passes of its engine: prefill beside decoding requests lengthens the gaps of all of
+// their streams. Short prompts are packed onto few engines, long ones are split over many,
+// and a part goes beside decoding requests only where their gap goals allow it.
 
-// The policy's constants, in seconds unless said otherwise.
+// Constants of the policy, in seconds unless said otherwise.
 const (
-	// maxWholePrefill is the reading time up to which a prompt is read in one piece.
+	// maxWholePrefill is the prefill time up to which a prompt is not split.
 	maxWholePrefill = 0.1
-	// usableGapShare is the part of a caller's longest pause that a pass may fill; the rest
-	// is for the way and for reading that is not foreseen.
+	// usableGapShare is the share of a gap goal that a pass may fill; the rest is for
+	// the network and for prefill that is not predicted.
 	usableGapShare = 0.8
-	// refuseAfter is the part of its goal that a prompt waits for room which is not
-	// foreseen to come in time. Then its caller is told to come back, early enough to
-	// be served in time by another attempt.
+	// refuseAfter is the share of its goal that a prompt waits for room which is not
+	// predicted to come in time. Then the request is refused, early enough that a
+	// retry by the caller can be answered in time.
 	refuseAfter = 0.2
-	// packingLossShare is the part of the time of an engine with one writer that is lost to reading.
+	// packingLossShare is the share of the time of an engine with one decoding request that is lost for prefill.
 	packingLossShare = 0.5
-	// safeGoalShare is the part of its goal that a prompt's time to the first event is
-	// foreseen to stay below, since more is given to the same pass later; lateness weighs each
-	// second beyond.
+	// safeGoalShare is the share of its goal within which a prompt's first event should be
+	// predicted, since more prompts are placed into the same pass later; latenessWeight
+	// scales each second beyond.
 	safeGoalShare  = 0.5
 	latenessWeight = 8
-	// disturbance is what it costs that one other caller waits too long, in seconds of an engine:
-	// a long prompt that is read in that time is worth as much.
+	// interferenceCost is the cost of missing the gap goal of one other request, in seconds
+	// of an engine: a missed gap goal counts as much as a long prompt that is prefilled in that time.
 	interferenceCost = 0.15
 )
 
-// hasTiming tells whether the decision is one for engines of known timing.
+// hasTiming reports whether the request has a prompt and the pool's engines a known timing.
 func hasTiming(r *Request, p *Params) bool { return p.Timing != nil && r.PromptTokens > 0 }
 
 // decideTimed places a prompt on engines of known timing.
@@ -56,7 +56,7 @@
 	return d
 }
 
-// placeWhole takes the best target for a prompt that is read in one piece.
+// placeWhole takes the best target for a prompt that is not split.
 func (s *Scratch) placeWhole(r *Request, p *Params, targets []Target, d *Decision) {
 	t := &targets[s.best[0].index]
 	scores := s.scoreTimed(r, p, t, d.PrefillTime)
@@ -88,12 +88,12 @@
 // scanTimed filters and scores the targets.
 func (s *Scratch) scanTimed(r *Request, p *Params, targets []Target, d *Decision) {
 	s.best, s.rejected, s.prefillers = s.best[:0], s.rejected[:0], s.prefillers[:0]
-	sound := anyAtFullSpeed(targets)
+	fullSpeed := anyAtFullSpeed(targets)
 	for i := range targets {
 		t := &targets[i]
 		f := filterTimed(r, t)
-		if (f == "" || f.lacksRoom()) && (t.slowdown() == 1 || !sound) {
-			s.prefillers = append(s.prefillers, i) // It may still read a part for another.
+		if (f == "" || f.lacksRoom()) && (t.slowdown() == 1 || !fullSpeed) {
+			s.prefillers = append(s.prefillers, i) // It may still prefill a part for another target.
 		}
 		if f != "" {
 			d.Rejections.count(f)
@@ -105,8 +105,8 @@
 	}
 }
 
-// anyAtFullSpeed tells whether a live target works at its usual pace. Then slow ones read no
-// parts: a prompt has been read when its last part has.
+// anyAtFullSpeed reports whether a live target works at its usual speed. If so, slow ones
+// prefill no parts, since a prompt's prefill ends with that of its last part.
 func anyAtFullSpeed(targets []Target) bool {
 	for i := range targets {
 		if targets[i].State == Live && targets[i].slowdown() == 1 {
@@ -116,7 +116,7 @@
 	return false
 }
 
-// pace is the factor by which the target's work takes longer than usual.
+// slowdown returns the factor by which the target's work takes longer than usual, at least one.
 func (t *Target) slowdown() float64 { return max(1, t.Slowdown) }
 
 // filterTimed returns the first filter that rejects the target, or "".
@@ -138,31 +138,31 @@
 	return ""
 }
 
-// scoreTimed estimates the time to the first event of a prompt read in one piece, and
-// what the prompt costs others.
-func (s *Scratch) scoreTimed(r *Request, p *Params, t *Target, reading float64) Scores {
+// scoreTimed estimates the time to the first event of a prompt that is not split, and
+// the cost of placing the prompt there for other requests.
+func (s *Scratch) scoreTimed(r *Request, p *Params, t *Target, prefill float64) Scores {
 	pass := t.slowdown() * p.Timing.PassTime(t.Load.Requests+1, t.Load.MemoryTokens+r.PromptTokens)
-	reading *= t.slowdown()
-	scores := Scores{Backlog: t.PendingPrefill, Prefill: reading, Batch: 1.5 * pass, Failures: failurePenalty(t)}
+	prefill *= t.slowdown()
+	scores := Scores{Backlog: t.PendingPrefill, Prefill: prefill, Batch: 1.5 * pass, Failures: failurePenalty(t)}
 	if t.DataCentre != r.DataCentre {
 		scores.Locality = p.RemotePenalty
 	}
-	scores.Interference = interference(t, pass+t.nextPassPrefill()+reading)
+	scores.Interference = interference(t, pass+t.nextPassPrefill()+prefill)
 	if r.Goal > 0 {
 		scores.Lateness = latenessWeight * max(0, scores.Backlog+scores.Prefill+scores.Batch-safeGoalShare*r.Goal)
 	}
 	if r.Uncoordinated {
 		scores.Jitter = jitter(r, t)
-		return scores // Where others pack writers is not known.
+		return scores // An uncoordinated daemon does not know where the others pack requests.
 	}
 	scores.Packing = s.packingCost * unsharedSlots(t)
 	return scores
 }
 
-// packingCost is the time, in seconds, that an engine without close writers loses to reading by a
-// prompt's answer: it takes a pass for each event, and its caller bears no pass that is full of
-// reading. An engine that has such writers has lost the more of it already, the more of its slots
-// they take; so they are drawn together, and the others end theirs.
+// packingCost returns the prefill time, in seconds, that an engine without gap-sensitive requests
+// loses by decoding the answer: each event takes a pass, and the gap goal allows no pass full of
+// prefill. An engine with such requests has lost that already in proportion to their share of its
+// slots; so they are packed onto it, and other engines finish theirs.
 func packingCost(r *Request, p *Params) float64 {
 	if r.GapGoal <= 0 {
 		return 0
@@ -172,7 +172,7 @@
 	return packingLossShare * events * pass * min(1, pass/(usableGapShare*r.GapGoal))
 }
 
-// unsharedSlots is the part of an engine's slots that no writer has whose caller waits closely.
+// unsharedSlots returns the share of an engine's slots that no gap-sensitive request takes.
 func unsharedSlots(t *Target) float64 {
 	switch {
 	case t.GapSensitive == 0:
@@ -184,29 +184,30 @@
 	}
 }
 
-// interference is the cost of a pause for the writers at an engine whose callers wait closely: the more
-// of them there are, and the surer it is that they notice.
-func interference(t *Target, pause float64) float64 {
+// interference returns the cost of a gap for the gap-sensitive requests at an engine, in seconds.
+// It grows with their number and with the likelihood that the smallest gap goal is missed, which is
+// zero up to usableGapShare of the goal.
+func interference(t *Target, gap float64) float64 {
 	if t.GapGoal <= 0 {
 		return 0
 	}
-	sure := (pause - usableGapShare*t.GapGoal) / ((1 - usableGapShare) * t.GapGoal)
-	return interferenceCost * float64(max(1, t.GapSensitive)) * min(1, max(0, sure))
+	missLikelihood := (gap - usableGapShare*t.GapGoal) / ((1 - usableGapShare) * t.GapGoal)
+	return interferenceCost * float64(max(1, t.GapSensitive)) * min(1, max(0, missLikelihood))
 }
 
-// nextPass is the reading time, in seconds, that may fall into one pass.
+// nextPassPrefill returns the prefill time, in seconds, that may fall into one pass.
 func (t *Target) nextPassPrefill() float64 { return max(t.PendingPrefill, t.RecentPrefill) }
 
-// free is the memory that no request is known to take.
+// freeMemory returns the memory that no known request takes, in tokens.
 func (t *Target) freeMemory() int64 { return max(0, t.MemoryTokens-t.Load.MemoryTokens) }
 
-// full tells whether the target works on as many requests as it can.
+// full reports whether the target has as many requests as it can process at a time.
 func (t *Target) full() bool { return t.MaxConcurrent > 0 && t.Load.Requests >= t.MaxConcurrent }
 
 // recordTimed copies the targets that the decision was made from: all of them where
-// there are few, else those that readers and scores put first.
+// there are few, else the first ones of the rankings for parts and for whole prompts.
 func (s *Scratch) recordTimed(r *Request, p *Params, targets []Target) []Candidate {
-	reading := p.Timing.PrefillTime(r.PromptTokens)
+	prefill := p.Timing.PrefillTime(r.PromptTokens)
 	list := make([]Candidate, 0, min(len(targets), maxRecordedTimed))
 	seen := map[int]bool{}
 	add := func(i int, c Candidate) {
@@ -216,7 +217,7 @@
 		}
 	}
 	for _, b := range s.best[:min(len(s.best), 2)] {
-		add(b.index, Candidate{Target: targets[b.index], Scores: s.scoreTimed(r, p, &targets[b.index], reading)})
+		add(b.index, Candidate{Target: targets[b.index], Scores: s.scoreTimed(r, p, &targets[b.index], prefill)})
 	}
 	for _, x := range s.rejected {
 		if x.filter.lacksRoom() {
@@ -224,7 +225,7 @@
 		}
 	}
 	for _, i := range s.prefillers {
-		add(i, Candidate{Target: targets[i], Scores: s.scoreTimed(r, p, &targets[i], reading)})
+		add(i, Candidate{Target: targets[i], Scores: s.scoreTimed(r, p, &targets[i], prefill)})
 	}
 	for _, x := range s.rejected {
 		add(x.index, Candidate{Target: targets[x.index], Rejected: x.filter})
@@ -232,6 +233,6 @@
 	return list
 }
 
-// maxRecordedTimed bounds the candidates kept of a decision about engines of known
-// timing: a spread one takes up to MaxParts of them.
+// maxRecordedTimed bounds the candidates recorded of a decision about engines of known
+// timing: a split prompt takes up to MaxParts of them.
 const maxRecordedTimed = 24
--- a/core/routing/timed_bench_test.go
+++ b/core/routing/timed_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// busyEngines are engines each with many chats, some with much to read.
+// busyEngines makes engines with many chats each, some with much pending prefill.
 func busyEngines(n int) []Target {
 	list := engines(n)
 	for i := range list {
@@ -15,7 +15,7 @@
 	return list
 }
 
-// The time of one decision about a long prompt that waits, and about a chat.
+// These measure one decision about a long prompt that waits, and about a chat.
 func BenchmarkLongPromptWaits(b *testing.B) { benchmarkTimed(b, longRequest(225_000, 0.2)) }
 func BenchmarkChat(b *testing.B)            { benchmarkTimed(b, chatRequest()) }
 
@@ -33,19 +33,19 @@
 	}
 }
 
-// TestRepeatedWaitDecisionAllocatesLittle: a prompt that waits is looked at with each event of its pool;
-// only the first looks of a time record the targets.
+// TestRepeatedWaitDecisionAllocatesLittle: the decision about a waiting prompt is repeated at each event
+// of its pool; the targets are recorded only once per interval, and the other decisions must stay cheap.
 func TestRepeatedWaitDecisionAllocatesLittle(t *testing.T) {
 	list := busyEngines(60)
 	r := longRequest(225_000, 0.2)
 	p := timedParams()
 	var s Scratch
 	if d := s.Decide(r, p, list); d.Verdict != Wait || len(d.Candidates) == 0 {
-		t.Fatalf("verdict %s with %d candidates", d.Verdict, len(d.Candidates))
+		t.Fatalf("verdict %s with %d candidates, want wait with candidates", d.Verdict, len(d.Candidates))
 	}
 	r.OmitCandidates = true
-	const most = 4 // The pool's state and what sorting needs.
+	const most = 4 // The pool state and the sorting allocate.
 	if n := testing.AllocsPerRun(100, func() { s.Decide(r, p, list) }); n > most {
-		t.Errorf("%v allocations for a look", n)
+		t.Errorf("%v allocations per decision, want at most 4", n)
 	}
 }
--- a/core/routing/blind_test.go
+++ b/core/routing/uncoordinated_test.go
@@ -7,16 +7,16 @@
 	"doorstack.dev/core/rendezvous"
 )
 
-// maxCallsPerTarget places a call by each of so many daemons that know of no other call, and returns
-// the most that one target gets.
-func maxCallsPerTarget(daemons int, blind bool, prompt int64, p *Params, targets []Target) int {
+// maxCallsPerTarget places one call from each of so many daemons that know of no other call, and returns
+// the highest number of calls that a target gets.
+func maxCallsPerTarget(daemons int, uncoordinated bool, prompt int64, p *Params, targets []Target) int {
 	var s Scratch
 	got := map[string]int{}
 	most := 0
 	for i := range daemons {
 		r := &Request{
 			PromptTokens: prompt, OutputTokens: 1900, DataCentre: "dc0", Goal: 0.4, GapGoal: 0.3,
-			Seed: rendezvous.Score(fmt.Sprint("d", i), "attempt"), Uncoordinated: blind,
+			Seed: rendezvous.Score(fmt.Sprint("d", i), "attempt"), Uncoordinated: uncoordinated,
 		}
 		d := s.Decide(r, p, targets)
 		got[d.Chosen]++
@@ -25,10 +25,10 @@
 	return most
 }
 
-// TestUncoordinatedDaemonsSpreadCalls: 60 daemons that lost their coordinator each place a chat
-// over 30 engines, or a call over as many plain targets, of their own data centre and 30 of
-// another one. No target gets more than a fifth of them. They all chose the same engine, and
-// one of four plain targets.
+// TestUncoordinatedDaemonsSpreadCalls: 60 daemons without their coordinator each place a chat on one of 30
+// engines, or a call on one of as many plain targets, in their own data centre, with 30 more in another
+// one. No target may get more than a fifth of the calls. Without jitter all daemons chose the same engine,
+// and one of four plain targets.
 func TestUncoordinatedDaemonsSpreadCalls(t *testing.T) {
 	const daemons, most = 60, 12
 	llm, plain := engines(60), make([]Target, 60)
@@ -47,16 +47,16 @@
 		"plain calls": {0, &Params{RemotePenalty: 0.02}, plain},
 	} {
 		if got := maxCallsPerTarget(daemons, true, c.prompt, c.params, c.targets); got > most {
-			t.Errorf("%s: one target gets %d of %d", what, got, daemons)
+			t.Errorf("%s: one target gets %d of %d calls, want at most a fifth", what, got, daemons)
 		}
 		if got := maxCallsPerTarget(daemons, false, c.prompt, c.params, c.targets); got <= most {
-			t.Errorf("%s: who knows all calls spreads them anyhow, the test shows nothing", what)
+			t.Errorf("%s: coordinated decisions spread the calls too, so the check of uncoordinated ones proves nothing", what)
 		}
 	}
 }
 
-// TestUncoordinatedDecisionStaysLocalAndReplays: chance alone sends nothing to another data centre, and a decision
-// made again from its record comes out the same.
+// TestUncoordinatedDecisionStaysLocalAndReplays: jitter alone sends no call to another data centre, and a
+// replayed decision comes out the same.
 func TestUncoordinatedDecisionStaysLocalAndReplays(t *testing.T) {
 	targets := engines(20)
 	for i := range targets {
@@ -69,10 +69,10 @@
 		r := &Request{PromptTokens: 4960, OutputTokens: 1900, DataCentre: "dc1", Goal: 0.4, GapGoal: 0.3, Seed: seed, Uncoordinated: true}
 		d := s.Decide(r, params, targets)
 		if d.Candidates[0].Target.DataCentre != "dc1" {
-			t.Fatalf("seed %d: sent to %s", seed, d.Candidates[0].Target.DataCentre)
+			t.Fatalf("seed %d: best candidate in %s, want dc1", seed, d.Candidates[0].Target.DataCentre)
 		}
 		if again := d.Replay(); again.Chosen != d.Chosen {
-			t.Fatalf("seed %d: %s, and %s when made again", seed, d.Chosen, again.Chosen)
+			t.Fatalf("seed %d: chose %s, but %s when replayed", seed, d.Chosen, again.Chosen)
 		}
 	}
 }
