--- a/core/engine/engine.go
+++ b/core/engine/engine.go
@@ -1,43 +1,43 @@
-// Package engine is a model of the time that a model engine takes: what it costs to
-// read a prompt, alone or in parts, and how long a pass over its requests lasts. It
-// predicts; nothing rests on the prediction but the quality of a placement.
+// Package engine predicts the time that a model engine takes: for the prefill of a prompt,
+// whole or in parts, and for a pass over its requests. Routing uses the predictions to
+// compare placements; a wrong prediction costs quality of placement, not correctness.
 //
-// An engine works in passes. A pass with requests that write has Stride steps; each
-// step makes one token for each of them and may read a chunk of prompt tokens
-// besides. What a stream's caller sees is one event a pass, so the pause between two
-// events is the length of a pass, reading included.
+// An engine works in passes. A pass with decoding requests has StepsPerPass steps; each
+// step decodes one token for each of them and may also prefill a chunk of prompt tokens.
+// A stream has one event per pass, so the gap between two events is the length of a
+// pass, including prefill.
 package engine
 
 import "time"
 
-// Timing are the costs of an engine's work, in seconds.
+// Timing is the cost model of an engine; times are in seconds.
 type Timing struct {
 	// Step is the time of a step without any request.
 	Step float64 `json:"step_s"`
-	// PerSequence is added to a step for each request that writes.
+	// PerSequence is added to a step for each decoding request.
 	PerSequence float64 `json:"per_sequence_s"`
-	// PerContextToken is added to a step for each token of context of those requests.
+	// PerContextToken is added to a step for each context token of the decoding requests.
 	PerContextToken float64 `json:"per_context_token_s"`
-	// PerToken is the time to read a prompt token.
+	// PerPromptToken is the time to prefill a prompt token.
 	PerPromptToken float64 `json:"per_token_s"`
-	// PerPair is added for each pair of a prompt token and one before it.
+	// PerPair is added for each pair of a prompt token and a token before it.
 	PerPair float64 `json:"per_pair_s"`
-	// Stride is the number of steps of a pass.
+	// StepsPerPass is the number of steps of a pass.
 	StepsPerPass int64 `json:"stride"`
 }
 
-// Read is the time that an idle engine takes to read a prompt.
+// PrefillTime returns the time, in seconds, that an idle engine takes to prefill a prompt.
 func (t *Timing) PrefillTime(tokens int64) float64 {
 	n := float64(tokens)
 	return n*t.PerPromptToken + n*n/2*t.PerPair
 }
 
-// Pass is the length of a pass in which so many requests write, with their contexts
-// together in tokens, and nothing is read.
-func (t *Timing) PassTime(writers int, contexts int64) float64 {
-	step := t.Step + float64(writers)*t.PerSequence + float64(contexts)*t.PerContextToken
+// PassTime returns the length of a pass, in seconds, with the given number of decoding
+// requests, the sum of their contexts in tokens, and no prefill.
+func (t *Timing) PassTime(requests int, contextTokens int64) float64 {
+	step := t.Step + float64(requests)*t.PerSequence + float64(contextTokens)*t.PerContextToken
 	return float64(t.StepsPerPass) * step
 }
 
-// Duration turns seconds into a duration.
+// Duration converts seconds to a duration.
 func Duration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
