--- a/core/rendezvous/rendezvous.go
+++ b/core/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous orders hosts for a key by rendezvous hashing: everybody who
-// knows the same hosts gets the same order, and a host that comes or goes changes
-// the place of no other.
+// Package rendezvous orders hosts for a key by rendezvous hashing: all daemons that
+// know the same hosts compute the same order, and adding or removing a host changes
+// the relative order of no others.
 package rendezvous
 
 import (
@@ -10,11 +10,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Score is the weight of a host for a key.
+// Score returns the weight of a host for a key; the highest weight comes first.
 func Score(key, host string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
-	_, _ = d.WriteString(key) // A digest never fails.
+	_, _ = d.WriteString(key) // Writing to a digest never fails.
 	_, _ = d.WriteString("\x00")
 	_, _ = d.WriteString(host)
 	return d.Sum64()
@@ -42,7 +42,7 @@
 	return top
 }
 
-// Owner returns the first host for the key, or "" if there is none.
+// Owner returns the host with the highest score for the key, or "" if there are no hosts.
 func Owner(key string, hosts []string) string {
 	best, bestScore := "", uint64(0)
 	for _, h := range hosts {
