--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -14,16 +14,16 @@
 // fleetModel drives the state machines with the events of model/claim.pml and
 // checks its invariant: a key is sent at most once.
 type fleetModel struct {
-	now        time.Time
-	witnesses  map[string]*Witness
-	histories  []*History // one for each daemon that claims
-	revision   int64
-	hosts      []string
-	nextHost   int
-	claims     []*modelClaim
-	keyDated   bool
-	keyCreated time.Time
-	sends      int
+	now               time.Time
+	witnesses         map[string]*Witness
+	histories         []*History // one for each daemon that claims
+	revision          int64
+	hosts             []string
+	nextHost          int
+	claims            []*modelClaim
+	creationTimeKnown bool
+	keyCreated        time.Time
+	sends             int
 }
 
 type modelClaim struct {
@@ -33,7 +33,7 @@
 }
 
 func newFleetModel(t *rapid.T) *fleetModel {
-	m := &fleetModel{now: epoch, witnesses: map[string]*Witness{}, keyDated: rapid.Bool().Draw(t, "dated")}
+	m := &fleetModel{now: epoch, witnesses: map[string]*Witness{}, creationTimeKnown: rapid.Bool().Draw(t, "dated")}
 	for range 6 {
 		m.addHost()
 	}
@@ -71,7 +71,7 @@
 
 // birth is the key's birth as its claimers read it.
 func (m *fleetModel) creationTime() CreationTime {
-	return CreationTime{Known: m.keyDated, At: m.keyCreated}
+	return CreationTime{Known: m.creationTimeKnown, At: m.keyCreated}
 }
 
 func (m *fleetModel) claim(t *rapid.T) {
