--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -13,18 +13,19 @@
 func TestBucketAdmitsLargeCostAndDelaysTheNext(t *testing.T) {
 	b := NewBucket(100_000, epoch)
 	if ok, _ := b.Take(1_000_000, epoch); !ok {
-		t.Fatal("a million tokens never pass a limit of 100,000 a second")
+		t.Fatal("Take(1000000) at 100,000 per second = false on a full bucket, want true")
 	}
 	ok, wait := b.Take(1000, epoch)
 	if ok || wait < 9*time.Second || wait > 10*time.Second {
-		t.Fatalf("got %v, wait %v; want about 9 s", ok, wait)
+		t.Fatalf("Take(1000) in debt = %v, %v; want false, 9 s to 10 s", ok, wait)
 	}
 	if ok, _ = b.Take(1000, epoch.Add(wait)); !ok {
-		t.Fatal("refused at the time that it named itself")
+		t.Fatal("Take(1000) after the wait that Take returned = false, want true")
 	}
 }
 
-// TestBucketNeverExceedsItsRate holds for any arrivals, up to one last cost.
+// TestBucketNeverExceedsItsRate checks, for random arrivals, that no more is taken than the
+// rate and the burst allow, plus the last cost.
 func TestBucketNeverExceedsItsRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(1, 1000).Draw(t, "rate")
@@ -41,7 +42,7 @@
 		}
 		bound := rate*now.Sub(epoch).Seconds() + max(1, rate*burstSeconds) + largest + 1e-6
 		if taken > bound {
-			t.Fatalf("took %f, bound %f", taken, bound)
+			t.Fatalf("took %f units, want at most %f", taken, bound)
 		}
 	})
 }
@@ -63,12 +64,12 @@
 		return ids
 	}
 	got := order(epoch.Add(12 * time.Second))
-	want := "[batch hog1 small hog2]" // batch has aged to level 0 and came first
+	want := "[batch hog1 small hog2]" // batch has aged to level 0 and arrived first
 	if fmt.Sprint(got) != want {
-		t.Fatalf("got %v, want %s", got, want)
+		t.Fatalf("Dispatch order = %v, want %s", got, want)
 	}
 	if q.Len() != 0 || q.TokensAhead(9) != 0 {
-		t.Fatalf("the queue still counts %d requests, %d tokens", q.Len(), q.TokensAhead(9))
+		t.Fatalf("after dispatching all: Len() = %d, TokensAhead(9) = %d; want 0, 0", q.Len(), q.TokensAhead(9))
 	}
 }
 
@@ -85,12 +86,12 @@
 		return true
 	})
 	if fmt.Sprint(placed) != "[short]" || q.Len() != 1 {
-		t.Fatalf("placed %v, %d left", placed, q.Len())
+		t.Fatalf("Dispatch placed %v, Len() = %d; want [short], 1", placed, q.Len())
 	}
 }
 
-// TestNoAccountStarvesAnother: whatever one account queues, another one's equal
-// work gets its share of the tokens dispatched.
+// TestNoAccountStarvesAnother checks that an account gets its share of the dispatched tokens,
+// whatever another account has queued at the same level.
 func TestNoAccountStarvesAnother(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue(0)
@@ -103,17 +104,17 @@
 		}
 		sums := map[string]int64{}
 		for sums["small"] < 10_000 && q.Len() > 0 {
-			one := false
+			dispatched := false
 			q.Dispatch(epoch, func(it *Item) bool {
-				if one {
+				if dispatched {
 					return false
 				}
-				one = true
+				dispatched = true
 				sums[it.Account] += it.Tokens
 				return true
 			})
 			if sums["hog"] > sums["small"]+2000 {
-				t.Fatalf("hog got %d tokens, small %d", sums["hog"], sums["small"])
+				t.Fatalf("dispatched %d tokens of hog and %d of small, want at most 2000 more of hog", sums["hog"], sums["small"])
 			}
 		}
 	})
@@ -123,24 +124,24 @@
 	var b Breaker
 	for range breakerFailures {
 		if b.Open(epoch) {
-			t.Fatal("open too early")
+			t.Fatalf("Open() = true before %d failures", breakerFailures)
 		}
 		b.Failed(epoch)
 	}
 	if !b.Open(epoch) || b.Open(epoch.Add(breakerPause)) {
-		t.Fatal("want open for one pause")
+		t.Fatal("breaker is not open for exactly one pause after the last failure")
 	}
 	b.Sent()
 	if !b.Open(epoch.Add(breakerPause)) {
-		t.Fatal("two probes at one time")
+		t.Fatal("Open() = false while a probe is in flight, want true")
 	}
 	b.Failed(epoch.Add(breakerPause))
 	if !b.Open(epoch.Add(2 * breakerPause)) {
-		t.Fatal("the second pause must be longer")
+		t.Fatal("Open() = false one pause after a failed probe, want a longer pause")
 	}
 	b.Succeeded()
 	if b.Open(epoch.Add(2 * breakerPause)) {
-		t.Fatal("a success closes it")
+		t.Fatal("Open() = true after a success, want false")
 	}
 }
 
@@ -154,12 +155,12 @@
 		}
 	}
 	if retries > 100+initialRetries {
-		t.Fatalf("%d retries for 1000 requests", retries)
+		t.Fatalf("%d retries for 1000 requests, want at most %d", retries, 100+initialRetries)
 	}
 }
 
-// TestBreakerCountsInFlightFailuresOnce: when many calls at a target fail
-// together, the breaker opens once, and not once for each of them.
+// TestBreakerCountsInFlightFailuresOnce checks that the breaker opens once, for one pause,
+// when many calls that are in flight at a target fail together.
 func TestBreakerCountsInFlightFailuresOnce(t *testing.T) {
 	var b Breaker
 	now := time.Unix(0, 0)
@@ -170,15 +171,15 @@
 		b.Failed(now)
 	}
 	if !b.Open(now) || b.Open(now.Add(breakerPause)) {
-		t.Fatal("the breaker does not open for one pause")
+		t.Fatal("breaker is not open for exactly one pause after 20 failures")
 	}
 	now = now.Add(breakerPause)
-	b.Sent() // The probe.
+	b.Sent() // the probe
 	if !b.Open(now) {
-		t.Fatal("a second call goes out beside the probe")
+		t.Fatal("Open() = false while a probe is in flight, want true")
 	}
 	b.Failed(now)
 	if !b.Open(now.Add(breakerPause)) || b.Open(now.Add(2*breakerPause)) {
-		t.Fatal("a failed probe does not double the pause")
+		t.Fatal("breaker is not open for exactly two pauses after a failed probe")
 	}
 }
--- a/core/admission/breaker.go
+++ b/core/admission/breaker.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Breaker keeps work away from a target whose calls keep failing. It opens
-// after several failures in a row, lets one call through after a pause, and
-// closes when that one succeeds.
+// Breaker is the circuit breaker of a target: it stops calls to a target whose calls keep
+// failing. It opens after several failures in a row, lets one probe call through after a
+// pause, and closes when the probe succeeds.
 type Breaker struct {
 	failures    int
 	timesOpened int
@@ -12,15 +12,15 @@
 	probing     bool
 }
 
-// The breaker's constants: failures in a row that open it, and its pause, which
-// doubles each time up to a bound.
+// breakerFailures is the number of failures in a row that open a breaker. The pause doubles
+// each time the breaker opens again, up to breakerMaxPause.
 const (
 	breakerFailures = 3
 	breakerPause    = time.Second
 	breakerMaxPause = 30 * time.Second
 )
 
-// Open tells whether calls are kept away now.
+// Open reports whether calls are blocked at the given time.
 func (b *Breaker) Open(now time.Time) bool {
 	if b.failures < breakerFailures {
 		return false
@@ -28,21 +28,23 @@
 	return b.probing || now.Before(b.openUntil)
 }
 
-// Sent records that a call was sent; after a pause it is the probe.
+// Sent records that a call was sent. The first call after a pause is the probe, and blocks
+// others until it ends.
 func (b *Breaker) Sent() {
 	if b.failures >= breakerFailures {
 		b.probing = true
 	}
 }
 
-// Succeeded closes the breaker.
+// Succeeded records a successful call and closes the breaker.
 func (b *Breaker) Succeeded() { *b = Breaker{} }
 
-// Cancelled records that a call ended without saying anything of the target.
+// Cancelled records that a call ended without showing whether the target works.
 func (b *Breaker) Cancelled() { b.probing = false }
 
-// Failed records a failure, and opens the breaker after several in a row. While it is open
-// only the probe's counts: calls that were under way when it opened tell nothing new.
+// Failed records a failed call and opens the breaker after several in a row. While the breaker
+// is open only the failure of the probe counts: calls that were in flight when it opened tell
+// nothing new.
 func (b *Breaker) Failed(now time.Time) {
 	if b.failures >= breakerFailures && !b.probing {
 		return
--- a/core/admission/bucket.go
+++ b/core/admission/bucket.go
@@ -1,9 +1,10 @@
-// Package admission decides which requests get in and in what order: rates and
-// concurrency of client accounts, the order of the queue, early refusal when a
-// deadline cannot be met, the budget for retries, and the breaker of a target.
+// Package admission decides, for one daemon, which requests are admitted and in what order. It
+// covers the rate and concurrency limits of client accounts, the order of the queue, refusal
+// of requests that cannot meet their deadline or that reach a starting or overloaded daemon,
+// the retry budgets, and the circuit breaker of a target.
 //
-// All of it is plain state that takes the time as a value. None of it locks;
-// the blackboard does that.
+// The types hold plain state and take the current time as an argument. None of them locks; the
+// tables of package blackboard do.
 package admission
 
 import (
@@ -11,21 +12,20 @@
 	"time"
 )
 
-// Bucket limits a rate. Unlike a classic token bucket it lets a request through
-// while it is not in debt and then takes the whole cost, so that one prompt of
-// a million tokens can pass a limit of less than that a second and is paid for
-// by the time until the next.
+// Bucket limits a rate. Unlike a classic token bucket it admits a request while it is not in
+// debt and then takes the whole cost. A prompt of a million tokens can thus pass a limit of
+// less than a million tokens a second; the requests after it wait until the debt is paid.
 type Bucket struct {
-	rate    float64 // units a second
-	burst   float64 // most units saved up
-	level   float64 // units at hand; below zero is debt
+	rate    float64 // units per second
+	burst   float64 // maximum level, in units
+	level   float64 // units available; negative while in debt
 	updated time.Time
 }
 
-// burstSeconds is how long a rate can be saved up.
+// burstSeconds is the time over which an unused rate accumulates, in seconds.
 const burstSeconds = 1.0
 
-// NewBucket returns a full bucket.
+// NewBucket returns a full bucket with a rate in units per second.
 func NewBucket(rate float64, now time.Time) Bucket {
 	b := Bucket{updated: now}
 	b.SetRate(rate, now)
@@ -33,10 +33,10 @@
 	return b
 }
 
-// SetRate changes the rate from now on. A raise brings what can be saved up of the
-// raised part along, so that a daemon that was just given a share can use it at
-// once; a limit over several daemons can thus be passed by what is raised, for one
-// second, each time that a share moves.
+// SetRate changes the rate from now on. Raising the rate also adds the increase of the burst
+// to the level, so that a daemon that was just given a larger share can use it at once. A
+// limit that several daemons share can therefore be exceeded by the increase, for one second,
+// each time a share moves.
 func (b *Bucket) SetRate(rate float64, now time.Time) {
 	b.refill(now)
 	old := b.burst
@@ -48,8 +48,8 @@
 	b.level = min(b.level, b.burst)
 }
 
-// Take takes cost units if the bucket is not in debt. Otherwise it takes
-// nothing and returns the time until it is out of debt.
+// Take takes cost units and reports true if the level is at least one unit, or cost where that
+// is less. Otherwise it takes nothing and returns the time until the level is high enough.
 func (b *Bucket) Take(cost float64, now time.Time) (ok bool, wait time.Duration) {
 	b.refill(now)
 	need := min(cost, 1)
@@ -60,10 +60,10 @@
 	return true, 0
 }
 
-// Return gives back units taken for work that did not happen.
+// Return gives back units that were taken for a request that did not run.
 func (b *Bucket) Return(cost float64) { b.level = min(b.burst, b.level+cost) }
 
-// Rate is the current rate in units a second.
+// Rate returns the current rate in units per second.
 func (b *Bucket) Rate() float64 { return b.rate }
 
 func (b *Bucket) refill(now time.Time) {
@@ -73,7 +73,7 @@
 	b.updated = now
 }
 
-// maxRetryAfter bounds the advice to a caller whose limit is close to zero.
+// maxRetryAfter bounds the advised wait of a caller whose limit is close to zero.
 const maxRetryAfter = time.Hour
 
 func (b *Bucket) timeUntil(level float64) time.Duration {
--- a/core/admission/lag.go
+++ b/core/admission/lag.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// Lag is how far a daemon is behind its own events, from samples of how long something that
-// has arrived waits for the processor. The zero value knows of no sample.
+// Lag measures the queueing delay of a daemon for the processor. Its samples are the times
+// that an event, once it has arrived, waits until the daemon handles it. The zero value has no
+// samples.
 //
-// One long sample is no queue: a process that was paused or used up its share of a core for
-// the moment catches up at once. A queue stands where the last two samples are long, and the
-// one under way counts once it is longer than the older of them.
+// A single long sample does not show a queue: a process that was paused, or that used up its
+// CPU quota for the moment, catches up at once. There is a queue where the last two samples
+// are long. A sample in progress counts once it is longer than the older of the two.
 type Lag struct {
 	lastWait, previousWait time.Duration
-	// pending is since when the sample under way waits; zero where there is none.
+	// pendingSince is the start of the sample in progress; zero if there is none.
 	pendingSince time.Time
 }
 
-// Begin notes that a sample was sent.
+// Begin starts a sample.
 func (l *Lag) Begin(at time.Time) { l.pendingSince = at }
 
-// End notes that the sample under way has had its turn.
+// End completes the sample in progress: the daemon has handled it.
 func (l *Lag) End(at time.Time) {
 	if l.pendingSince.IsZero() {
 		return
@@ -26,10 +27,11 @@
 	l.pendingSince = time.Time{}
 }
 
-// Pending tells whether a sample is under way.
+// Pending reports whether a sample is in progress.
 func (l *Lag) Pending() bool { return !l.pendingSince.IsZero() }
 
-// Standing is how long what arrives has to wait at least.
+// Sustained returns the delay that the last two samples, or the last one and the one in
+// progress, both reached: the least that an arriving event has to wait.
 func (l *Lag) Sustained(now time.Time) time.Duration {
 	other := l.previousWait
 	if !l.pendingSince.IsZero() {
@@ -38,40 +40,41 @@
 	return min(l.lastWait, other)
 }
 
-// Which calls a daemon that is behind refuses.
+// The lag from which an overloaded daemon refuses calls.
 const (
-	// maxLagShareOfGoal is the part of a call's goal that one wait for the processor may take. A call has
-	// some five turns before its answer begins: its head, the answer to its question for a
-	// place, the connection to its target, the send, the first event; and the queue goes on
-	// growing until the next samples tell of it.
+	// maxLagShareOfGoal is the part of a call's goal that one wait for the processor may take.
+	// A call waits some five times before its answer begins: to read its head, for the reply
+	// to its placement request, for the connection to its target, to send, and for the first
+	// event. The queue also keeps growing until the next samples show it.
 	maxLagShareOfGoal = 0.1
-	// minRefusedLag is a wait for which no call is refused: on a weak host the check of a change of
-	// settings and the collection of garbage take this long beside the calls.
+	// minRefusedLag is the lag up to which no call is refused: on a weak host, validating a
+	// change of settings and garbage collection delay the calls by this much.
 	minRefusedLag = 30 * time.Millisecond
-	// maxLagWithoutGoal is the wait from which a call without a goal is refused: a tenth of the second
-	// after which callers leave a connection on which nothing is read.
+	// maxLagWithoutGoal is the lag from which a call without a goal is refused: a tenth of the
+	// second after which callers drop a connection on which nothing is read.
 	maxLagWithoutGoal = 100 * time.Millisecond
 )
 
-// OverloadCheck is what a daemon knows when a call reaches it while it is behind its own events.
+// OverloadCheck decides whether a daemon that handles its events late refuses a call.
 type OverloadCheck struct {
-	// Lag is the wait for the processor that stands, as Lag.Standing tells it.
+	// Lag is the queueing delay for the processor, from Lag.Sustained.
 	Lag time.Duration
-	// Goal is the time to the first event that the call's route asks for; zero where it has none.
+	// Goal is the route's goal for the time to the first event; zero if the route has none.
 	Goal time.Duration
 }
 
-// Refuse tells whether the call is refused at once, for which a daemon needs a fraction of the
-// time that serving it takes. Who takes all that comes at twice what the processor can serve
-// serves nobody in time (TestRefusingWhileOverloadedKeepsCallsWithinGoal). A caller comes back at once
-// (otherDaemonRetryAfter), since it reaches another daemon.
-func (b OverloadCheck) Refuse() bool {
+// Refuse reports whether to refuse the call at once, which costs a daemon a fraction of the
+// processor time of serving it. At twice the load that its processor can serve, a daemon that
+// accepts every call serves almost none in time
+// (TestRefusingWhileOverloadedKeepsCallsWithinGoal).
+func (c OverloadCheck) Refuse() bool {
 	bound := maxLagWithoutGoal
-	if b.Goal > 0 {
-		bound = time.Duration(maxLagShareOfGoal * float64(b.Goal))
+	if c.Goal > 0 {
+		bound = time.Duration(maxLagShareOfGoal * float64(c.Goal))
 	}
-	return b.Lag > max(minRefusedLag, bound)
+	return c.Lag > max(minRefusedLag, bound)
 }
 
-// RetryAfter is when a call that is refused should come back.
+// RetryAfter returns the advised wait for a refused call, which is short because the retry
+// reaches another daemon.
 func (OverloadCheck) RetryAfter() time.Duration { return otherDaemonRetryAfter }
--- a/core/admission/lag_test.go
+++ b/core/admission/lag_test.go
@@ -8,8 +8,9 @@
 
 const ms = time.Millisecond
 
-// TestLagIgnoresSinglePause: one long sample, under way or ended, says nothing; two do, and so does
-// one that is under way after a long one.
+// TestLagIgnoresSinglePause checks that one long sample, in progress or ended, shows no
+// sustained lag, and that two long samples do, the second of them also while it is in
+// progress.
 func TestLagIgnoresSinglePause(t *testing.T) {
 	var l Lag
 	at := time.Unix(1000, 0)
@@ -20,39 +21,40 @@
 		at = at.Add(100 * ms)
 	}
 	if got := l.Sustained(at); got != 0 {
-		t.Errorf("without a sample %v stand", got)
+		t.Errorf("Sustained() without a sample = %v, want 0", got)
 	}
 	sample(ms)
 	sample(ms)
 	l.Begin(at)
 	if got := l.Sustained(at.Add(3 * time.Second)); got != ms {
-		t.Errorf("in a pause of 3s after short samples %v stand", got)
+		t.Errorf("Sustained() in a pause of 3s after short samples = %v, want %v", got, ms)
 	}
 	at = at.Add(3 * time.Second)
 	l.End(at)
 	if got := l.Sustained(at); got != ms {
-		t.Errorf("after the pause %v stand", got)
+		t.Errorf("Sustained() after the pause = %v, want %v", got, ms)
 	}
 	l.Begin(at)
 	if got := l.Sustained(at.Add(200 * ms)); got != 200*ms {
-		t.Errorf("200ms into a second long sample %v stand", got)
+		t.Errorf("Sustained() 200ms into a second long sample = %v, want %v", got, 200*ms)
 	}
 	at = at.Add(400 * ms)
 	l.End(at)
 	if got := l.Sustained(at); got != 400*ms {
-		t.Errorf("after samples of 3s and 400ms %v stand", got)
+		t.Errorf("Sustained() after samples of 3s and 400ms = %v, want %v", got, 400*ms)
 	}
 	sample(ms)
 	if got := l.Sustained(at); got != ms {
-		t.Errorf("after a short sample %v stand", got)
+		t.Errorf("Sustained() after a short sample = %v, want %v", got, ms)
 	}
 	l.End(at)
 	if got := l.Sustained(at); got != ms {
-		t.Errorf("an end without a begin changes it to %v", got)
+		t.Errorf("Sustained() after End without Begin = %v, want %v", got, ms)
 	}
 }
 
-// TestOverloadCheckRefusesByGoal: by the goal of the call, and nobody for a short wait.
+// TestOverloadCheckRefusesByGoal checks the lag from which calls are refused, which depends on
+// their goal; no call is refused for a short lag.
 func TestOverloadCheckRefusesByGoal(t *testing.T) {
 	for _, c := range []struct {
 		what      string
@@ -60,7 +62,7 @@
 		want      bool
 	}{
 		{"a chat at an idle daemon", ms, 300 * ms, false},
-		{"a chat beside a collection of garbage", 25 * ms, 300 * ms, false},
+		{"a chat during garbage collection", 25 * ms, 300 * ms, false},
 		{"a chat", 35 * ms, 300 * ms, true},
 		{"a lookup with a short goal", 25 * ms, 150 * ms, false},
 		{"a lookup with a short goal", 35 * ms, 150 * ms, true},
@@ -70,20 +72,21 @@
 		{"a call without a goal", 120 * ms, 0, true},
 	} {
 		if got := (OverloadCheck{Lag: c.lag, Goal: c.goal}).Refuse(); got != c.want {
-			t.Errorf("%s, %v behind: refused %v", c.what, c.lag, got)
+			t.Errorf("%s: Refuse() with a lag of %v = %v, want %v", c.what, c.lag, got, c.want)
 		}
 	}
 	if got := (OverloadCheck{}).RetryAfter(); got > 100*ms {
-		t.Errorf("back after %v, though another daemon takes the call", got)
+		t.Errorf("RetryAfter() = %v, want at most 100ms, since another daemon takes the retry", got)
 	}
 }
 
-// simProcessor plays a daemon whose turns wait in one queue for a share of a core.
+// simProcessor simulates a daemon whose tasks wait in one queue for a share of a CPU core.
 type simProcessor struct {
 	now   time.Duration
 	turns []simTask
 }
 
+// simTask is a task of the simulated daemon.
 type simTask struct {
 	cost time.Duration
 	done func(now time.Duration)
@@ -93,7 +96,7 @@
 	p.turns = append(p.turns, simTask{cost, done})
 }
 
-// runUntil gives turns the processor, in order, until a moment.
+// runUntil runs the queued tasks in order until the given time.
 func (p *simProcessor) runUntil(end time.Duration) {
 	for len(p.turns) > 0 && p.now < end {
 		next := p.turns[0]
@@ -104,8 +107,8 @@
 	p.now = max(p.now, end)
 }
 
-// The load of the play: a fifth of a core serves 80 calls a second, of which each has five
-// turns, and 160 come.
+// The simulated load: a fifth of a core serves 80 calls per second of five tasks each, and 160
+// arrive.
 const (
 	simGoal            = 300 * ms
 	simTaskCost        = 2500 * time.Microsecond
@@ -117,11 +120,12 @@
 	simSampleCost      = 100 * time.Microsecond
 )
 
-// simulateOverload returns how many calls a daemon answered within their goal and how many came.
-func simulateOverload(door bool) (inGoal, asked int) {
+// simulateOverload returns how many calls a daemon answers within their goal and how many
+// arrive. With refuse set the daemon refuses calls as OverloadCheck tells it.
+func simulateOverload(refuse bool) (inGoal, asked int) {
 	var p simProcessor
 	var lag Lag
-	draws := rand.New(rand.NewPCG(1, 2)) // The program draws the time between two samples too.
+	draws := rand.New(rand.NewPCG(1, 2)) // The daemon draws the time between samples, too.
 	start := time.Unix(1000, 0)
 	nextSample := time.Duration(0)
 	for at := time.Duration(0); at < simDuration; at += simArrivalInterval {
@@ -146,9 +150,9 @@
 				inGoal++
 			}
 		}
-		// The door is the call's first turn: its head is read.
+		// The call's first task reads its head; the daemon may refuse the call then.
 		p.add(simRefusalCost, func(now time.Duration) {
-			if door && (OverloadCheck{Lag: lag.Sustained(start.Add(now)), Goal: simGoal}).Refuse() {
+			if refuse && (OverloadCheck{Lag: lag.Sustained(start.Add(now)), Goal: simGoal}).Refuse() {
 				return
 			}
 			p.add(simTaskCost-simRefusalCost, next)
@@ -157,17 +161,18 @@
 	return inGoal, asked
 }
 
-// TestRefusingWhileOverloadedKeepsCallsWithinGoal: at twice the load that its processor can serve, a
-// daemon that takes all serves 2 of 100 in time, one that refuses while it is behind 32.
-// None can serve more than 45: a refusal costs a twentieth of a call.
+// TestRefusingWhileOverloadedKeepsCallsWithinGoal checks the effect of refusing calls at twice
+// the load that the processor can serve: a daemon that accepts every call serves 2 of 100 in
+// time, one that refuses calls while it is overloaded 32. None can serve more than 45, since a
+// refusal costs a twentieth of a call.
 func TestRefusingWhileOverloadedKeepsCallsWithinGoal(t *testing.T) {
 	without, asked := simulateOverload(false)
 	with, _ := simulateOverload(true)
-	t.Logf("of %d calls in goal: %d without refusing, %d with it", asked, without, with)
+	t.Logf("of %d calls within their goal: %d without refusals, %d with them", asked, without, with)
 	if share := float64(without) / float64(asked); share > 0.05 {
-		t.Errorf("without refusing %.2f are in time: the play is no overload", share)
+		t.Errorf("share of calls within their goal without refusals = %.2f, want at most 0.05: the simulation is no overload", share)
 	}
 	if share := float64(with) / float64(asked); share < 0.3 {
-		t.Errorf("%.2f of the calls are in time, want 0.3", share)
+		t.Errorf("share of calls within their goal with refusals = %.2f, want at least 0.3", share)
 	}
 }
--- a/core/admission/late_test.go
+++ b/core/admission/late_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// TestLateRequestsAreDispatchedLast: of prompts of one level those that can be in time go first, the least work
-// before the rest; one that is late is not lifted by its wait, but keeps its level.
+// TestLateRequestsAreDispatchedLast checks that of the prompts of one level those that can
+// still be answered in time go first, and of these the ones with the shortest prefill. A late
+// prompt keeps its level and is not raised for its wait.
 func TestLateRequestsAreDispatchedLast(t *testing.T) {
 	start := time.Unix(1_000_000_000, 0)
 	now := start.Add(10 * time.Second)
@@ -32,6 +33,6 @@
 	})
 	want := []string{"late and urgent", "in time and short", "in time", "late and short", "late", "below"}
 	if !slices.Equal(order, want) {
-		t.Errorf("order %q, want %q", order, want)
+		t.Errorf("Dispatch order = %q, want %q", order, want)
 	}
 }
--- a/core/admission/queue.go
+++ b/core/admission/queue.go
@@ -6,46 +6,47 @@
 	"time"
 )
 
-// Item is a request that waits.
+// Item is a request in a Queue.
 type Item struct {
-	// ID is the request id.
+	// ID is the request ID.
 	ID string
-	// Account is the path of its client account.
+	// Account is the path of the client account.
 	Account string
-	// Level is its priority level; lower goes first.
+	// Level is the priority level; lower levels go first.
 	Level int
-	// Tokens is its cost: the prompt tokens to be read.
+	// Tokens is the cost of the request: its prompt tokens to be processed.
 	Tokens int64
-	// Long tells whether it counts as a long prompt.
+	// Long reports whether the request counts as a long prompt.
 	Long bool
-	// Retry is true when it has been placed before.
+	// Retry reports whether the request has been placed at a target before.
 	Retry bool
-	// Arrived is when the request came to the daemon.
+	// Arrived is the time at which the daemon received the request.
 	Arrived time.Time
-	// Work is the time, in seconds, that reading the prompt takes, where that is known.
-	// Long prompts of known work go shortest first, whatever their account: the least
-	// work earns the most for each second. A second of waiting counts as a second less.
-	// None of known work holds up another, since each may be refused by itself.
+	// PrefillSeconds is the time that processing the prompt takes, in seconds; zero if
+	// unknown. Long prompts of known prefill time go shortest first, whatever their account,
+	// since the least work earns the most per second; each second of waiting counts as one
+	// second less. A prompt of known prefill time does not hold up others, since each may be
+	// refused by itself.
 	PrefillSeconds float64
 
-	// Latest is when it has to be placed to be answered in time; zero where that is not known.
-	// After that it goes behind all that can still be in time: its answer is worth little to
-	// its caller whenever it comes, and theirs would be late too.
+	// LatestStart is the time by which the request has to be placed to be answered in time;
+	// zero if unknown. After it, the request goes behind all that can still be answered in
+	// time: its answer is worth little to its caller whenever it comes, and theirs would be
+	// late too.
 	LatestStart time.Time
 
-	// Owner is the caller's own record of the request; the queue ignores it.
+	// Value is the caller's own record of the request; the queue ignores it.
 	Value any
 
-	startTag float64 // fair-queueing tag
+	startTag float64 // start tag of start-time fair queueing, in tokens
 }
 
-// Queue is the waiting line of one pool. Requests are served by priority level;
-// within a level, accounts share by tokens (start-time fair queueing), and each
-// account's requests go in order of arrival. Waiting lifts a request by one
-// level each AgeingPerLevel, up to level 0, where the fair order makes sure that
-// its turn comes.
+// Queue holds the waiting requests of one pool. Requests are dispatched by priority level.
+// Within a level, accounts share by tokens (start-time fair queueing), and the requests of an
+// account go in order of arrival. Each AgeingPerLevel of waiting raises a request by one
+// level, up to level 0, where the fair order ensures that it is dispatched in the end.
 type Queue struct {
-	// AgeingPerLevel is the wait that lifts a request by one level.
+	// AgeingPerLevel is the wait that raises a request by one level; zero disables ageing.
 	AgeingPerLevel time.Duration
 
 	flows       map[flowKey]*flow
@@ -58,11 +59,13 @@
 // priorityLevels is the number of priority levels.
 const priorityLevels = 10
 
+// flowKey identifies a flow.
 type flowKey struct {
 	account string
 	level   int
 	long    bool
-	// item is set for prompts of known work, each of which is a line of its own.
+	// requestID is set for long prompts of known prefill time, each of which has a flow of its
+	// own.
 	requestID string
 }
 
@@ -74,9 +77,9 @@
 	return key
 }
 
-// flow is the line of one account at one level. Long prompts have a line of
-// their own, so that one that waits for memory does not stop the short ones of
-// the same account.
+// flow is the queue of one account at one level. Long prompts have a flow of their own, so
+// that a long prompt that waits for memory does not block the short prompts of the same
+// account.
 type flow struct {
 	key           flowKey
 	items         []*Item
@@ -89,10 +92,10 @@
 	return &Queue{AgeingPerLevel: ageingPerLevel, flows: map[flowKey]*flow{}}
 }
 
-// Len is the number of waiting requests.
+// Len returns the number of waiting requests.
 func (q *Queue) Len() int { return q.length }
 
-// Push puts a request at the end of its account's line.
+// Push appends a request to its account's flow; a retry goes to the front.
 func (q *Queue) Push(it *Item) {
 	key := flowKeyOf(it)
 	f := q.flows[key]
@@ -103,7 +106,7 @@
 	it.startTag = max(q.virtualTime, f.lastFinishTag)
 	f.lastFinishTag = it.startTag + float64(it.Tokens)
 	if it.Retry {
-		// It has had its turn once; it does not pay for it again.
+		// The request was charged when it was dispatched first; a retry costs nothing more.
 		it.startTag = q.virtualTime
 		f.items = slices.Insert(f.items, 0, it)
 	} else {
@@ -113,7 +116,7 @@
 	q.tokens[it.Level] += it.Tokens
 }
 
-// Remove takes out a request that no longer waits. It tells whether it was there.
+// Remove removes a request that no longer waits and reports whether it was queued.
 func (q *Queue) Remove(it *Item) bool {
 	f := q.flows[flowKeyOf(it)]
 	if f == nil {
@@ -128,6 +131,7 @@
 	return true
 }
 
+// updateAfterRemoval updates the counts for a request that was removed from a flow.
 func (q *Queue) updateAfterRemoval(f *flow, it *Item) {
 	q.length--
 	q.tokens[it.Level] -= it.Tokens
@@ -136,7 +140,8 @@
 	}
 }
 
-// TokensAhead is the number of prompt tokens that wait at the level or before it.
+// TokensAhead returns the number of prompt tokens that wait at the level and at those that go
+// before it.
 func (q *Queue) TokensAhead(level int) int64 {
 	sum := int64(0)
 	for l := 0; l <= level; l++ {
@@ -145,7 +150,7 @@
 	return sum
 }
 
-// Waiting counts the requests of an account that wait.
+// Waiting returns the number of waiting requests of an account.
 func (q *Queue) Waiting(account string) int {
 	n := 0
 	for level := range priorityLevels {
@@ -163,13 +168,14 @@
 	return n
 }
 
-// maxDispatchAttempts bounds the requests looked at in one pass, so that a pass over a long
-// queue of many accounts stays short; the next event looks again.
+// maxDispatchAttempts bounds the requests that one call of Dispatch tries, so that it stays
+// short for a long queue of many accounts; the next event calls Dispatch again.
 const maxDispatchAttempts = 64
 
-// Dispatch offers requests in order to place, which takes one or says that there
-// is no room. A short request that finds no room stops all short ones that are
-// no smaller, a long one all long ones. It returns the number placed.
+// Dispatch offers requests in order to place, which reports whether it placed the request or
+// found no room. A short request that finds no room stops all short ones that are no smaller,
+// and a long one all such long ones, unless it is a retry or its prefill time is known.
+// Dispatch returns the number of requests placed.
 func (q *Queue) Dispatch(now time.Time, place func(*Item) bool) int {
 	placed := 0
 	stopShort, stopLong := int64(-1), int64(-1)
@@ -217,7 +223,8 @@
 	}
 }
 
-// first finds the head that goes next among those not skipped.
+// nextFlow returns the flow whose first request goes next, among those not skipped; nil if
+// none.
 func (q *Queue) nextFlow(now time.Time) *flow {
 	var best *flow
 	for _, f := range q.activeFlows {
@@ -235,7 +242,7 @@
 	return q.compare(a.items[0], b.items[0], now) < 0
 }
 
-// compare orders two requests by their turns.
+// compare orders two requests by the order of dispatch.
 func (q *Queue) compare(x, y *Item, now time.Time) int {
 	return cmp.Or(
 		cmp.Compare(q.agedLevel(x, now), q.agedLevel(y, now)),
@@ -247,7 +254,7 @@
 	)
 }
 
-// InOrder lists all waiting requests by their turns.
+// InOrder returns all waiting requests in the order of dispatch.
 func (q *Queue) InOrder(now time.Time) []*Item {
 	list := make([]*Item, 0, q.length)
 	for _, f := range q.flows {
@@ -257,12 +264,12 @@
 	return list
 }
 
-// late tells whether it is too late for an answer in time.
+// pastLatestStart reports whether it is too late to answer the request in time.
 func (it *Item) pastLatestStart(now time.Time) bool {
 	return !it.LatestStart.IsZero() && now.After(it.LatestStart)
 }
 
-// compareLateness puts requests that can be in time first.
+// compareLateness puts requests that can still be answered in time first.
 func compareLateness(x, y *Item, now time.Time) int {
 	switch {
 	case x.pastLatestStart(now) == y.pastLatestStart(now):
@@ -274,7 +281,7 @@
 	}
 }
 
-// comparePrefill orders two prompts of known work; others are equal.
+// comparePrefill orders two long prompts of known prefill time; other pairs compare as equal.
 func comparePrefill(x, y *Item, now time.Time) int {
 	if !x.Long || !y.Long || x.PrefillSeconds <= 0 || y.PrefillSeconds <= 0 {
 		return 0
@@ -282,8 +289,8 @@
 	return cmp.Compare(x.PrefillSeconds-now.Sub(x.Arrived).Seconds(), y.PrefillSeconds-now.Sub(y.Arrived).Seconds())
 }
 
-// agedLevel is the item's level less one for each AgeingPerLevel it has waited. One that is late
-// is not lifted.
+// agedLevel returns the request's level less one for each AgeingPerLevel that it has waited. A
+// request that is past its latest start is not raised.
 func (q *Queue) agedLevel(it *Item, now time.Time) int {
 	if q.AgeingPerLevel <= 0 || it.pastLatestStart(now) {
 		return it.Level
@@ -291,7 +298,8 @@
 	return max(0, it.Level-int(now.Sub(it.Arrived)/q.AgeingPerLevel))
 }
 
-// Oldest returns the long request that has waited longest, or nil.
+// Oldest returns the longest-waiting request among the first of each flow of long or of short
+// prompts, or nil.
 func (q *Queue) Oldest(long bool) *Item {
 	var oldest *Item
 	for _, f := range q.flows {
--- a/core/admission/repeats.go
+++ b/core/admission/repeats.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// RepeatLimit is the fleet's bound on sends beyond the first of each call to one
-// pool: in any window at most Share of the calls plus Slack.
+// RepeatLimit is the fleet-wide limit on the repeats of the calls to one pool. A repeat is any
+// send of a call to a target after the call's first send. In any window of length Window the
+// fleet sends at most Share repeats per call plus Slack.
 type RepeatLimit struct {
 	Share  float64
 	Slack  float64
 	Window time.Duration
 }
 
-// repeatSlots divides the window; the count runs over one slot more than the window
-// has, so that it errs on the side of too many.
+// repeatSlots is the number of slots of a window. The counts cover one slot more than the
+// window, so that they err on the high side.
 const repeatSlots = 10
 
 // repeatSafetyFactor is the part of the limit that is used: the daemons do not know each
-// other's exact counts, and one that restarted has forgotten its own.
+// other's exact counts, and a daemon that restarted has lost its own.
 const repeatSafetyFactor = 0.6
 
-// RepeatBudget is a daemon's part of the bound for one pool. It needs no message: each
-// daemon uses the share of the calls that came to itself, and an equal part of the
-// slack.
+// RepeatBudget is one daemon's part of the fleet's repeat limit for one pool. Daemons exchange
+// no messages about it: each uses the share of the calls that it received itself, and an equal
+// part of the slack.
 type RepeatBudget struct {
 	slots [repeatSlots + 1]repeatSlot
 }
 
 type repeatSlot struct {
-	number         int64 // which slot of time since 1970
+	number         int64 // slots since the Unix epoch
 	calls, repeats int
 }
 
@@ -39,11 +40,11 @@
 	return s
 }
 
-// Call counts the first send of a call.
+// CountCall records the first send of a call.
 func (r *RepeatBudget) CountCall(l *RepeatLimit, now time.Time) { r.slot(l, now).calls++ }
 
-// Take counts one more send of a call, if the limit lets it, when so many daemons
-// share the limit.
+// TakeRepeat records one repeat and reports true if the limit allows it, where the given
+// number of daemons share the limit. Otherwise it records nothing.
 func (r *RepeatBudget) TakeRepeat(l *RepeatLimit, daemons int, now time.Time) bool {
 	current := r.slot(l, now)
 	calls, repeats := 0, 0
--- a/core/admission/repeats_test.go
+++ b/core/admission/repeats_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestRepeatsStayWithinFleetLimit: however calls and wishes to repeat are spread over
-// daemons and time, no window of the fleet holds more repeats than the bound.
+// TestRepeatsStayWithinFleetLimit checks that no window holds more repeats in the whole fleet
+// than the limit, however calls and repeats are spread over daemons and time.
 func TestRepeatsStayWithinFleetLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := RepeatLimit{Share: 0.2, Slack: 20, Window: 10 * time.Second}
@@ -45,7 +45,7 @@
 				}
 			}
 			if float64(repeats) > limit.Share*float64(calls)+limit.Slack {
-				t.Fatalf("%d repeats of %d calls in a window", repeats, calls)
+				t.Fatalf("%d repeats of %d calls in a window, want at most %f", repeats, calls, limit.Share*float64(calls)+limit.Slack)
 			}
 		}
 	})
@@ -60,12 +60,12 @@
 		taken++
 	}
 	if taken == 0 || taken > 10 {
-		t.Fatal(taken)
+		t.Fatalf("TakeRepeat allowed %d repeats with a slack of 10, want 1 to 10", taken)
 	}
 	if r.TakeRepeat(&limit, 1, now.Add(9*time.Second)) {
-		t.Fatal("taken again within the window")
+		t.Fatal("TakeRepeat = true within the window of an exhausted budget, want false")
 	}
 	if !r.TakeRepeat(&limit, 1, now.Add(12*time.Second)) {
-		t.Fatal("not given back after the window")
+		t.Fatal("TakeRepeat = false after the window, want true")
 	}
 }
--- /dev/null
+++ b/core/admission/retryafter.go
@@ -0,0 +1,31 @@
+package admission
+
+import "time"
+
+// Advised waits of callers whose prompt found no target with room.
+const (
+	// busyRetryAfterShort is about the time in which a target completes an answer and has room
+	// again.
+	busyRetryAfterShort = 2 * time.Second
+	// busyRetryAfterLong is the time in which a burst of long prompts may be over.
+	busyRetryAfterLong = 4 * time.Second
+	// maxRetryAfterShare is the largest part of its remaining time that a caller is told to
+	// wait: callers follow the advice up to a third of it.
+	maxRetryAfterShare = 0.3
+)
+
+// QueueRetryAfter returns the advised wait for a request whose turn is predicted after turn,
+// with left until its deadline.
+func QueueRetryAfter(turn, left time.Duration) time.Duration {
+	return min(turn, time.Duration(maxRetryAfterShare*float64(left)))
+}
+
+// BusyRetryAfter returns the advised wait for a prompt that found no room, with left until its
+// deadline.
+func BusyRetryAfter(long bool, left time.Duration) time.Duration {
+	after := busyRetryAfterShort
+	if long {
+		after = busyRetryAfterLong
+	}
+	return min(after, time.Duration(maxRetryAfterShare*float64(left)))
+}
--- a/core/admission/starting.go
+++ b/core/admission/starting.go
@@ -2,42 +2,45 @@
 
 import "time"
 
-// How long a daemon that has just started lets calls wait for it, and when the ones that it
-// refuses should come back.
+// How long a daemon that has just started lets calls wait for it, and the advised waits of the
+// calls that it refuses.
 const (
-	// expectedStartTime is the age up to which a daemon expects to serve at any moment. Where the
-	// store answers, a fraction of that is enough on a weak host in a fleet that starts together;
-	// one that is older waits for something that may stay away for long.
+	// expectedStartTime is the age up to which a daemon expects to serve at any moment. With a
+	// store that answers, a weak host in a fleet that starts all at once needs a fraction of
+	// it; an older daemon waits for something that may be unavailable for long.
 	expectedStartTime = 1500 * time.Millisecond
-	// maxStartWait is the longest that a call waits for a daemon's start. Callers give up a
+	// maxStartWait is the longest that a call waits for a daemon's start. Callers drop a
 	// connection on which nothing is read for a second.
 	maxStartWait = 800 * time.Millisecond
-	// maxStartWaitShare bounds the wait by the caller's own time: what is left has to do for the
-	// answer.
+	// maxStartWaitShare bounds the wait by the caller's timeout: the rest has to suffice for
+	// the answer.
 	maxStartWaitShare = 0.5
-	// otherDaemonRetryAfter is when to come back where another daemon most likely serves: at once.
+	// otherDaemonRetryAfter is the advised wait where another daemon most likely serves the
+	// retry: next to nothing.
 	otherDaemonRetryAfter = 50 * time.Millisecond
-	// fleetStartRetryAfter is the mean time to come back where the whole fleet waits for its settings:
-	// it asks for them up to three times a second, and a caller has few tries. It is spread
-	// over fleetStartRetrySpread so that callers do not all come back together.
+	// fleetStartRetryAfter is the mean advised wait where the whole fleet waits for its
+	// settings: the fleet asks for them up to three times a second, and a caller has few
+	// retries. Waits are spread over fleetStartRetrySpread of it so that callers do not all
+	// retry at once.
 	fleetStartRetryAfter  = time.Second
 	fleetStartRetrySpread = 0.5
 )
 
-// Starting is what a daemon that does not serve yet knows when a call reaches it.
+// Starting is what a daemon that does not serve yet knows when a call arrives.
 type Starting struct {
-	// Age is how long ago its process started.
+	// Age is the time since the process started.
 	Age time.Duration
-	// Left is how long the caller waits; zero where it did not say.
+	// CallerTimeout is how long the caller waits; zero if the call did not say.
 	CallerTimeout time.Duration
-	// Others is the number of other daemons that are known to live, and Serve is true where
-	// one of them has settings.
+	// OtherDaemons is the number of other daemons known to be alive. OthersServe reports
+	// whether one of them has settings.
 	OtherDaemons int
 	OthersServe  bool
 }
 
-// Hold is how long the call waits for the daemon to serve; zero where it is refused at once.
-// After a loss of power of all hosts every daemon starts at once, and few callers come back twice.
+// MaxWait returns how long the call may wait for the daemon to serve; zero means that the call
+// is refused at once. After a power loss of all hosts every daemon starts at the same time,
+// and few callers retry more than once.
 func (s Starting) MaxWait() time.Duration {
 	hold := min(maxStartWait, expectedStartTime-s.Age)
 	if s.CallerTimeout > 0 {
@@ -46,9 +49,10 @@
 	return max(0, hold)
 }
 
-// RetryAfter is when a call that is refused should come back. A daemon that knows of no
-// other one is most likely cut off, and one whose peers have settings the exception; spread,
-// from 0 to 1, tells the callers of a fleet that waits for its settings apart.
+// RetryAfter returns the advised wait for a call that is refused. A daemon that knows no other
+// live daemon is most likely cut off, and a daemon whose peers have settings is an exception:
+// in both cases the retry most likely reaches a daemon that serves. Otherwise the whole fleet
+// waits for its settings, and spread, a random number from 0 to 1, spreads out the retries.
 func (s Starting) RetryAfter(spread float64) time.Duration {
 	if s.OtherDaemons == 0 || s.OthersServe {
 		return otherDaemonRetryAfter
--- a/core/admission/usage.go
+++ b/core/admission/usage.go
@@ -9,7 +9,7 @@
 	Concurrent            int
 }
 
-// Limit names the limit that refused a request.
+// Limit names the account limit that refused a request.
 type Limit string
 
 // The limits of an account.
@@ -20,11 +20,11 @@
 	LimitConcurrent   Limit = "concurrent"
 )
 
-// Usage is what one account uses at this daemon.
+// Usage tracks what one account uses at this daemon.
 type Usage struct {
-	// Running is the number of requests admitted and not yet ended.
+	// Running is the number of admitted requests that have not ended.
 	Running int
-	// Demand counts requests and prompt tokens asked for, admitted or not.
+	// Demand counts the requests and prompt tokens asked for, whether admitted or not.
 	Demand Demand
 
 	share    Share
@@ -32,16 +32,16 @@
 	tokens   Bucket
 }
 
-// Demand is what callers asked of an account at this daemon since it was last
-// read; shares follow it.
+// Demand is what callers asked of an account at this daemon since the last call of
+// Usage.TakeDemand. The shares of the daemons follow it.
 type Demand struct {
 	Requests     float64
 	PromptTokens float64
-	// PeakRunning is the most requests that ran or wanted to run at once.
+	// PeakRunning is the largest number of requests that ran, or asked to run, at one time.
 	PeakRunning int
 }
 
-// NewUsage returns the unused state of an account.
+// NewUsage returns the state of an account that has used nothing yet.
 func NewUsage(share Share, now time.Time) *Usage {
 	return &Usage{
 		share:    share,
@@ -50,7 +50,7 @@
 	}
 }
 
-// SetShare changes the share in force.
+// SetShare replaces the share in force.
 func (u *Usage) SetShare(share Share, now time.Time) {
 	if u.share == share {
 		return
@@ -60,25 +60,26 @@
 	u.tokens.SetRate(share.PromptTokensPerSecond, now)
 }
 
-// Share is the share in force.
+// Share returns the share in force.
 func (u *Usage) Share() Share { return u.share }
 
-// Verdict is the answer of Admit, with what it was made from.
+// Verdict is the result of Usage.Admit with the inputs for the record of the decision.
 type Verdict struct {
-	// Limit is the limit in the way; LimitNone means admitted.
+	// Limit is the limit that refused the request; LimitNone means that it was admitted.
 	Limit Limit `json:"limit,omitempty"`
-	// RetryAfter is when the limit lets the next request through.
+	// RetryAfter is the time until the limit admits the next request.
 	RetryAfter time.Duration `json:"retry_after_ns,omitempty"`
-	// Running and Allowed are the concurrency at the time.
+	// Running and Allowed are the admitted requests and the concurrency limit at the time.
 	Running int `json:"running"`
 	Allowed int `json:"allowed"`
 }
 
-// concurrencyRetryAfter is the advice where only an ending request can make room.
+// concurrencyRetryAfter is the advised wait where only the end of another request makes room,
+// which cannot be predicted.
 const concurrencyRetryAfter = 250 * time.Millisecond
 
-// Admit takes a request of so many prompt tokens into the account's limits, all
-// of them or none. Every admitted request must end with one call of Done.
+// Admit checks a request with promptTokens prompt tokens against all limits of the account and
+// charges all of them or none. Every admitted request must end with one call of Done.
 func (u *Usage) Admit(promptTokens int64, now time.Time) Verdict {
 	u.Demand.Requests++
 	u.Demand.PromptTokens += float64(promptTokens)
@@ -101,36 +102,37 @@
 	return v
 }
 
-// Done ends an admitted request.
+// Done records the end of an admitted request.
 func (u *Usage) Done() { u.Running-- }
 
-// TakeDemand returns the demand since the last call and starts a new count.
+// TakeDemand returns the demand since the last call and restarts the count.
 func (u *Usage) TakeDemand() Demand {
 	d := u.Demand
 	u.Demand = Demand{PeakRunning: u.Running}
 	return d
 }
 
-// RetryBudget lets retries be at most a share of the requests, so that an
-// outage is not multiplied by them.
+// RetryBudget limits the retries of one account at this daemon to a share of its requests, so
+// that retries do not multiply the load during an outage.
 type RetryBudget struct {
 	saved float64
 }
 
-// The budget starts with room for the calls of one account that a dying target
-// may hold for one daemon, and saves up no more than a few times that.
+// initialRetries covers the calls of one account that a failing target may hold for one
+// daemon; maxSavedRetries is a few times that.
 const (
 	initialRetries  = 20
 	maxSavedRetries = 100
 )
 
-// NewRetryBudget returns a budget with the starting room.
+// NewRetryBudget returns a budget of initialRetries retries.
 func NewRetryBudget() *RetryBudget { return &RetryBudget{saved: initialRetries} }
 
-// Request records a first attempt.
+// CountRequest records the first attempt of a request, which adds share of a retry to the
+// budget.
 func (b *RetryBudget) CountRequest(share float64) { b.saved = min(maxSavedRetries, b.saved+share) }
 
-// Retry takes one retry and tells whether there was one.
+// TakeRetry takes one retry out of the budget and reports whether there was one.
 func (b *RetryBudget) TakeRetry() bool {
 	if b.saved < 1 {
 		return false
