--- a/core/group/group.go
+++ b/core/group/group.go
@@ -1,11 +1,11 @@
-// Package group plans how a prompt larger than one engine's memory is spread
-// over several.
+// Package group plans which engines share a prompt that is larger than the memory of one
+// engine.
 //
-// The engines of a group hold one part of the prompt each, in the order of the
-// text. The plan prefers few engines, those with the most free memory, and all in
-// one data centre; only a prompt that no data centre has room for, even when
-// empty, spans those of a region, as its KV cache then crosses between them. It
-// leaves the headroom for short requests free on each.
+// Each engine of a group holds one part of the prompt, in the order of the text. From the
+// state of the targets the plan chooses few engines, those with the most free memory, in one
+// data centre. Only a prompt that no data centre has room for, even when its engines are
+// empty, spans the data centres of a region, since its KV cache then crosses between them. On
+// every engine the plan leaves the headroom for short requests free.
 package group
 
 import (
@@ -20,26 +20,29 @@
 	"github.com/go-faster/errors"
 )
 
-// Part is a part of a prompt at a target.
+// Part is the part of a prompt that one target holds.
 type Part struct {
-	// Target is the id of the target.
+	// Target is the ID of the target.
 	Target string
-	// PromptTokens is the length of the part; Tokens adds room for the answer on
-	// the last one.
+	// PromptTokens is the length of the part. MemoryTokens is the memory it needs: the same,
+	// plus room for the answer in the last part.
 	PromptTokens, MemoryTokens int64
 }
 
-// ErrTooLarge means that even all engines of a region, empty, are too small.
+// ErrTooLarge means that the prompt does not fit into any region, even if all its engines were
+// empty.
 var ErrTooLarge = errors.New("the prompt is larger than the memory of all engines of a region")
 
 // ErrNoRoom means that the engines are too full at the moment.
 var ErrNoRoom = errors.New("the engines have no room for the prompt at the moment")
 
-// minPartTokens is the least part worth an engine of its own, in tokens.
+// minPartTokens is the smallest part for which an engine is added to a group.
 const minPartTokens = 8192
 
-// NewPlan spreads a prompt over targets. The home data centre is preferred where
-// it has room.
+// NewPlan divides a prompt of prompt tokens, with an answer of up to output tokens, over
+// targets. It leaves the fraction headroom of each target's memory free, and tries the data
+// centre home first. It returns ErrNoRoom if the prompt fits only when the targets are less
+// full, and an error that wraps ErrTooLarge if it never fits.
 func NewPlan(targets []routing.Target, prompt, output int64, headroom float64, home string) ([]Part, error) {
 	usable := slices.DeleteFunc(slices.Clone(targets), func(t routing.Target) bool {
 		return t.State != routing.Live || t.Unloaded || t.MemoryTokens == 0
@@ -72,7 +75,8 @@
 
 func regionOf(t *routing.Target) string { return t.Region }
 
-// placeNames lists the places of targets, home first.
+// placeNames returns the distinct names that place gives for the targets, sorted, with home
+// first.
 func placeNames(targets []routing.Target, place func(*routing.Target) string, home string) []string {
 	var names []string
 	for i := range targets {
@@ -92,11 +96,12 @@
 	return names
 }
 
-// freeTokens is the memory that a part may take of a target.
+// freeTokens returns the memory of a target that a part may take, in tokens.
 func freeTokens(t *routing.Target, headroom float64) int64 {
 	return int64(float64(t.MemoryTokens)*(1-headroom)) - t.Load.MemoryTokens
 }
 
+// totalCapacity returns the memory that parts may take of the targets when they are empty.
 func totalCapacity(targets []routing.Target, headroom float64) int64 {
 	sum := int64(0)
 	for i := range targets {
@@ -105,8 +110,9 @@
 	return sum
 }
 
-// planWithin fills the emptiest targets first. Targets that hold a long prefill or
-// whose breaker is open are left out.
+// planWithin plans with the given targets, those with the most free memory first, or returns
+// nil. It leaves out targets that are reserved for a long request, hold a long prefill or have
+// an open circuit breaker.
 func planWithin(targets []routing.Target, prompt, output int64, headroom float64) []Part {
 	free := slices.DeleteFunc(targets, func(t routing.Target) bool {
 		return t.BreakerOpen || t.ReservedFor != "" || t.Load.LongPrefills > 0 || freeTokens(&t, headroom) < minPartTokens+output
@@ -118,7 +124,7 @@
 	left := prompt
 	for i := range free {
 		have := freeTokens(&free[i], headroom)
-		// Each part leaves room for the answer, so that any could be the last.
+		// Each part leaves room for the answer, since any part may turn out to be the last.
 		take := min(left, have-output)
 		parts = append(parts, Part{Target: free[i].ID, PromptTokens: take, MemoryTokens: take})
 		left -= take
@@ -130,10 +136,10 @@
 	return nil
 }
 
-// Split cuts a text into the parts of a plan, each of its PromptTokens times
-// bytesPerToken bytes, and the rest in the last one. A cut that would fall inside a
-// character moves behind it: half a character is not text, and would be replaced
-// on its way to the engine.
+// Split cuts a text into the parts of a plan. Each part gets its PromptTokens times
+// bytesPerToken bytes, and the last one the rest. A cut that would fall inside a character
+// moves behind it: a partial character is not valid UTF-8 and would be replaced on its way to
+// the engine.
 func Split(text string, plan []Part, bytesPerToken int) []string {
 	parts := make([]string, 0, len(plan))
 	for i, p := range plan {
@@ -150,7 +156,7 @@
 	return parts
 }
 
-// Backoff is a growing, random pause.
+// Backoff computes exponentially growing pauses with jitter.
 type Backoff struct {
 	Initial, Max time.Duration
 	Seed         uint64
@@ -159,7 +165,8 @@
 	next time.Duration
 }
 
-// Next returns the next pause: between half and all of a doubling time.
+// Next returns the next pause: a random time between half of the current interval and all of
+// it. The interval starts at Initial and doubles with each call, up to Max.
 func (b *Backoff) Next() time.Duration {
 	if b.rng == nil {
 		b.rng = rand.New(rand.NewPCG(b.Seed, b.Seed))
--- a/core/group/group_test.go
+++ b/core/group/group_test.go
@@ -11,7 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestPlanCoversPromptWithinTargetMemory holds for any state of the targets.
+// TestPlanCoversPromptWithinTargetMemory checks, for random states of the targets, that the
+// parts of a plan fit and add up to the prompt, and that a plan spans data centres only when
+// it must.
 func TestPlanCoversPromptWithinTargetMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		targets := make([]routing.Target, rapid.IntRange(1, 12).Draw(t, "n"))
@@ -29,7 +31,7 @@
 		plan, err := NewPlan(targets, prompt, output, headroom, "b")
 		if err != nil {
 			if !errors.Is(err, ErrNoRoom) && !errors.Is(err, ErrTooLarge) {
-				t.Fatal(err)
+				t.Fatalf("NewPlan: %v, want ErrNoRoom or ErrTooLarge", err)
 			}
 			return
 		}
@@ -41,24 +43,25 @@
 					continue
 				}
 				if p.MemoryTokens > freeTokens(&x, headroom) || x.Load.LongPrefills > 0 {
-					t.Fatalf("part %d does not fit at %s", i, x.ID)
+					t.Fatalf("NewPlan put part %d on %s, where it does not fit", i, x.ID)
 				}
 				if centre == "" {
 					centre = x.DataCentre
 				}
 				if x.DataCentre != centre && fitsInOneDataCentre(targets, prompt+output, headroom) {
-					t.Fatal("the group spans data centres without need")
+					t.Fatal("NewPlan spans data centres for a prompt that fits into one")
 				}
 			}
 			sum += p.PromptTokens
 		}
 		if sum != prompt || plan[len(plan)-1].MemoryTokens != plan[len(plan)-1].PromptTokens+output {
-			t.Fatalf("the parts sum to %d, the prompt has %d", sum, prompt)
+			t.Fatalf("NewPlan: parts hold %d tokens, want %d, and room for %d of output in the last part only", sum, prompt, output)
 		}
 	})
 }
 
-// TestSplitCutsAtCharacterBoundaries: the parts are text, and together the prompt.
+// TestSplitCutsAtCharacterBoundaries checks that the parts are valid UTF-8 and together are
+// the text.
 func TestSplitCutsAtCharacterBoundaries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringOf(rapid.SampledFrom([]rune("açã€😀"))).Draw(t, "text")
@@ -69,11 +72,11 @@
 		parts := Split(text, plan, 4)
 		for i, p := range parts {
 			if !utf8.ValidString(p) {
-				t.Fatalf("part %d is %q", i, p)
+				t.Fatalf("Split: part %d is %q, want valid UTF-8", i, p)
 			}
 		}
 		if strings.Join(parts, "") != text || len(parts) != len(plan) {
-			t.Fatalf("%q is cut into %q", text, parts)
+			t.Fatalf("Split(%q) = %q, want %d parts that join to the text", text, parts, len(plan))
 		}
 	})
 }
@@ -89,9 +92,9 @@
 func TestPlanDistinguishesTooLargeFromNoRoom(t *testing.T) {
 	full := routing.Target{ID: "a", DataCentre: "x", MemoryTokens: 450_000, Load: routing.Load{MemoryTokens: 400_000}}
 	if _, err := NewPlan([]routing.Target{full}, 300_000, 10, 0, "x"); !errors.Is(err, ErrNoRoom) {
-		t.Fatalf("got %v, want no room", err)
+		t.Fatalf("NewPlan of 300,000 tokens on a full target: %v, want ErrNoRoom", err)
 	}
 	if _, err := NewPlan([]routing.Target{full}, 500_000, 10, 0, "x"); !errors.Is(err, ErrTooLarge) {
-		t.Fatalf("got %v, want too large", err)
+		t.Fatalf("NewPlan of 500,000 tokens on a target of 450,000: %v, want ErrTooLarge", err)
 	}
 }
