--- a/core/decision/decision.go
+++ b/core/decision/decision.go
@@ -1,6 +1,7 @@
-// Package decision is the record of a choice: what was asked, what was known,
-// what came out and why. A record holds its inputs, so the choice can be made
-// again from the record alone and compared.
+// Package decision defines the record of a decision that a daemon makes for a request or for
+// its own operation: what was asked, what was known, the outcome and the reason. A record of
+// an admission, placement or claim holds its inputs, so the decision can be made again from
+// the record alone and compared.
 package decision
 
 import (
@@ -13,12 +14,15 @@
 // Kind names what was decided.
 type Kind string
 
-// The kinds of decision.
+// The kinds of decision. KindLimit and KindAdmit are about admission, KindRoute about
+// placement, KindAttempt about one call to a target, and KindAnswer about the whole answer.
+// KindOrder is an order to a target to load a model, KindSweep the release of a reservation
+// without an owner.
 const (
 	KindLimit Kind = "limit"
 	KindAdmit Kind = "admit"
 	KindRoute Kind = "route"
-	// KindPlace is a choice that a coordinator made for another daemon.
+	// KindPlace is a placement that a coordinator chose for another daemon.
 	KindPlace    Kind = "place"
 	KindAttempt  Kind = "attempt"
 	KindClaim    Kind = "claim"
@@ -31,29 +35,29 @@
 
 // Record is one decision.
 type Record struct {
-	// Request is the request id; empty for decisions that belong to none.
+	// Request is the request ID; empty for decisions that belong to no request.
 	Request string `json:"request,omitempty"`
-	// Daemon made the decision, At that time.
+	// Daemon is the daemon that recorded the decision, At the time of the decision.
 	Daemon string    `json:"daemon"`
 	At     time.Time `json:"at"`
-	// By is the daemon whose choice it was, where that is another one.
+	// DecidedBy is the daemon that made the choice, if it was another one.
 	DecidedBy string `json:"by,omitempty"`
 	// Kind names what was decided.
 	Kind Kind `json:"kind"`
-	// Account, Route and Pool are the subjects, where there are any.
+	// Account, Route and Pool are those of the request, where there are any.
 	Account string `json:"account,omitempty"`
 	Route   string `json:"route,omitempty"`
 	Pool    string `json:"pool,omitempty"`
-	// Revision is the settings revision that the request keeps to its end.
+	// Revision is the settings revision, which stays the same for the whole request.
 	Revision int64 `json:"revision,omitempty"`
-	// Outcome is the choice in a word, Reason says why in a sentence.
+	// Outcome is the result in a word, Reason the explanation in a sentence.
 	Outcome string `json:"outcome"`
 	Reason  string `json:"reason,omitempty"`
-	// Target is the target concerned, Attempt the id of the call to it.
+	// Target is the ID of the target concerned, Attempt the ID of the call to it.
 	Target  string `json:"target,omitempty"`
 	Attempt string `json:"attempt,omitempty"`
-	// Call names what was asked for, which is the same when a caller sends it again under
-	// another request id.
+	// CallKey identifies what was asked for. It stays the same when a caller sends the call
+	// again under another request ID.
 	CallKey string `json:"call,omitempty"`
 
 	// The inputs, by kind of decision.
@@ -61,16 +65,17 @@
 	Limit    *admission.Verdict  `json:"limit,omitempty"`
 	Estimate *admission.Estimate `json:"estimate,omitempty"`
 	Claim    *ClaimTally         `json:"claim,omitempty"`
-	// Stream is how a forwarded answer went, in time.
+	// Stream is the timing of a forwarded answer.
 	Stream *StreamTiming `json:"stream,omitempty"`
 }
 
-// StreamTiming is how a forwarded answer went, in time.
+// StreamTiming is the timing of a forwarded answer.
 type StreamTiming struct {
-	// Events is the number of events given to the caller.
+	// Events is the number of events sent to the caller.
 	Events int `json:"events"`
-	// First is the time to the first event, Gap the longest pause between two, Took the
-	// time of the whole; Goal and GapGoal are what the route asks of First and Gap.
+	// FirstEvent is the time to the first event, LongestGap the longest pause between two, and
+	// Total the time of the whole answer. FirstEventGoal and LongestGapGoal are the route's
+	// goals for the first two.
 	FirstEvent     time.Duration `json:"first_ns,omitempty"`
 	LongestGap     time.Duration `json:"gap_ns,omitempty"`
 	Total          time.Duration `json:"took_ns"`
@@ -78,7 +83,7 @@
 	LongestGapGoal time.Duration `json:"gap_goal_ns,omitempty"`
 }
 
-// ClaimTally is how the witnesses of a key answered.
+// ClaimTally counts the answers of the witnesses of an idempotency key.
 type ClaimTally struct {
 	Key        string   `json:"key"`
 	Witnesses  []string `json:"witnesses"`
@@ -90,15 +95,15 @@
 
 // ReplayResult is the result of making a recorded decision again.
 type ReplayResult struct {
-	// Possible is false for records that hold no inputs to decide from.
+	// Possible reports whether the record holds the inputs of the decision.
 	Possible bool `json:"possible"`
-	// Same tells whether the outcome is the recorded one.
+	// Same reports whether the outcome equals the recorded one.
 	Same bool `json:"same"`
-	// Outcome is what came out this time.
+	// Outcome is the outcome of the replay.
 	Outcome string `json:"outcome,omitempty"`
 }
 
-// ReplayResult makes the decision again from its recorded inputs.
+// Replay makes the decision again from its recorded inputs.
 func (r *Record) Replay() ReplayResult {
 	switch {
 	case r.Routing != nil:
@@ -128,12 +133,13 @@
 	}
 }
 
-// Outcomes shared by several kinds.
+// Outcomes that several kinds share.
 const (
 	OutcomeAdmitted = "admitted"
 	OutcomeRefused  = "refused"
 	OutcomeComplete = "whole"
 	OutcomeFailed   = "failed"
-	// OutcomeCancelled is an attempt that ended with its caller or its time.
+	// OutcomeCancelled is the outcome of an attempt that ended because its caller left or its
+	// time was up.
 	OutcomeCancelled = "cancelled"
 )
--- a/core/decision/ring.go
+++ b/core/decision/ring.go
@@ -6,15 +6,15 @@
 	"doorstack.dev/core/routing"
 )
 
-// Ring keeps the last decisions, bounded by memory. It is not safe for
-// concurrent use; the blackboard locks it.
+// Ring keeps the newest records in a bounded amount of memory. It is not safe for concurrent
+// use; package blackboard guards it with a lock.
 type Ring struct {
 	limit              int64
 	size               int64
-	records            []Record // a queue: the oldest first, from index head on
+	records            []Record // oldest first; those before index head are removed
 	head               int
-	positionsByRequest map[string][]int // request id to absolute positions
-	dropped            int              // records ever removed; absolute = dropped + index - head
+	positionsByRequest map[string][]int // absolute positions by request ID
+	dropped            int              // records removed so far; absolute position = dropped + index - head
 	evicted            int64
 }
 
@@ -23,7 +23,7 @@
 	return &Ring{limit: limit, positionsByRequest: map[string][]int{}}
 }
 
-// Put adds a record and drops the oldest ones that no longer fit.
+// Put adds a record and removes the oldest ones that no longer fit.
 func (r *Ring) Put(rec Record) {
 	absolute := r.dropped + len(r.records) - r.head
 	r.records = append(r.records, rec)
@@ -80,13 +80,13 @@
 	return last
 }
 
-// Evicted is the number of records dropped so far.
+// Evicted returns the number of records removed so far.
 func (r *Ring) Evicted() int64 { return r.evicted }
 
-// Size is the estimated memory of the records, in bytes.
+// Size returns the estimated memory of the records in bytes.
 func (r *Ring) Size() int64 { return r.size }
 
-// indexBytes is the estimated cost of a record in the index.
+// indexBytes is the estimated memory of one index entry in bytes.
 const indexBytes = 64
 
 func sizeOf(rec *Record) int64 {
--- a/core/decision/ring_test.go
+++ b/core/decision/ring_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestRingKeepsNewestRecordsWithinLimit compares the ring with a plain list.
+// TestRingKeepsNewestRecordsWithinLimit checks, for random records, that the ring stays within
+// its limit and that Find returns the same as a plain list of the records not evicted.
 func TestRingKeepsNewestRecordsWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 20_000
@@ -22,7 +23,7 @@
 			all = append(all, rec)
 		}
 		if ring.Size() > limit {
-			t.Fatalf("%d bytes, limit %d", ring.Size(), limit)
+			t.Fatalf("Size() = %d, want at most %d", ring.Size(), limit)
 		}
 		kept := all[ring.Evicted():]
 		for id := range 21 {
@@ -38,7 +39,7 @@
 				got = append(got, rec.Reason)
 			}
 			if fmt.Sprint(got) != fmt.Sprint(want) {
-				t.Fatalf("%s: got %v, want %v", name, got, want)
+				t.Fatalf("Find(%q) = %v, want %v", name, got, want)
 			}
 		}
 	})
