--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -1,35 +1,36 @@
-// Package claim makes sure that a call with an idempotency key is sent at most
-// once in the whole fleet, without a store.
+// Package claim ensures that a call with an idempotency key is sent to a target at most once
+// in the whole fleet, without a store.
 //
-// A daemon that wants to send such a call claims its key at witnesses: the first
-// few daemons of the key's rendezvous order over the published host list. Each
-// witness grants a key to one attempt, once, in memory only. The daemon sends
-// the call when a majority granted it. Two majorities of one set of witnesses
-// have a member in common, and that member granted only one of them.
+// A daemon that wants to send such a call claims its key at the key's witnesses: the first few
+// daemons in the rendezvous order of the key over the published host list. A witness grants a
+// key to one attempt only, and keeps the grant in memory. The daemon sends the call when a
+// majority of the witnesses granted the key. Two majorities of one set of witnesses have a
+// member in common, and that member granted only one of them.
 //
-// What could break this, and the rule against each:
+// These conditions could break the guarantee; each has a rule against it:
 //
-//   - Host lists that differ. Two claims of a key must share a set of witnesses.
-//     A claim therefore needs a majority in every set that was in force between
-//     the key's birth (less the time in which all daemons have read a new list)
-//     and now; see History. The set at the birth is in all of them. A daemon
-//     whose list is not confirmed for longer than that time claims nothing.
-//   - A witness that restarted and forgot. It grants only keys that it knows to
-//     be younger than itself: a UUIDv7 carries its time, and for other keys it
-//     waits out the time in which a retry may come; see Witness.
-//   - A claimer that was paused and wakes with an old permit. The permit ends
-//     long before any witness forgets the key, and is checked last thing before
+//   - Daemons with different host lists. Two claims of a key must share a set of
+//     witnesses. A claim therefore needs a majority in every set that was in force
+//     from the creation of the key (less the time in which all daemons read a new
+//     list) until now; see History. The set at the creation is in all of them. A
+//     daemon whose list has not been confirmed within that time claims nothing.
+//   - A witness that restarted and lost its grants. It grants only keys that it
+//     knows to be younger than itself: a UUIDv7 carries its creation time; before it
+//     grants other keys, the witness waits for the time in which a retry may come;
+//     see Witness.
+//   - A claimer that was paused and resumes with an old permit. The permit expires
+//     long before any witness removes the key, and is checked immediately before
 //     the send; see Claimer.MaySend.
 //   - A claimer that gave up. Giving up is final: it never sends under that
-//     attempt, so its witnesses may grant the key to another one.
-//   - A claimer that dies after it was granted. Its key stays taken until it is
-//     forgotten; duplicates hear "unknown", never a second run.
+//     attempt, so its witnesses may grant the key to another attempt.
+//   - A claimer that dies after the grant. Its key stays taken until it is removed;
+//     duplicates are answered with an unknown outcome and never run.
 //
-// model/claim.pml is the specification that is checked exhaustively; each rule
-// has a switch there without which the checker finds two sends.
+// model/claim.pml is the specification, which is checked exhaustively. Each rule has a switch
+// there without which the checker finds two sends.
 //
-// Everything is plain state that takes the time as a value. Durations are
-// measured on the monotonic clock where the values carry one.
+// The types hold plain state and take the current time as an argument. Durations are measured
+// on the monotonic clock where the values carry one.
 package claim
 
 import (
@@ -38,28 +39,29 @@
 	"github.com/google/uuid"
 )
 
-// The times of the protocol.
+// The times and sizes of the protocol.
 const (
-	// Settle is the time within which every daemon that may claim has read a
-	// new host list.
+	// HostListPropagation is the time within which every daemon that may claim has read a new
+	// host list.
 	HostListPropagation = 15 * time.Second
-	// Skew bounds the difference of two clocks in the fleet or at a caller.
+	// MaxClockSkew bounds the difference between two clocks in the fleet or at a caller.
 	MaxClockSkew = 2 * time.Second
-	// Window is how long after its birth a dated key can be claimed.
+	// ClaimWindow is the time after its creation in which a key with a known creation time can
+	// be claimed.
 	ClaimWindow = 30 * time.Minute
-	// RetryWindow is how long after the first call a key without a date may be
-	// sent again and still find it. Witnesses younger than that do not grant
+	// RetryWindow is the time after the first call in which a retry with a key of unknown
+	// creation time still finds the first. Witnesses that started more recently do not grant
 	// such keys.
 	RetryWindow = 5 * time.Minute
-	// PermitTTL is how long a permit to send lasts.
+	// PermitTTL is the time for which a permit to send is valid.
 	PermitTTL = 2 * time.Second
-	// Witnesses is the number of witnesses of a key, where there are so many.
+	// WitnessCount is the number of witnesses of a key; with fewer hosts, all are witnesses.
 	WitnessCount = 5
 )
 
-// CreationTime is when a key was made, as far as the key tells.
+// CreationTime is the creation time of a key, as far as the key tells it.
 type CreationTime struct {
-	// Dated is true for a UUIDv7; At is then the time in it.
+	// Known reports whether the key is a UUIDv7; At is then the time in it.
 	Known bool
 	At    time.Time
 }
@@ -67,7 +69,7 @@
 // uuidVersion is the version of UUID that carries a time.
 const uuidVersion = 7
 
-// CreationTimeOf reads the time out of a caller's key.
+// CreationTimeOf reads the creation time from a caller's key.
 func CreationTimeOf(key string) CreationTime {
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != uuidVersion {
@@ -77,24 +79,25 @@
 	return CreationTime{Known: true, At: time.Unix(seconds, nanos)}
 }
 
-// Answer is what a witness says to a claim.
+// Answer is the result of a claim at a witness.
 type Answer uint8
 
 // The answers of a witness.
 const (
-	// Granted gives the key to the attempt.
+	// Granted means that the attempt holds the key.
 	Granted Answer = iota + 1
-	// Taken means that another attempt has the key.
+	// Taken means that another attempt holds the key.
 	Taken
-	// Young means that the witness may have forgotten the key.
+	// WitnessTooNew means that the witness may have lost an earlier grant of the key in a
+	// restart.
 	WitnessTooNew
-	// KeyTooOld means that the key's time is over.
+	// KeyTooOld means that the key is older than ClaimWindow.
 	KeyTooOld
-	// Future means that the key's birth lies ahead.
+	// KeyFromFuture means that the creation time of the key lies in the future.
 	KeyFromFuture
 )
 
-// String names the answer.
+// String returns the name of the answer.
 func (a Answer) String() string {
 	names := [...]string{"none", "granted", "taken", "young", "too_old", "future"}
 	if int(a) >= len(names) {
@@ -105,17 +108,17 @@
 
 // Request claims a key for an attempt.
 type Request struct {
-	// Key is the caller's key with the account and route that it belongs to.
+	// Key is the caller's key together with the account and route that it belongs to.
 	Key string
-	// Attempt names the claim; Holder is the daemon that makes it.
+	// Attempt identifies the claim; Holder is the daemon that makes it.
 	Attempt, Holder string
-	// Birth is the key's birth.
+	// Created is the creation time of the key.
 	Created CreationTime
 }
 
-// Reply is a witness's answer.
+// Reply is a witness's reply to a claim.
 type Reply struct {
 	Answer Answer
-	// Attempt and Holder are those that have the key, when it is taken.
+	// Attempt and Holder identify the claim that holds the key, if it is taken.
 	Attempt, Holder string
 }
--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -11,12 +11,12 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fleetModel drives the state machines with the events of model/claim.pml and
-// checks its invariant: a key is sent at most once.
+// fleetModel runs the state machines of this package through the events of model/claim.pml and
+// checks the invariant: a key is sent at most once.
 type fleetModel struct {
 	now               time.Time
 	witnesses         map[string]*Witness
-	histories         []*History // one for each daemon that claims
+	histories         []*History // one per claiming daemon
 	revision          int64
 	hosts             []string
 	nextHost          int
@@ -33,7 +33,7 @@
 }
 
 func newFleetModel(t *rapid.T) *fleetModel {
-	m := &fleetModel{now: epoch, witnesses: map[string]*Witness{}, creationTimeKnown: rapid.Bool().Draw(t, "dated")}
+	m := &fleetModel{now: epoch, witnesses: map[string]*Witness{}, creationTimeKnown: rapid.Bool().Draw(t, "creation time known")}
 	for range 6 {
 		m.addHost()
 	}
@@ -41,7 +41,7 @@
 		m.histories = append(m.histories, &History{})
 	}
 	m.publish()
-	// Witnesses are old enough for any key when the test begins.
+	// All witnesses are old enough to grant any key.
 	m.now = m.now.Add(RetryWindow + time.Minute)
 	m.keyCreated = m.now
 	m.readLists()
@@ -69,7 +69,7 @@
 	}
 }
 
-// birth is the key's birth as its claimers read it.
+// creationTime returns the creation time that claimers read from the key.
 func (m *fleetModel) creationTime() CreationTime {
 	return CreationTime{Known: m.creationTimeKnown, At: m.keyCreated}
 }
@@ -87,7 +87,7 @@
 	m.claims = append(m.claims, &modelClaim{claimer: c, open: c.Witnesses()})
 }
 
-// deliver lets one witness answer one claim, or loses the message.
+// deliver lets one witness answer one claim, or drops the message.
 func (m *fleetModel) deliver(t *rapid.T) {
 	if len(m.claims) == 0 {
 		return
@@ -107,7 +107,7 @@
 	c.claimer.Receive(name, w.Claim(c.claimer.Request, m.now))
 }
 
-// act lets a claimer send or give up, at any time after its answers.
+// sendOrGiveUp lets a claimer send or give up, at any time after its answers.
 func (m *fleetModel) sendOrGiveUp(t *rapid.T) {
 	if len(m.claims) == 0 {
 		return
@@ -140,7 +140,7 @@
 
 func (m *fleetModel) replace(t *rapid.T) {
 	at := rapid.IntRange(0, len(m.hosts)-1).Draw(t, "host")
-	// The old host may live on, cut off: its witness still answers.
+	// The old host may still run on the other side of a partition: its witness still answers.
 	m.hosts = append(m.hosts[:at:at], m.hosts[at+1:]...)
 	m.addHost()
 	m.publish()
@@ -153,8 +153,8 @@
 	m.readLists()
 }
 
-// TestKeyIsSentAtMostOnce is the invariant of the specification on the state
-// machines that run in production.
+// TestKeyIsSentAtMostOnce checks the invariant of the specification on the state machines that
+// run in production.
 func TestKeyIsSentAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newFleetModel(t)
@@ -167,7 +167,7 @@
 			"wait":    m.passTime,
 			"": func(t *rapid.T) {
 				if m.sends > 1 {
-					t.Fatalf("the key was sent %d times", m.sends)
+					t.Fatalf("the key was sent %d times, want at most once", m.sends)
 				}
 			},
 		})
@@ -187,11 +187,11 @@
 	c := NewClaimer(r, historyOf("d1").Sets(r, now), now)
 	c.Receive("d1", w.Claim(r, now))
 	if !c.MaySend(now) {
-		t.Fatal("a lone daemon does not serve a fresh key")
+		t.Fatal("MaySend() = false for a new key that the only daemon granted itself, want true")
 	}
 	old := Request{Key: "other", Attempt: "a", Created: CreationTime{}}
 	if reply := w.Claim(old, now); reply.Answer != WitnessTooNew {
-		t.Fatalf("a young witness says %v to a key without a date", reply.Answer)
+		t.Fatalf("Claim of a key of unknown creation time at a new witness = %v, want %v", reply.Answer, WitnessTooNew)
 	}
 }
 
@@ -202,22 +202,22 @@
 	c := NewClaimer(r, [][]string{{"d1"}}, now)
 	c.Receive("d1", w.Claim(r, now))
 	if c.State() != Won || c.MaySend(now.Add(PermitTTL)) {
-		t.Fatal("an old permit is good for a send")
+		t.Fatalf("State() = %v, MaySend() after PermitTTL = %v; want %v, false", c.State(), c.MaySend(now.Add(PermitTTL)), Won)
 	}
 	if c.GiveUp() {
-		t.Fatal("a won claim was given up: it may have been sent")
+		t.Fatal("GiveUp() of a won claim = true, want false, since the call may have been sent")
 	}
 }
 
 func TestCreationTimeOfReadsOnlyUUIDv7(t *testing.T) {
 	id := uuid.Must(uuid.NewV7())
-	b := CreationTimeOf(id.String())
-	if !b.Known || time.Since(b.At) > time.Minute {
-		t.Fatalf("got %+v", b)
+	created := CreationTimeOf(id.String())
+	if !created.Known || time.Since(created.At) > time.Minute {
+		t.Fatalf("CreationTimeOf(%q) = %+v, want the current time", id, created)
 	}
 	for _, key := range []string{"booking-1", uuid.NewString(), ""} {
 		if CreationTimeOf(key).Known {
-			t.Errorf("%q has no date", key)
+			t.Errorf("CreationTimeOf(%q).Known = true, want false", key)
 		}
 	}
 }
@@ -229,11 +229,11 @@
 		w.Claim(Request{Key: fmt.Sprint(i), Attempt: "a", Created: CreationTime{Known: true, At: now}}, now)
 	}
 	if w.Counts().Keys != 1000 {
-		t.Fatal(w.Counts())
+		t.Fatalf("Counts() after 1000 claims = %+v, want 1000 keys", w.Counts())
 	}
 	w.RemoveExpired(now.Add(ClaimWindow + 2*MaxClockSkew))
 	if w.Counts().Keys != 0 {
-		t.Fatalf("%d keys are kept past their time", w.Counts().Keys)
+		t.Fatalf("Counts().Keys after all keys have expired = %d, want 0", w.Counts().Keys)
 	}
 }
 
--- a/core/claim/claimer.go
+++ b/core/claim/claimer.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// State is how far a claim is.
+// State is the state of a claim.
 type State uint8
 
 // The states of a claim.
 const (
-	// Pending claims wait for answers.
+	// Pending means that the claim waits for answers.
 	Pending State = iota
-	// Won claims may send while the permit lasts.
+	// Won means that the call may be sent while the permit is valid.
 	Won
-	// Lost claims can no longer reach a majority in some set.
+	// Lost means that the claim can no longer get a majority in some set.
 	Lost
 )
 
-// Claimer counts the answers to one claim.
+// Claimer collects the answers to one claim.
 type Claimer struct {
 	Request Request
 
@@ -29,13 +29,13 @@
 	gaveUp     bool
 }
 
-// NewClaimer starts a claim at sets of witnesses, made by History.Sets. The
-// permit counts from now, before the first message is sent.
+// NewClaimer starts a claim at the sets of witnesses that History.Sets returned. The permit is
+// valid for PermitTTL from now, which is before the first message is sent.
 func NewClaimer(r Request, sets [][]string, now time.Time) *Claimer {
 	return &Claimer{Request: r, sets: sets, replies: map[string]Reply{}, unanswered: map[string]bool{}, started: now}
 }
 
-// WitnessCount lists whom to ask, each once.
+// Witnesses returns the names of the witnesses to ask, sorted, without duplicates.
 func (c *Claimer) Witnesses() []string {
 	var all []string
 	for _, set := range c.sets {
@@ -45,20 +45,20 @@
 	return slices.Compact(all)
 }
 
-// Receive takes a witness's answer. Answers after the claim gave up do not count.
+// Receive records the answer of a witness. It ignores answers after the claimer gave up.
 func (c *Claimer) Receive(from string, r Reply) {
 	if !c.gaveUp {
 		c.replies[from] = r
 	}
 }
 
-// Fail records that a witness did not answer.
+// RecordNoAnswer records that a witness did not answer.
 func (c *Claimer) RecordNoAnswer(from string) { c.unanswered[from] = true }
 
-// majority is the number of grants needed in a set.
+// majority returns the number of grants needed in a set.
 func majority(set []string) int { return len(set)/2 + 1 }
 
-// State works out how far the claim is.
+// State returns the state of the claim after the answers so far.
 func (c *Claimer) State() State {
 	if c.gaveUp || len(c.sets) == 0 {
 		return Lost
@@ -89,16 +89,17 @@
 	return granted, open
 }
 
-// MaySend tells whether the call may be sent now. It is asked last thing before.
+// MaySend reports whether the call may be sent now. It must be called immediately before the
+// send.
 func (c *Claimer) MaySend(now time.Time) bool {
 	return c.State() == Won && now.Sub(c.started) < PermitTTL
 }
 
-// Ends is when the permit ends.
+// PermitExpiry returns the time at which the permit expires.
 func (c *Claimer) PermitExpiry() time.Time { return c.started.Add(PermitTTL) }
 
-// GiveUp ends the claim for good. It returns false when the claim was won, which
-// cannot be given up any more because the call may have been sent.
+// GiveUp ends the claim for good and reports whether it did. A claim that was won cannot be
+// given up, because the call may have been sent.
 func (c *Claimer) GiveUp() bool {
 	if c.State() == Won {
 		return false
@@ -107,7 +108,7 @@
 	return true
 }
 
-// TakenBy returns the attempt that most witnesses say has the key.
+// CurrentHolder returns the attempt that most witnesses name as the holder of the key.
 func (c *Claimer) CurrentHolder() (attempt, holder string, found bool) {
 	counts := map[Reply]int{}
 	best := 0
@@ -123,14 +124,14 @@
 	return attempt, holder, best > 0
 }
 
-// Tally counts the answers.
+// Tally counts the answers to a claim.
 type Tally struct {
 	Needed, Granted, Denied, Unanswered int
-	// Answers counts the denials by kind.
+	// WitnessTooNew, KeyTooOld and KeyFromFuture count these reasons among the denials.
 	WitnessTooNew, KeyTooOld, KeyFromFuture int
 }
 
-// Tally describes how the witnesses answered so far.
+// Tally counts the answers so far. Needed is the largest majority among the sets.
 func (c *Claimer) Tally() Tally {
 	var t Tally
 	for _, set := range c.sets {
--- a/core/claim/history.go
+++ b/core/claim/history.go
@@ -9,24 +9,24 @@
 
 // HostList is a host list with the time at which the platform published it.
 type HostList struct {
-	// Revision is the platform's.
+	// Revision is the platform's revision number of the list.
 	Revision int64
-	// Changed is when the platform published it, by the platform's clock.
+	// Published is the time of the publication by the platform's clock.
 	Published time.Time
 	// Hosts are the daemons of the region.
 	Hosts []string
 }
 
-// History is the host lists that were in force lately, as this daemon read them.
+// History holds the host lists that were in force recently, as this daemon read them.
 type History struct {
-	lists     []HostList // by revision, the oldest first
+	lists     []HostList // by revision, oldest first
 	confirmed time.Time
 }
 
-// replacedListRetention is how long a list is needed after another one replaced it.
+// replacedListRetention is how long a list is kept after another one replaced it.
 const replacedListRetention = ClaimWindow + 2*HostListPropagation
 
-// Add takes a list that was read, confirmed by the platform at the given time.
+// Add adds a list that was read and that the platform confirmed at the given time.
 func (h *History) Add(l HostList, confirmed time.Time) {
 	if confirmed.After(h.confirmed) {
 		h.confirmed = confirmed
@@ -47,19 +47,19 @@
 	}
 }
 
-// Lists returns the lists held, the oldest first.
+// Lists returns the lists held, oldest first.
 func (h *History) Lists() []HostList { return h.lists }
 
-// Confirmed is when the platform last confirmed the newest list.
+// Confirmed returns the time at which the platform last confirmed the newest list.
 func (h *History) Confirmed() time.Time { return h.confirmed }
 
-// Fresh tells whether the list was confirmed recently enough to claim with.
+// Fresh reports whether the newest list was confirmed recently enough to claim with.
 func (h *History) Fresh(now time.Time) bool {
 	return len(h.lists) > 0 && now.Sub(h.confirmed) <= HostListPropagation
 }
 
-// Sets returns the sets of witnesses in which a claim needs a majority: one for
-// each list that may have been in force at somebody who claimed the key before.
+// Sets returns the sets of witnesses in which a claim needs a majority: one for each list that
+// may have been in force at a daemon that claimed the key before.
 func (h *History) Sets(r Request, now time.Time) [][]string {
 	from := now.Add(-RetryWindow - HostListPropagation)
 	if r.Created.Known {
--- a/core/claim/witness.go
+++ b/core/claim/witness.go
@@ -8,13 +8,14 @@
 // grantRecord is a key that a witness has granted.
 type grantRecord struct {
 	key     string
-	attempt string // empty once the attempt gave up
+	attempt string // empty after the attempt gave up
 	holder  string
-	gaveUp  map[string]bool // attempts that will never send
+	gaveUp  map[string]bool // attempts that gave up and never send
 	expires time.Time
 }
 
-// Witness remembers which attempt has which key.
+// Witness records which attempt holds which key. Its grants are lost in a restart; it
+// therefore denies keys that it may have granted before it started.
 type Witness struct {
 	started  time.Time
 	records  map[string]*grantRecord
@@ -23,12 +24,12 @@
 	denied   int64
 }
 
-// NewWitness returns a witness that remembers nothing from before now.
+// NewWitness returns a witness that starts now, without any grants.
 func NewWitness(now time.Time) *Witness {
 	return &Witness{started: now, records: map[string]*grantRecord{}}
 }
 
-// Claim answers a claim.
+// Claim answers a claim and counts the answer.
 func (w *Witness) Claim(r Request, now time.Time) Reply {
 	w.RemoveExpired(now)
 	reply := w.claim(r, now)
@@ -49,7 +50,7 @@
 		return Reply{Answer: Taken, Attempt: rec.attempt, Holder: rec.holder}
 	}
 	if rec != nil && rec.gaveUp[r.Attempt] {
-		// A claim that was overtaken by its own end.
+		// The attempt's own giving up overtook its claim on the way here.
 		return Reply{Answer: Taken, Attempt: r.Attempt, Holder: r.Holder}
 	}
 	if answer := w.refusalReason(r.Created, now); answer != 0 && rec == nil {
@@ -59,18 +60,18 @@
 	return Reply{Answer: Granted}
 }
 
-// refuse tells why a key that is not on record may not be granted, or 0.
-func (w *Witness) refusalReason(b CreationTime, now time.Time) Answer {
+// refusalReason returns why a key that is not on record may not be granted, or 0 if it may.
+func (w *Witness) refusalReason(created CreationTime, now time.Time) Answer {
 	switch {
-	case !b.Known && now.Sub(w.started) < RetryWindow:
+	case !created.Known && now.Sub(w.started) < RetryWindow:
 		return WitnessTooNew
-	case !b.Known:
+	case !created.Known:
 		return 0
-	case b.At.After(now.Add(MaxClockSkew)):
+	case created.At.After(now.Add(MaxClockSkew)):
 		return KeyFromFuture
-	case now.Sub(b.At) > ClaimWindow:
+	case now.Sub(created.At) > ClaimWindow:
 		return KeyTooOld
-	case !b.At.After(w.started.Add(MaxClockSkew)):
+	case !created.At.After(w.started.Add(MaxClockSkew)):
 		return WitnessTooNew
 	}
 	return 0
@@ -85,17 +86,19 @@
 	rec.attempt, rec.holder = r.Attempt, r.Holder
 }
 
-// expiryOf is when no witness grants the key any more, with room for clocks that
-// differ; for a key without a date it is when no retry is expected any more.
-func expiryOf(b CreationTime, now time.Time) time.Time {
-	if !b.Known {
+// expiryOf returns the time after which no witness grants the key any more, even if clocks
+// differ by MaxClockSkew. For a key of unknown creation time it returns the time after which
+// no retry is expected.
+func expiryOf(created CreationTime, now time.Time) time.Time {
+	if !created.Known {
 		return now.Add(ClaimWindow)
 	}
-	left := b.At.Add(ClaimWindow + 2*MaxClockSkew).Sub(now)
+	left := created.At.Add(ClaimWindow + 2*MaxClockSkew).Sub(now)
 	return now.Add(left)
 }
 
-// GiveUp records that an attempt will never send, so that another may.
+// GiveUp records that an attempt gave up and never sends, so that another attempt may hold the
+// key.
 func (w *Witness) GiveUp(key, attempt string) {
 	rec := w.records[key]
 	if rec == nil {
@@ -110,7 +113,7 @@
 	rec.gaveUp[attempt] = true
 }
 
-// Forget drops the keys whose time is over.
+// RemoveExpired removes the keys whose records have expired.
 func (w *Witness) RemoveExpired(now time.Time) {
 	for len(w.byExpiry) > 0 && !now.Before(w.byExpiry[0].expires) {
 		rec := heap.Pop(&w.byExpiry).(*grantRecord)
@@ -118,18 +121,18 @@
 	}
 }
 
-// Counts is the number of keys on record and of answers given.
+// Counts holds the number of keys on record and of answers given.
 type Counts struct {
 	Keys            int
 	Granted, Denied int64
 }
 
-// Counts describes the witness.
+// Counts returns the current counts of the witness.
 func (w *Witness) Counts() Counts {
 	return Counts{Keys: len(w.records), Granted: w.granted, Denied: w.denied}
 }
 
-// recordHeap orders records by the time at which they are forgotten.
+// recordHeap orders records by expiry, the earliest first.
 type recordHeap []*grantRecord
 
 // Len implements heap.Interface.
