--- a/core/hostlist/hostlist_test.go
+++ b/core/hostlist/hostlist_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// hostStatesOf returns the sorted "ID:state" pairs of a list.
 func hostStatesOf(l List) string {
 	var names []string
 	for _, h := range l.Hosts {
@@ -17,18 +18,18 @@
 }
 
 func TestListApply(t *testing.T) {
-	whole := List{Revision: 1, Hosts: []Host{{ID: "a", State: Live}, {ID: "b", State: Live}}}
-	next, err := whole.Apply(List{Since: 1, Revision: 3, Hosts: []Host{{ID: "b", State: Leaving}, {ID: "c", State: Live}}, Removed: []string{"a"}})
+	full := List{Revision: 1, Hosts: []Host{{ID: "a", State: Live}, {ID: "b", State: Live}}}
+	next, err := full.Apply(List{Since: 1, Revision: 3, Hosts: []Host{{ID: "b", State: Leaving}, {ID: "c", State: Live}}, Removed: []string{"a"}})
 	if err != nil || hostStatesOf(next) != "b:leaving c:live" || next.Revision != 3 {
-		t.Fatalf("%v: %s", err, hostStatesOf(next))
+		t.Fatalf("Apply of a diff = %s at revision %d, %v, want b:leaving c:live at revision 3", hostStatesOf(next), next.Revision, err)
 	}
 	if same, err := next.Apply(List{Since: 3, Revision: 3}); err != nil || hostStatesOf(same) != hostStatesOf(next) {
-		t.Fatalf("%v: %s", err, hostStatesOf(same))
+		t.Fatalf("Apply of an empty diff = %s, %v, want %s", hostStatesOf(same), err, hostStatesOf(next))
 	}
 	if _, err := next.Apply(List{Since: 2, Revision: 4}); err == nil {
-		t.Fatal("a difference from another revision is taken")
+		t.Fatal("Apply of a diff from another revision gave no error")
 	}
-	if again, err := next.Apply(whole); err != nil || hostStatesOf(again) != hostStatesOf(whole) {
-		t.Fatalf("a whole list does not replace: %v %s", err, fmt.Sprint(again))
+	if replaced, err := next.Apply(full); err != nil || hostStatesOf(replaced) != hostStatesOf(full) {
+		t.Fatalf("Apply of a full list = %s, %v, want that list", fmt.Sprint(replaced), err)
 	}
 }
--- a/core/hostlist/position.go
+++ b/core/hostlist/position.go
@@ -2,38 +2,40 @@
 
 import "fmt"
 
-// Position is a place in the history of a store that may come back from an older copy: its era,
-// which rises with each such return, and its revision within the era. Positions are ordered by
-// era first, so what was written after a return is newer than all that was lost by it, though
-// its revision is lower. The zero position is before everything.
+// Position is a point in the history of a store that may be restored from an older copy: its
+// era, which rises with each restore, and its revision within the era. Positions are ordered by
+// era first, so a write after a restore is newer than all writes that the restore lost,
+// though its revision may be lower. The zero position is before all others.
 type Position int64
 
 const (
-	// eraShift is where the era begins: half a million changes a second for 12 days fit below.
+	// eraShift is the bit at which the era starts. The bits below it hold revisions for 12 days of
+	// half a million changes a second.
 	eraShift = 40
-	// confirmed marks the position of a read that was made when an era had settled. It lies
-	// between its revision and the next.
+	// settledBit marks the position of a read made after the era had settled (see package
+	// storeread). That position lies between the read's revision and the next.
 	settledBit = 1
 )
 
-// FirstEra is the era of a store that never came back from a copy.
+// FirstEra is the era of a store that was never restored.
 const FirstEra = 1
 
-// NewPosition is the position of a revision in an era; the era of a store that tells none is zero.
+// NewPosition returns the position of a revision in an era; the era is zero if the store reports none.
 func NewPosition(era, revision int64) Position { return Position(era<<eraShift + revision<<1) }
 
-// Confirmed is the position of a read at p when the era had settled.
+// AsSettled returns the position of a read at p that was made after the era had settled.
 func (p Position) AsSettled() Position { return p | settledBit }
 
+// isSettled reports whether p is the position of a read made after the era had settled.
 func (p Position) isSettled() bool { return p&settledBit != 0 }
 
-// Era is the store's era.
+// Era returns the store's era.
 func (p Position) Era() int64 { return int64(p) >> eraShift }
 
-// Revision is the store's revision within the era.
+// Revision returns the store's revision within the era.
 func (p Position) Revision() int64 { return int64(p) & (1<<eraShift - 1) >> 1 }
 
-// String is era and revision as logs show them; without the era where there are none.
+// String returns "era.revision" for logs, or the revision alone if the era is zero.
 func (p Position) String() string {
 	if p.Era() == 0 {
 		return fmt.Sprint(p.Revision())
--- a/core/hostlist/restored.go
+++ b/core/hostlist/restored.go
@@ -1,30 +1,30 @@
 package hostlist
 
-// What a table makes of a store that came back from an older copy. Until the new era has settled,
-// an entry of a read of the whole may be as old as the copy: such entries have positions of the
-// era before (see Position), and take back nothing that is known from there.
+// How a table handles a store that was restored from an older copy. Until the new era has settled
+// (see package storeread), an entry of a full read may be as old as the copy. Such entries get
+// positions of the previous era (see Position) and do not override newer entries of that era.
 
-// MayBeCopy tells whether the store has come back from an older copy before, so that what was
-// read from it alone may be older than what others know.
+// StoreWasRestored reports whether the store has ever been restored from an older copy. What
+// was read only from the store may then be older than what peers know.
 func (t *Table) StoreWasRestored() bool { return t.fullReadAt.Era() > FirstEra }
 
-// lacksLost tells whether facts may lack what was lost when the store came back from a copy: the
-// first read of a daemon that has not seen the time before.
+// mayLackLostWrites reports whether an update may lack writes that were lost when the store was
+// restored: the first full read of a daemon that has not read the store before the restore.
 func (t *Table) mayLackLostWrites(f *Update) bool {
 	return f.Full && t.fullReadAt == 0 && f.AsOf.Era() > FirstEra && !f.AsOf.isSettled()
 }
 
-// putListed takes over an entry of a read of the whole. One that was changed before what is
-// known here, and was not known all the same, counts from the read on: peers that know as much
+// putFromFullRead applies an entry of a full read. If the entry is news though its position is
+// not above the table's revision, it gets the position of the read: peers at the same revision
 // would not ask for it by its own position.
 func (t *Table) putFromFullRead(h Host, asOf Position) bool {
-	mayBeOld := h.Revision.Era() < asOf.Era()
-	if mayBeOld && t.entries[h.ID] == nil && h.Revision <= t.fullReadAt {
-		return false // A read after that did not list it, so most likely it has ended.
+	mayBeOutdated := h.Revision.Era() < asOf.Era()
+	if mayBeOutdated && t.entries[h.ID] == nil && h.Revision <= t.fullReadAt {
+		return false // A later full read did not list the host, so it has most likely ended.
 	}
 	known := h.Revision <= t.revision
 	if !t.putIfNewer(h) {
-		return mayBeOld && t.putLeavingState(h, asOf)
+		return mayBeOutdated && t.putLeavingState(h, asOf)
 	}
 	if known {
 		t.entries[h.ID].host.Revision = max(h.Revision, asOf)
@@ -32,8 +32,8 @@
 	return true
 }
 
-// putLeaving takes over that a target leaves from an entry that may be older than what is known,
-// or may have been written again after the store's return: no process takes that word back.
+// putLeavingState applies the leaving state of an entry that may be outdated, or that may have
+// been written again after the restore: no process revokes its announcement that it leaves.
 func (t *Table) putLeavingState(h Host, asOf Position) bool {
 	e := t.entries[h.ID]
 	if h.State != Leaving || e.host.State != Live || h.Incarnation < e.host.Incarnation {
@@ -43,8 +43,8 @@
 	return true
 }
 
-// stateAfterRestore is the state that a newer entry gives a process. A store that came back from an
-// older copy lists a process as it was before it said that it leaves, under its old revision.
+// stateAfterRestore returns the state that a newer entry gives a process. A restored store lists
+// a process in the state before it announced that it leaves, under the old revision.
 func stateAfterRestore(known, h Host) State {
 	lost := h.Revision.Era() > known.Revision.Era() && h.Revision.Revision() <= known.Revision.Revision()
 	if lost && known.State == Leaving {
--- a/core/hostlist/table.go
+++ b/core/hostlist/table.go
@@ -6,63 +6,66 @@
 	"time"
 )
 
-// Gone is the state of a host whose entry was removed. It is used in facts only; a
-// list does not hold such hosts.
+// Gone is the state of a host whose entry was removed. It occurs in updates only; a list does
+// not hold such hosts.
 const Gone State = "gone"
 
-// Update are what a store or a peer says of hosts. Each host carries the position at
-// which the store last changed its entry, so facts may come in any order, twice, and
-// from several sides.
+// Update is a set of host entries from the store or a peer. Each entry carries the position at
+// which the store last changed it, so updates may be merged in any order, more than once, and
+// from several sources.
 type Update struct {
-	// Whole means that a host without a fact here has no entry as of AsOf.
+	// Full means that hosts without an entry in the update have none in the store as of AsOf.
 	Full bool `cbor:"1,keyasint,omitempty"`
-	// AsOf is the store's position up to which the facts are complete.
+	// AsOf is the store's position up to which the update is complete.
 	AsOf Position `cbor:"2,keyasint"`
-	// Hosts are the facts; a host of state Gone has been removed.
+	// Hosts are the entries; an entry of state Gone is a removal.
 	Hosts []Host `cbor:"3,keyasint"`
-	// Partial means that the hosts are only some of those listed as of AsOf: the facts are complete up to
-	// nowhere. Peers tell no such facts.
+	// Partial means that the hosts are only some of those listed as of AsOf, so the update is not
+	// complete up to any position. Peers send no such updates.
 	Partial bool `cbor:"-"`
-	// Confirmed means that removals are not in doubt: a peer tells of no others.
+	// Confirmed means that the removals are confirmed (see Table). Peers send no others.
 	Confirmed bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Table merges facts into a list of hosts. It is pure; the caller passes the time.
+// Table merges updates into a list of hosts. It is a pure data structure; the caller passes the
+// time.
 //
-// Entries run out while the store is away, and those of living targets are back
-// within storeReturnGrace of its return. Until then a removal is in doubt: the host stays
-// listed, and counts as gone only if no newer fact brings it back.
+// The store's entries expire while it is unavailable, and the entries of living targets are
+// back within storeReturnGrace of its return. Until then a removal is unconfirmed: the host
+// stays listed, and is removed only if no newer entry brings it back.
 type Table struct {
 	entries  map[string]*entry
 	revision Position
-	// whole is the position of the last read of the whole list.
+	// fullReadAt is the position of the last full read.
 	fullReadAt Position
-	// part is the position of the first page of a list, where that was read alone.
+	// firstPageAt is the position of the first page of a list, if that page was read alone.
 	firstPageAt Position
-	// away is true while the store does not answer; back is when it last returned.
+	// storeDown is true while the store does not answer; storeBackAt is when it last returned.
 	storeDown   bool
 	storeBackAt time.Time
 }
 
+// entry is what the table knows about one host.
 type entry struct {
 	host Host
-	// removed is the revision of a removal in doubt, and doubtUntil when it counts;
-	// both are zero where there is no doubt.
+	// unconfirmedRemoval is the position of an unconfirmed removal, and confirmAt the time at
+	// which it is confirmed; both are zero if there is none.
 	unconfirmedRemoval Position
 	confirmAt          time.Time
-	// goneAt is when the removal was learned.
+	// goneAt is when the removal was applied.
 	goneAt time.Time
 }
 
+// The grace periods of removals and the retention of tombstones.
 const (
-	// storeReturnGrace is how long after the store's return removals are in doubt. Targets
-	// report every 1.2 s or so and are back within some two seconds.
+	// storeReturnGrace is how long after the store's return removals stay unconfirmed. Targets
+	// report about every 1.2 s and are back within some 2 s.
 	storeReturnGrace = 2500 * time.Millisecond
-	// Removals in one answer are in doubt, also where the store was not seen to be away,
-	// from massRemovalMin on and from massRemovalShare of the listed hosts on: a silent outage shows
-	// like this, while planned work takes a few targets away at a time. massRemovalGrace is how
-	// long that doubt lasts; with the pause until it is looked at (0.25 s) it stays below
-	// the 2 s after which a target that left may get no more work.
+	// Removals in one answer are unconfirmed for massRemovalGrace, also if no outage was noticed,
+	// if they are at least massRemovalMin and at least massRemovalShare of the listed hosts. An
+	// unnoticed outage of the store looks like this, while planned work removes a few targets at
+	// a time. The grace and the 0.25 s between calls of Tick together stay below the 2 s after
+	// which a target that left may get no more work.
 	massRemovalMin   = 4
 	massRemovalShare = 0.25
 	massRemovalGrace = 1500 * time.Millisecond
@@ -73,9 +76,9 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{entries: map[string]*entry{}} }
 
-// Revision is the revision up to which all facts are known and count; a peer with a
-// lower one lacks news. A removal in doubt does not count yet, and a peer that was not
-// cut off from the store may know better.
+// Revision returns the position up to which all changes are known and in effect; a peer at a
+// lower position lacks some. It stays below unconfirmed removals, so that a peer that was not
+// cut off from the store is asked about them.
 func (t *Table) Revision() Position {
 	revision := t.revision
 	for _, e := range t.entries {
@@ -86,25 +89,25 @@
 	return revision
 }
 
-// ReadWhole tells whether the whole list has been read from the store itself.
+// HasFullRead reports whether the full list has been read from the store itself.
 func (t *Table) HasFullRead() bool { return t.fullReadAt > 0 }
 
-// ReadPart tells whether the first page of the list has been read from the store itself.
+// HasFirstPage reports whether the first page of the list has been read from the store itself.
 func (t *Table) HasFirstPage() bool { return t.firstPageAt > 0 }
 
-// Incomplete tells whether only a part of the list is known: neither the store nor a peer has told the
-// whole as it was when the first page was read.
+// Incomplete reports whether only a part of the list is known: neither the store nor a peer has
+// supplied the full list as of the read of the first page.
 func (t *Table) Incomplete() bool {
 	return t.firstPageAt > 0 && t.fullReadAt == 0 && t.Revision() < t.firstPageAt
 }
 
-// Away tells whether the store is known to be away.
+// StoreDown reports whether the store is known to be unavailable.
 func (t *Table) StoreDown() bool { return t.storeDown }
 
-// StoreAway records that the store did not answer.
+// MarkStoreDown records that the store did not answer.
 func (t *Table) MarkStoreDown() { t.storeDown = true }
 
-// StoreAnswered records an answer of the store and tells whether it had been away.
+// MarkStoreUp records an answer of the store and reports whether it had been unavailable.
 func (t *Table) MarkStoreUp(now time.Time) (returned bool) {
 	returned = t.storeDown
 	if returned {
@@ -113,17 +116,17 @@
 	return returned
 }
 
-// Merge takes facts in and tells whether the list of hosts has changed.
+// Merge applies an update and reports whether the list of hosts has changed.
 func (t *Table) Merge(f Update, now time.Time) bool {
 	changed := false
 	if f.Full && t.fullReadAt > 0 && f.AsOf.Era() > t.fullReadAt.Era() {
-		t.storeBackAt = now // What the copy lacks is written again, as after an outage.
+		t.storeBackAt = now // Writes that the restore lost are made again, as after an outage.
 	}
 	t.recordTombstones(f.Hosts, now)
 	removals := t.removals(f)
-	doubt := t.removalConfirmTime(len(removals), now)
+	confirmAt := t.removalConfirmTime(len(removals), now)
 	if f.Confirmed {
-		doubt = time.Time{}
+		confirmAt = time.Time{}
 	}
 	for _, h := range f.Hosts {
 		if h.State != Gone && t.addEntry(h, &f, now) {
@@ -131,10 +134,10 @@
 		}
 	}
 	for _, h := range removals {
-		t.removeEntry(h, doubt, now)
-		changed = changed || doubt.IsZero()
+		t.removeEntry(h, confirmAt, now)
+		changed = changed || confirmAt.IsZero()
 	}
-	complete := f.completeUpTo(len(removals) > 0 && !doubt.IsZero() || t.mayLackLostWrites(&f))
+	complete := f.completeUpTo(len(removals) > 0 && !confirmAt.IsZero() || t.mayLackLostWrites(&f))
 	switch {
 	case f.Full:
 		t.fullReadAt = max(t.fullReadAt, f.AsOf)
@@ -145,12 +148,13 @@
 	return changed
 }
 
-// completeTo is the position up to which nothing is missing in facts of which something is in
-// doubt or not. A peer withholds removals that it doubts but tells of later changes, so
-// only its own word counts; the store's changes come in order, and what is in doubt of them
-// is taken off by Revision.
-func (f *Update) completeUpTo(doubtful bool) Position {
-	if f.Confirmed || f.Full && !doubtful {
+// completeUpTo returns the position up to which no change is missing after the update is merged.
+// The argument says whether its removals are unconfirmed or it may lack lost writes. A peer
+// withholds unconfirmed removals but sends later changes, so only the AsOf that it states
+// counts. The store's changes come in order, and Revision accounts for unconfirmed removals
+// among them.
+func (f *Update) completeUpTo(unconfirmed bool) Position {
+	if f.Confirmed || f.Full && !unconfirmed {
 		return f.AsOf
 	}
 	if f.Partial {
@@ -163,11 +167,12 @@
 	return newest
 }
 
-// doubt is when so many removals in one answer count; zero means at once.
+// removalConfirmTime returns when so many removals in one answer are confirmed; zero means at
+// once.
 func (t *Table) removalConfirmTime(removals int, now time.Time) time.Time {
 	switch {
 	case t.storeDown:
-		return now.Add(storeReturnGrace) // Tick waits for the store's return besides.
+		return now.Add(storeReturnGrace) // Tick also waits for the store's return.
 	case now.Before(t.storeBackAt.Add(storeReturnGrace)):
 		return t.storeBackAt.Add(storeReturnGrace)
 	case removals >= massRemovalMin && float64(removals) >= massRemovalShare*float64(t.listedCount()):
@@ -177,8 +182,8 @@
 	}
 }
 
-// remember notes removals of hosts that are not listed, so that an older fact which
-// comes later does not bring them back.
+// recordTombstones records removals of hosts that are not listed, so that an older entry merged
+// later does not bring them back.
 func (t *Table) recordTombstones(hosts []Host, now time.Time) {
 	for _, h := range hosts {
 		if h.State != Gone {
@@ -195,7 +200,7 @@
 	}
 }
 
-// firstEraHost is the number of hosts that are not gone.
+// listedCount returns the number of hosts that are not gone.
 func (t *Table) listedCount() int {
 	n := 0
 	for _, e := range t.entries {
@@ -206,29 +211,29 @@
 	return n
 }
 
-// removals lists the hosts that the facts take away.
+// removals returns the listed hosts that the update removes.
 func (t *Table) removals(f Update) []Host {
-	var gone []Host
+	var removed []Host
 	present := map[string]bool{}
 	for _, h := range f.Hosts {
 		present[h.ID] = true
 		if e := t.entries[h.ID]; h.State == Gone && e != nil && e.host.State != Gone && e.host.Revision < h.Revision {
-			gone = append(gone, h)
+			removed = append(removed, h)
 		}
 	}
 	if !f.Full {
-		return gone
+		return removed
 	}
 	for id, e := range t.entries {
 		if !present[id] && e.host.State != Gone && e.host.Revision <= f.AsOf {
-			gone = append(gone, Host{ID: id, State: Gone, Revision: f.AsOf})
+			removed = append(removed, Host{ID: id, State: Gone, Revision: f.AsOf})
 		}
 	}
-	return gone
+	return removed
 }
 
-// add takes a host's entry in. One that a later read of the whole did not list is gone,
-// or, around an outage, in doubt like other removals.
+// addEntry applies a host's entry. A host that a later full read did not list stays gone or,
+// around an outage, is listed with an unconfirmed removal.
 func (t *Table) addEntry(h Host, f *Update, now time.Time) bool {
 	if f.Full {
 		return t.putFromFullRead(h, f.AsOf)
@@ -236,23 +241,23 @@
 	if t.entries[h.ID] != nil || h.Revision > t.fullReadAt {
 		return t.putIfNewer(h)
 	}
-	doubt := t.removalConfirmTime(0, now)
-	if doubt.IsZero() {
+	confirmAt := t.removalConfirmTime(0, now)
+	if confirmAt.IsZero() {
 		return false
 	}
 	t.putIfNewer(h)
-	t.removeEntry(Host{ID: h.ID, State: Gone, Revision: t.fullReadAt}, doubt, now)
+	t.removeEntry(Host{ID: h.ID, State: Gone, Revision: t.fullReadAt}, confirmAt, now)
 	return true
 }
 
-// put takes over a host's entry if it is newer.
+// putIfNewer applies a host's entry if it is newer, and reports whether the list has changed.
 func (t *Table) putIfNewer(h Host) bool {
 	e := t.entries[h.ID]
 	if e != nil && h.Revision <= max(e.host.Revision, e.unconfirmedRemoval) {
 		if e.host.State == Gone || e.unconfirmedRemoval > 0 || h.Incarnation <= e.host.Incarnation {
 			return false
 		}
-		h.Revision = e.host.Revision // What was heard since is of an earlier process.
+		h.Revision = e.host.Revision // Newer entries merged so far are of an earlier process.
 	}
 	if e != nil {
 		h = resolveIncarnation(e.host, h)
@@ -270,9 +275,10 @@
 	return before != h
 }
 
-// resolveIncarnation is what a newer entry says of a host that is known. An entry of an earlier process
-// under the same id, written late, says nothing of the living one; but a target that said it
-// leaves gets no new work until the living one says that it does not.
+// resolveIncarnation combines a newer entry of a known host with what is known. A late entry of an
+// earlier process under the same ID does not change the entry of the current one; but if it
+// says that the target leaves, the target gets no new work until the current process reports
+// itself live.
 func resolveIncarnation(known, h Host) Host {
 	switch {
 	case h.Incarnation == 0:
@@ -291,27 +297,28 @@
 	return h
 }
 
-// remove marks a host as gone, or as removed in doubt, which leaves it listed.
-func (t *Table) removeEntry(h Host, doubt, now time.Time) {
+// removeEntry marks a host as gone, or, if confirmAt is set, records an unconfirmed removal,
+// with which the host stays listed.
+func (t *Table) removeEntry(h Host, confirmAt, now time.Time) {
 	e := t.entries[h.ID]
-	if doubt.IsZero() {
+	if confirmAt.IsZero() {
 		t.confirmRemoval(e, h.Revision, now)
 		return
 	}
 	e.unconfirmedRemoval = max(e.unconfirmedRemoval, h.Revision)
 	if e.confirmAt.IsZero() {
-		e.confirmAt = doubt
+		e.confirmAt = confirmAt
 	}
 }
 
-// confirm makes a removal count.
+// confirmRemoval puts a removal into effect.
 func (t *Table) confirmRemoval(e *entry, revision Position, now time.Time) {
 	e.host.State, e.host.Revision, e.goneAt = Gone, revision, now
 	e.unconfirmedRemoval, e.confirmAt = 0, time.Time{}
 }
 
-// Tick ends doubts and forgets old removals. It tells whether the list has changed.
-// While the store is away doubts go on.
+// Tick confirms removals whose grace period has ended, and drops old tombstones. It reports
+// whether the list has changed. While the store is unavailable no removal is confirmed.
 func (t *Table) Tick(now time.Time) bool {
 	changed := false
 	for id, e := range t.entries {
@@ -330,7 +337,7 @@
 	return changed
 }
 
-// Hosts lists the hosts that are not gone, by id.
+// Hosts returns the hosts that are not gone, sorted by ID.
 func (t *Table) Hosts() []Host {
 	hosts := make([]Host, 0, len(t.entries))
 	for _, e := range t.entries {
@@ -342,8 +349,8 @@
 	return hosts
 }
 
-// Since lists the facts above a position, removals included, for a peer. A removal in
-// doubt is not told yet.
+// Since returns the changes after a position, removals included, for a peer. Unconfirmed
+// removals are left out.
 func (t *Table) Since(revision Position) Update {
 	f := Update{AsOf: t.Revision(), Confirmed: true}
 	for _, e := range t.entries {
