--- a/core/storeread/storeread.go
+++ b/core/storeread/storeread.go
@@ -1,18 +1,18 @@
-// Package storeread decides how a store is read that may come back from an older copy.
+// Package storeread decides how to read a store that may be restored from an older copy.
 //
-// Such a return loses what was written last and gives revisions out again; the store counts
-// its eras. Whoever wrote writes again, within some seconds. A Reader says, for each answer,
-// whether it is taken, ignored or a reason to read the whole anew, and which position each of its
-// items has:
+// A restore loses the latest writes and gives their revisions out again; the store counts its
+// eras, one more with each restore. The writers write what was lost again within some seconds.
+// For each answer of the store, a Reader decides whether to accept it, to ignore it or to read
+// the full list again, and which position each of its items has:
 //
-//   - a change that a watch brings was made in the era of the answer;
-//   - an item of a whole read may be as old as the copy, unless the era was read up to before its
-//     revision; so until the era has settled it counts as of the era before, and what is
-//     known from there by a higher revision goes before it;
-//   - when the era has settled the whole is read once more, and that read counts in full: it is
-//     what ends a belief of the era before that nobody has written again.
+//   - a change from a watch was made in the era of the answer;
+//   - an item of a full read may be as old as the copy, unless its revision is above the one up to
+//     which the era was read before. Until the era has settled, such an item has a position in
+//     the previous era, where an item known at a higher revision is newer;
+//   - once the era has settled the full list is read again, and its items have positions in
+//     the era. They override what is known from the previous era and was not written again.
 //
-// The package is pure; the caller passes the time and makes the calls.
+// The package is pure logic; the caller passes the time and makes the calls.
 package storeread
 
 import (
@@ -21,36 +21,36 @@
 	"doorstack.dev/core/hostlist"
 )
 
-// SettleTime is how long after a return from a copy what was lost may still be written again, and
-// the leases of entries run that only the copy holds.
+// SettleTime is how long after a restore an era takes to settle: until then lost writes may still
+// be made again, and the leases of entries that only the copy has may still run.
 const SettleTime = 5 * time.Second
 
-// Reader follows one store. The zero value has read nothing.
+// Reader tracks the reading of one store. The zero value has read nothing.
 type Reader struct {
 	era    int64
-	cursor int64 // the revision read up to; zero where the whole has to be read
-	// seen is the revision up to which the era was read, and before what it was before the
-	// last read of the whole; zero where nothing of it was.
+	cursor int64 // the revision read up to; zero if a full read is due
+	// readUpTo is the revision up to which the era was read, and readBefore its value before the
+	// last full read; zero if nothing of the era was read.
 	readUpTo, readBefore int64
-	// began is when the era was first seen, zero before the first answer.
+	// eraSeenAt is when the era was first seen; zero before the first answer.
 	eraSeenAt time.Time
-	// again tells that the whole is read once more when the era has settled.
+	// rereadPending is true if a full read is due when the era has settled.
 	rereadPending bool
 }
 
-// Fresh tells whether nothing has been read yet.
+// Fresh reports whether nothing has been read yet.
 func (r *Reader) Fresh() bool { return r.eraSeenAt.IsZero() }
 
-// Plan is how the next call is made.
+// Plan describes the next call of the store.
 type Plan struct {
-	// Whole asks for everything; otherwise changes after a revision are waited for.
+	// Full asks for a full read; otherwise the call waits for changes after revision After.
 	Full  bool
 	After int64
-	// Wait is how long at most.
+	// Wait is the longest time to wait for a change.
 	Wait time.Duration
 }
 
-// Next plans a call that may wait for so long.
+// NextCall plans the next call, which may wait for changes for up to wait.
 func (r *Reader) NextCall(wait time.Duration, now time.Time) Plan {
 	if r.cursor == 0 || r.rereadPending && r.settled(now) {
 		return Plan{Full: true}
@@ -61,23 +61,24 @@
 	return Plan{After: r.cursor, Wait: wait}
 }
 
+// settled reports whether the era has settled.
 func (r *Reader) settled(now time.Time) bool { return now.Sub(r.eraSeenAt) >= SettleTime }
 
-// Verdict is what an answer is good for.
+// Verdict is what the caller has to do with an answer.
 type Verdict int
 
-// The verdicts.
+// The verdicts on an answer.
 const (
-	// Take means that the answer's items count.
+	// Accept means that the answer's items are to be used.
 	Accept Verdict = iota
 	// Ignore means that the answer is of an era that has ended.
 	Ignore
-	// Anew means that the store has come back from a copy: the whole has to be read.
+	// Reread means that the store was restored and the full list has to be read.
 	Reread
 )
 
-// Watched takes in an answer to a watch: the era in which it was given and the revision up to
-// which it is complete.
+// HandleWatch records the answer to a watch, given its era and the revision up to which it is
+// complete, and returns the verdict on it.
 func (r *Reader) HandleWatch(era, asOf int64, now time.Time) Verdict {
 	switch {
 	case era < r.era:
@@ -90,10 +91,10 @@
 	return Accept
 }
 
-// HistoryGone takes in that the store no longer has the changes after the cursor.
+// HandleHistoryGone records that the store no longer has the changes after the last read.
 func (r *Reader) HandleHistoryGone() { r.cursor = 0 }
 
-// ReadWhole takes in an answer with everything, and tells whether it counts.
+// HandleFullRead records the answer to a full read and returns the verdict on it.
 func (r *Reader) HandleFullRead(era, asOf int64, now time.Time) Verdict {
 	switch {
 	case era < r.era:
@@ -107,17 +108,17 @@
 	return Accept
 }
 
-// enter begins an era.
+// startEra resets the reader to the start of an era.
 func (r *Reader) startEra(era int64, now time.Time) {
 	*r = Reader{era: era, eraSeenAt: now, rereadPending: era > hostlist.FirstEra || !r.eraSeenAt.IsZero()}
 }
 
-// Changed is the position of a change that a watch brought.
+// ChangePosition returns the position of a change from a watch.
 func (r *Reader) ChangePosition(revision int64) hostlist.Position {
 	return hostlist.NewPosition(r.era, revision)
 }
 
-// Listed is the position of an item of the last read of the whole.
+// ItemPosition returns the position of an item of the last full read.
 func (r *Reader) ItemPosition(revision int64, now time.Time) hostlist.Position {
 	if r.era == hostlist.FirstEra || r.settled(now) || r.readBefore > 0 && revision > r.readBefore {
 		return hostlist.NewPosition(r.era, revision)
@@ -125,8 +126,8 @@
 	return hostlist.NewPosition(max(0, r.era-1), revision)
 }
 
-// Position is the position read up to, by an answer that counts; that of a whole read goes
-// before what changes told up to there.
+// ReadPosition returns the position up to which the store has been read. After a full read of
+// a settled era it is above the positions of all changes up to the same revision.
 func (r *Reader) ReadPosition(whole bool, now time.Time) hostlist.Position {
 	at := hostlist.NewPosition(r.era, r.cursor)
 	if whole && r.settled(now) && r.era > hostlist.FirstEra {
--- a/core/storeread/storeread_test.go
+++ b/core/storeread/storeread_test.go
@@ -18,59 +18,60 @@
 	var r Reader
 	at := testStart
 	if p := r.NextCall(time.Second, at); !p.Full {
-		t.Fatalf("the first call is %+v", p)
+		t.Fatalf("first NextCall = %+v, want a full read", p)
 	}
 	if r.HandleFullRead(1, 50, at) != Accept || r.ItemPosition(40, at) != hostlist.NewPosition(1, 40) {
-		t.Fatal("a first read of a store that never came back does not count in full")
+		t.Fatal("first full read of era 1 is not accepted with positions in era 1")
 	}
 	if r.HandleWatch(1, 60, at) != Accept || r.ChangePosition(55) != hostlist.NewPosition(1, 55) {
-		t.Fatal("a change is not taken")
+		t.Fatal("watch answer of era 1 is not accepted with positions in era 1")
 	}
 	if r.HandleWatch(2, 70, at) != Reread || !r.NextCall(time.Second, at).Full {
-		t.Fatal("the whole is not read after a return, though the store has later revisions than were read")
+		t.Fatal("watch answer of era 2 does not lead to a full read, although its revision is higher")
 	}
 	if r.HandleFullRead(1, 65, at) != Ignore || r.HandleFullRead(2, 45, at) != Accept {
-		t.Fatal("an answer that was on its way is not told from one of the new era")
+		t.Fatal("late full read of era 1 is not ignored, or that of era 2 is not accepted")
 	}
 	if r.ItemPosition(40, at) != hostlist.NewPosition(1, 40) || r.ChangePosition(46) != hostlist.NewPosition(2, 46) {
-		t.Error("what the copy may hold is not told from what was changed since")
+		t.Error("item of an unsettled full read is not in era 1, or a change not in era 2")
 	}
 	if r.HandleWatch(1, 66, at) != Ignore {
-		t.Error("a watch of the era before counts")
+		t.Error("late watch answer of era 1 is not ignored")
 	}
 	p := r.NextCall(time.Minute, at.Add(time.Second))
 	if p.Full || p.After != 45 || p.Wait != SettleTime-time.Second {
-		t.Errorf("before the era has settled the next call is %+v", p)
+		t.Errorf("NextCall 1 s into the era = %+v, want a watch after 45 for the rest of SettleTime", p)
 	}
 	at = at.Add(SettleTime)
 	if !r.NextCall(time.Minute, at).Full || r.HandleFullRead(2, 47, at) != Accept || r.ItemPosition(40, at) != hostlist.NewPosition(2, 40) {
-		t.Error("when the era has settled the whole is not read, or does not count in full")
+		t.Error("no full read of the settled era, or it is not accepted with positions in era 2")
 	}
 	if p := r.NextCall(time.Minute, at); p.Full {
-		t.Errorf("it is read again: %+v", p)
+		t.Errorf("NextCall after the full read of the settled era = %+v, want a watch", p)
 	}
 }
 
-// TestFullReadAfterHistoryGone: what changed beyond what was read counts as of its era, at once.
+// TestFullReadAfterHistoryGone checks that items changed after the last read have positions in
+// the current era at once, before it has settled.
 func TestFullReadAfterHistoryGone(t *testing.T) {
 	var r Reader
 	r.HandleFullRead(3, 50, testStart)
 	r.HandleHistoryGone()
 	if !r.NextCall(time.Second, testStart).Full || r.HandleFullRead(3, 60, testStart) != Accept {
-		t.Fatal("the whole is not read")
+		t.Fatal("NextCall after HandleHistoryGone asks for no full read, or it is not accepted")
 	}
 	if r.ItemPosition(55, testStart) != hostlist.NewPosition(3, 55) || r.ItemPosition(45, testStart) != hostlist.NewPosition(2, 45) {
-		t.Errorf("%v, %v", r.ItemPosition(55, testStart), r.ItemPosition(45, testStart))
+		t.Errorf("ItemPosition(55) = %v, ItemPosition(45) = %v, want 3.55 and 2.45", r.ItemPosition(55, testStart), r.ItemPosition(45, testStart))
 	}
 }
 
-// entry is a target's entry in the store of the model.
+// entry is a target's entry in the model's store.
 type entry struct {
 	state    hostlist.State
 	revision int64
 }
 
-// model is a store, the targets that write to it and the daemons that read it.
+// model simulates a store, the targets that write to it and the daemons that read it.
 type model struct {
 	t        *rapid.T
 	now      time.Time
@@ -78,25 +79,27 @@
 	revision int64
 	entries  map[string]entry
 	log      []change
-	copies   []model // only what a store keeps
-	// truth is what each target that lives would say of itself.
+	copies   []model // with the fields of the store only
+	// actual is the real state of each target that has not ended.
 	actual     map[string]hostlist.State
 	daemons    []*daemon
 	nextTarget int
 }
 
+// change is a write in the store's log.
 type change struct {
 	id string
 	entry
 }
 
-// daemon reads the store, or only hears of it from others.
+// daemon reads the store, or gets updates from other daemons only.
 type daemon struct {
 	reader     Reader
 	table      *hostlist.Table
-	seenEnding map[string]bool // targets that it has known to leave or to be gone
+	seenEnding map[string]bool // targets that the daemon knew to be leaving or gone
 }
 
+// write records a target's new state in the store.
 func (m *model) write(id string, state hostlist.State) {
 	m.revision++
 	e := entry{state, m.revision}
@@ -108,16 +111,17 @@
 	m.entries[id] = e
 }
 
+// takeCopy keeps a copy of the store to restore later.
 func (m *model) takeCopy() {
 	m.copies = append(m.copies, model{revision: m.revision, entries: maps.Clone(m.entries), log: slices.Clone(m.log), now: m.now})
 }
 
-// restore brings the store back from a copy. The targets write again what it lacks, and the
-// entries of those that are dead run out, before the era has settled.
+// restore restores the store from a copy. Before the era has settled, the targets write again
+// what the copy lacks, and the entries of ended targets expire.
 func (m *model) restore(c *model) {
 	m.era++
 	m.revision, m.entries, m.log = c.revision, maps.Clone(c.entries), slices.Clone(c.log)
-	m.advance(rapid.IntRange(0, 1000).Draw(m.t, "away"))
+	m.advance(rapid.IntRange(0, 1000).Draw(m.t, "outage"))
 	for _, d := range m.daemons {
 		if rapid.Bool().Draw(m.t, "reads the copy") {
 			m.read(d)
@@ -131,26 +135,27 @@
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		m.advance(rapid.IntRange(0, 100).Draw(m.t, "until it writes"))
-		state, lives := m.actual[id]
+		m.advance(rapid.IntRange(0, 100).Draw(m.t, "write delay"))
+		state, alive := m.actual[id]
 		e, listed := m.entries[id]
 		switch {
-		case !lives && listed:
+		case !alive && listed:
 			m.write(id, hostlist.Gone)
-		case lives && (!listed || e.state != state):
+		case alive && (!listed || e.state != state):
 			m.write(id, state)
 		}
 		m.randomRead()
 	}
 }
 
+// randomRead makes one daemon read the store or another daemon.
 func (m *model) randomRead() {
 	d := rapid.SampledFrom(m.daemons).Draw(m.t, "reader")
 	if rapid.Bool().Draw(m.t, "from the store") {
 		m.read(d)
 		return
 	}
-	m.syncFrom(d, rapid.SampledFrom(m.daemons).Draw(m.t, "teller"))
+	m.syncFrom(d, rapid.SampledFrom(m.daemons).Draw(m.t, "source"))
 }
 
 // read makes a daemon's next call of the store.
@@ -182,7 +187,7 @@
 	m.checkNoReversal(d)
 }
 
-// hear takes in what another daemon knows and this one does not, as heartbeats make them do.
+// syncFrom gives a daemon the updates that another one has and it lacks, as heartbeats do.
 func (m *model) syncFrom(d, from *daemon) {
 	if from.table.Revision() > d.table.Revision() {
 		d.table.Merge(from.table.Since(d.table.Revision()), m.now)
@@ -194,6 +199,7 @@
 	return hostlist.Host{ID: id, State: state, Revision: at}
 }
 
+// advance moves the time on and ticks the daemons' tables.
 func (m *model) advance(milliseconds int) {
 	m.now = m.now.Add(time.Duration(milliseconds) * time.Millisecond)
 	for _, d := range m.daemons {
@@ -201,34 +207,34 @@
 	}
 }
 
-// check tells of a daemon that believes a target to live of which it knew that it leaves or has
-// ended, as it does.
+// checkNoReversal fails if a daemon takes a target for live after it rightly knew it to be
+// leaving or ended.
 func (m *model) checkNoReversal(d *daemon) {
-	believed := map[string]hostlist.State{}
+	known := map[string]hostlist.State{}
 	for _, h := range d.table.Hosts() {
-		believed[h.ID] = h.State
+		known[h.ID] = h.State
 	}
 	for id := range d.seenEnding {
-		if believed[id] == hostlist.Live {
-			m.t.Fatalf("a daemon takes back that %s leaves or has ended", id)
+		if known[id] == hostlist.Live {
+			m.t.Fatalf("a daemon has %s as live, which it knew to be leaving or ended", id)
 		}
 	}
 	for i := range m.nextTarget {
 		id := fmt.Sprint("t", i)
-		if state, listed := believed[id]; (!listed || state == hostlist.Leaving) && d.hasSeen(id) && m.actual[id] != hostlist.Live {
+		if state, listed := known[id]; (!listed || state == hostlist.Leaving) && d.hasSeen(id) && m.actual[id] != hostlist.Live {
 			d.seenEnding[id] = true
 		}
 	}
 }
 
-// knew tells whether the daemon has ever heard of a target.
+// hasSeen reports whether the daemon's table has an entry or a tombstone of the target.
 func (d *daemon) hasSeen(id string) bool {
 	return slices.ContainsFunc(d.table.Since(0).Hosts, func(h hostlist.Host) bool { return h.ID == id })
 }
 
-// TestTablesConvergeAcrossRestores: targets come, leave and end, the store comes back from copies, daemons
-// read it or hear of it in any order. In the end all believe what is so, and on the way nobody
-// takes back that a target leaves or has ended.
+// TestTablesConvergeAcrossRestores checks that while targets start, leave and end and the store
+// is restored from copies, daemons that read the store or each other in any order end with
+// the real states, and never revert that a target leaves or has ended.
 func TestTablesConvergeAcrossRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{t: t, now: testStart, era: 1, entries: map[string]entry{}, actual: map[string]hostlist.State{}}
@@ -262,13 +268,13 @@
 				if len(m.copies) > 0 && m.now.Sub(m.copies[len(m.copies)-1].now) < 10*time.Second {
 					m.restore(&m.copies[len(m.copies)-1])
 					m.copies = nil
-					m.advance(int(SettleTime.Milliseconds())) // One return at a time.
+					m.advance(int(SettleTime.Milliseconds())) // One restore at a time.
 					for _, d := range m.daemons {
 						m.read(d)
 					}
 				}
-			case 6: // A daemon starts anew and knows nothing.
-				m.daemons[rapid.IntRange(0, 2).Draw(t, "starts anew")] = &daemon{table: hostlist.NewTable(), seenEnding: map[string]bool{}}
+			case 6: // A daemon restarts with an empty table.
+				m.daemons[rapid.IntRange(0, 2).Draw(t, "restarts")] = &daemon{table: hostlist.NewTable(), seenEnding: map[string]bool{}}
 			default:
 				m.randomRead()
 			}
@@ -295,7 +301,7 @@
 				want = append(want, fmt.Sprint(id, " ", m.actual[id]))
 			}
 			if !slices.Equal(got, want) {
-				t.Fatalf("daemon %d believes %v, want %v", i, got, want)
+				t.Fatalf("daemon %d has %v, want %v", i, got, want)
 			}
 		}
 	})
