--- a/core/watch/watch_test.go
+++ b/core/watch/watch_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 )
 
+// drawFleet draws the members of a fleet.
 func drawFleet(t *rapid.T) []Member {
 	var members []Member
 	for c := range rapid.IntRange(1, 8).Draw(t, "data centres") {
@@ -19,12 +20,13 @@
 	return members
 }
 
+// watchers returns the members that watch.
 func watchers(members []Member) []Member {
 	return slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return !ShouldWatch(m.Name, members) })
 }
 
-// watcherBounds is the number of daemons that have to watch in a data centre of so many, in a fleet
-// of so many data centres: all that are needed for MinPerFleet, no more than MaxPerDataCentre.
+// watcherBounds returns the least and most watchers in a data centre with so many daemons, in a
+// fleet of so many data centres: all that are needed for MinPerFleet, at most MaxPerDataCentre.
 func watcherBounds(daemons, centres int) (least, most int) {
 	least, most = 1, min(daemons, MaxPerDataCentre)
 	switch {
@@ -36,8 +38,8 @@
 	return least, most
 }
 
-// TestEachDataCentreHasWatchers: in each data centre a daemon watches, in as many a second one as
-// the fleet needs, and where one of them dies another takes its place.
+// TestEachDataCentreHasWatchers checks that each data centre has a watcher, that as many as the
+// fleet needs have a second one, and that another daemon replaces a watcher that dies.
 func TestEachDataCentreHasWatchers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawFleet(t)
@@ -51,7 +53,7 @@
 			}
 			for centre, n := range size {
 				if least, most := watcherBounds(n, len(size)); found[centre] < least || found[centre] > most {
-					t.Fatalf("%d watchers of %d daemons in %s, one of %d data centres", found[centre], n, centre, len(size))
+					t.Fatalf("%d watchers of %d daemons in %s, one of %d data centres, want %d to %d", found[centre], n, centre, len(size), least, most)
 				}
 			}
 			first := watchers(members)[0]
@@ -60,8 +62,8 @@
 	})
 }
 
-// TestWatcherCount: a fleet of any shape has MinPerFleet watchers where its data centres have
-// enough daemons, and one in each of them at least.
+// TestWatcherCount checks that a fleet with enough daemons in its data centres has MinPerFleet
+// watchers, and at least one in each data centre.
 func TestWatcherCount(t *testing.T) {
 	for centres := 1; centres <= 8; centres++ {
 		var members []Member
@@ -75,37 +77,37 @@
 	}
 }
 
-// TestSingleWatcherFindsChangeWithinSettleTime: all watches are cut without a word and all watchers but one
-// are cut off from the store, unknown to their peers. That one finds a change within the time
-// in which the store settles, with what the way through a large fleet takes. With one watcher
-// that looked often and five that held for up to 8 s, which one it was decided: a change came
-// 3.6 s late.
+// TestSingleWatcherFindsChangeWithinSettleTime checks that any single watcher finds a change in
+// time if all watches are dropped silently and all other watchers are cut off from the store,
+// unknown to their peers: within the settle time, propagation through a large fleet
+// included. When one watcher held briefly and five for up to 8 s, a change came 3.6 s late if
+// one of the five was the one left.
 func TestSingleWatcherFindsChangeWithinSettleTime(t *testing.T) {
 	const (
 		answerMargin = 800 * time.Millisecond
 		throughFleet = 400 * time.Millisecond
 	)
-	for _, settles := range []time.Duration{1700 * time.Millisecond, 2 * time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second, 20 * time.Second} {
-		if late := HoldTime(settles) + answerMargin + throughFleet; late > settles {
-			t.Errorf("a change is known after %v, the store settles in %v", late, settles)
+	for _, settleTime := range []time.Duration{1700 * time.Millisecond, 2 * time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second, 20 * time.Second} {
+		if late := HoldTime(settleTime) + answerMargin + throughFleet; late > settleTime {
+			t.Errorf("with HoldTime(%v) a change is known after %v, want within the settle time", settleTime, late)
 		}
 	}
 	if HoldTime(0) > HoldTime(3*time.Second) {
-		t.Errorf("a platform that does not say how soon its store settles is asked each %v", HoldTime(0))
+		t.Errorf("HoldTime(0) = %v, want at most HoldTime(3s) = %v", HoldTime(0), HoldTime(3*time.Second))
 	}
 }
 
-// TestUnlistedDaemonWatches: a daemon that knows nobody, not even itself, watches.
+// TestUnlistedDaemonWatches checks that a daemon that is not among the members watches.
 func TestUnlistedDaemonWatches(t *testing.T) {
 	for _, members := range [][]Member{nil, {{"other", "c", true}}} {
 		if !ShouldWatch("self", members) {
-			t.Errorf("among %v it does not watch", members)
+			t.Errorf("ShouldWatch(\"self\", %v) = false, want true", members)
 		}
 	}
 }
 
-// TestCallRateIsIndependentOfFleetSize: a fleet of 76 in three data centres makes as many calls
-// as one of six, and no more than 4 a second.
+// TestCallRateIsIndependentOfFleetSize checks that a fleet of 76 hosts in three data centres makes
+// as few calls as a fleet of six, at most 4 a second.
 func TestCallRateIsIndependentOfFleetSize(t *testing.T) {
 	for _, size := range []int{6, 9, 76} {
 		var members []Member
@@ -113,13 +115,13 @@
 			members = append(members, Member{fmt.Sprint("d", i), fmt.Sprint("c", i%3), i < 6})
 		}
 		if calls := float64(len(watchers(members))) / HoldTime(0).Seconds(); calls > 4 {
-			t.Errorf("%d hosts: %.2f calls a second", size, calls)
+			t.Errorf("%d hosts: %.2f calls a second, want at most 4", size, calls)
 		}
 	}
 }
 
-// TestStrongHostsWatchFirst: where a data centre has strong hosts they watch before weak ones, so
-// that a megabyte of settings is read over fast links first.
+// TestStrongHostsWatchFirst checks that strong hosts of a data centre watch before weak ones, so
+// that a megabyte of settings is first read over fast links.
 func TestStrongHostsWatchFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawFleet(t)
@@ -138,7 +140,7 @@
 		}
 		for centre, n := range strong {
 			if least, most := watcherBounds(n, len(centres)); found[centre] < least || found[centre] > most {
-				t.Fatalf("%d strong watchers of %d strong hosts in %s", found[centre], n, centre)
+				t.Fatalf("%d strong watchers of %d strong hosts in %s, want %d to %d", found[centre], n, centre, least, most)
 			}
 		}
 	})
