--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -1,63 +1,63 @@
-// Package lease gives each target one owner at a time, which alone may order it
-// to load models or to change its role, without a store.
+// Package lease implements per-target leases: at most one daemon at a time owns a
+// target, and only the owner may order it to load models or to change its role.
+// No store is needed.
 //
-// A daemon owns a target while a majority of the target's witnesses grant it the
-// lease. The lease counts at the owner from before it asked and at a witness
-// from its grant, so it ends at the owner first. A witness that restarted grants
-// nothing until every lease that it may have forgotten has run out.
+// A daemon owns a target while a majority of the target's witnesses (daemons that
+// vote on its lease) grant it. The owner counts the lease from its request and a
+// witness from its grant, so the lease ends at the owner first. A restarted witness
+// grants nothing until every lease that it may have forgotten has expired.
 //
-// Orders carry a fencing number: the time at which the lease was claimed, never
-// ahead of the clock, so that it rises from owner to owner without anybody's
-// memory, as long as clocks differ by less than TTL. Targets that check it
-// refuse what an earlier owner sent. Towards targets that ignore it, the lease
-// is checked last thing before an order, an order is bounded by SendTimeout, and
-// a new owner waits that long before its first one. What remains there is an
-// order that is still on its way inside the target itself when its connection
-// has been closed; the new owner reads back what the target serves and orders it
-// again.
+// Orders carry a fencing token: the time at which the lease was requested, never
+// ahead of the clock. Tokens thus increase from owner to owner without stored state,
+// as long as clocks differ by less than TTL. Targets that check tokens refuse orders
+// of an earlier owner. For other targets, the owner checks its lease immediately
+// before it sends an order, an order is bounded by SendTimeout, and a new owner
+// waits that long before its first one. The remaining race is an order that the
+// target still processes after its connection was closed; the new owner reads back
+// what the target serves and sends the order again.
 //
 // model/lease.pml is the specification that is checked exhaustively.
 package lease
 
 import "time"
 
-// The times of the protocol.
+// The parameters of the lease protocol.
 const (
-	// TTL is how long a lease lasts.
+	// TTL is the duration of a lease.
 	TTL = 10 * time.Second
 	// RenewInterval is the time between renewals.
 	RenewInterval = 3 * time.Second
-	// SendTimeout bounds an order on its way.
+	// SendTimeout bounds the delivery of an order to a target.
 	SendTimeout = 2 * time.Second
-	// Witnesses is the number of witnesses of a target.
+	// WitnessCount is the number of witnesses of a target.
 	WitnessCount = 3
 )
 
-// Request asks for the lease of a target, or for more time.
+// Request asks a witness to grant or renew the lease on Target for the daemon Owner.
 type Request struct {
 	Target, Owner string
 }
 
-// grant is a lease at a witness.
+// grant is a lease that a witness has granted.
 type grant struct {
 	owner string
 	until time.Time
 }
 
-// Witness grants leases.
+// Witness grants leases on targets to one owner at a time.
 type Witness struct {
 	refusesUntil time.Time
-	grants       map[string]grant
+	grants       map[string]grant // by target
 }
 
 // NewWitness returns a witness that grants nothing for TTL, because it may have
-// forgotten grants. A daemon that is alone on the list has nobody to protect
-// against but itself, and its earlier self is bounded by the same time.
+// forgotten grants. A daemon that is alone on the list competes only with its own
+// previous process, which the same wait covers.
 func NewWitness(now time.Time) *Witness {
 	return &Witness{refusesUntil: now.Add(TTL), grants: map[string]grant{}}
 }
 
-// Acquire answers a request.
+// Acquire grants or renews a lease for TTL and reports whether it did.
 func (w *Witness) Acquire(r Request, now time.Time) bool {
 	if now.Before(w.refusesUntil) {
 		return false
@@ -70,38 +70,38 @@
 	return true
 }
 
-// Release ends a lease early.
+// Release ends the owner's lease before it expires.
 func (w *Witness) Release(r Request) {
 	if w.grants[r.Target].owner == r.Owner {
 		delete(w.grants, r.Target)
 	}
 }
 
-// Owner is a daemon's side of one lease.
+// Owner is the state of one lease at the daemon that requests it.
 type Owner struct {
 	fencingToken int64
-	leaseStart   time.Time // of the claim or renewal in force
-	ordersAfter  time.Time // when the first order may be given
-	roundStart   time.Time // of the round that is under way
-	grants       int
-	witnesses    int
+	leaseStart   time.Time // start of the round that obtained or renewed the lease
+	ordersAfter  time.Time // end of the wait for targets that ignore tokens
+	roundStart   time.Time // start of the current round
+	grants       int       // in the current round
+	witnesses    int       // asked in the current round
 }
 
-// Start begins a round of requests to so many witnesses.
+// StartRound begins a round of requests to the given number of witnesses.
 func (o *Owner) StartRound(witnesses int, now time.Time) {
 	o.roundStart, o.grants, o.witnesses = now, 0, witnesses
 }
 
-// Granted counts a witness's grant. It returns true when the round has a
-// majority, at the first time.
+// AddGrant counts a witness's grant. It returns true only for the grant that
+// completes the round's majority.
 func (o *Owner) AddGrant(now time.Time) bool {
 	o.grants++
 	if o.grants != o.witnesses/2+1 {
 		return false
 	}
 	if !o.Holds(now) {
-		// A new lease: a number of its own, and the time in which an order of the
-		// owner before may still arrive.
+		// A new lease gets a new fencing token, and a wait during which an order of
+		// the previous owner may still arrive.
 		o.fencingToken = o.roundStart.UnixMilli()
 		o.ordersAfter = now.Add(SendTimeout)
 	}
@@ -109,23 +109,23 @@
 	return true
 }
 
-// Holds tells whether the lease is in force.
+// Holds reports whether the lease is in force.
 func (o *Owner) Holds(now time.Time) bool {
 	return !o.leaseStart.IsZero() && now.Sub(o.leaseStart) < TTL
 }
 
-// MayOrder tells whether an order may be sent now. It is asked last thing before
-// the send, whose time must be bounded by SendTimeout. A target that checks numbers
-// refuses a late order of the owner before, so its new owner need not wait.
+// MayOrder reports whether an order may be sent now. Callers check it immediately
+// before the send, which must be bounded by SendTimeout. A target that checks tokens
+// refuses late orders of the previous owner, so its new owner need not wait.
 func (o *Owner) MayOrder(checksFencing bool, now time.Time) bool {
 	return o.Holds(now) && (checksFencing || now.After(o.ordersAfter))
 }
 
-// Fence is the number that orders carry.
+// FencingToken returns the token that orders carry, in Unix milliseconds.
 func (o *Owner) FencingToken() int64 { return o.fencingToken }
 
-// Until is when the lease ends.
+// ExpiresAt returns the time at which the lease expires.
 func (o *Owner) ExpiresAt() time.Time { return o.leaseStart.Add(TTL) }
 
-// Void ends the lease at once, after a pause of the process.
+// Invalidate ends the lease immediately, after a pause of the process.
 func (o *Owner) Invalidate() { o.leaseStart = time.Time{} }
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -10,14 +10,14 @@
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // fleetModel drives the state machines with the events of model/lease.pml: two
-// daemons, three witnesses, a target that ignores numbers.
+// daemons, three witnesses and a target that ignores fencing tokens.
 type fleetModel struct {
 	now         time.Time
 	witnesses   [WitnessCount]*Witness
 	owners      [2]*Owner
 	inFlight    []order
-	lastToken   int64
-	tokenOwners map[int64]int
+	lastToken   int64         // token of the last executed order
+	tokenOwners map[int64]int // index of the owner that uses a token
 }
 
 type order struct {
@@ -47,7 +47,7 @@
 		return
 	}
 	if user, used := m.tokenOwners[o.FencingToken()]; used && user != i {
-		t.Fatalf("number %d is used by two owners", o.FencingToken())
+		t.Fatalf("fencing token %d is used by two owners", o.FencingToken())
 	}
 	m.tokenOwners[o.FencingToken()] = i
 	m.inFlight = append(m.inFlight, order{o.FencingToken(), m.now})
@@ -61,10 +61,10 @@
 	o := m.inFlight[at]
 	m.inFlight = append(m.inFlight[:at:at], m.inFlight[at+1:]...)
 	if m.now.Sub(o.sent) > SendTimeout {
-		return // Its connection has been closed.
+		return // The sender has closed the connection.
 	}
 	if o.fencingToken < m.lastToken {
-		t.Fatalf("order %d was carried out after %d", o.fencingToken, m.lastToken)
+		t.Fatalf("order with fencing token %d was executed after token %d", o.fencingToken, m.lastToken)
 	}
 	m.lastToken = o.fencingToken
 }
@@ -97,9 +97,9 @@
 	o.StartRound(1, epoch)
 	o.AddGrant(epoch)
 	if !o.MayOrder(true, epoch) || o.MayOrder(true, epoch.Add(TTL)) {
-		t.Fatal("a target that checks numbers takes orders during the lease")
+		t.Fatal("MayOrder for a target that checks fencing tokens: want true at the grant and false at the end of the lease")
 	}
 	if o.MayOrder(false, epoch.Add(SendTimeout)) || !o.MayOrder(false, epoch.Add(SendTimeout+1)) || o.MayOrder(false, epoch.Add(TTL)) {
-		t.Fatal("want orders between the wait and the end of the lease only")
+		t.Fatal("MayOrder for a target that ignores fencing tokens: want true only between the end of the wait and the end of the lease")
 	}
 }
