--- a/core/settings/check.go
+++ b/core/settings/check.go
@@ -10,14 +10,14 @@
 	"doorstack.dev/core/strictyaml"
 )
 
-// checker finds what the types alone cannot: dangling names, values out of
-// range, keys used twice. It visits maps in sorted order, so that the list of
-// problems is the same on every daemon.
+// checker finds problems that decoding cannot: references to undeclared names,
+// values out of range, duplicate API keys. It visits maps in sorted order, so that
+// the list of problems is the same on every daemon.
 type checker struct {
 	document *Document
 	problems strictyaml.Problems
-	keyOwner map[string]string
-	// before is a checked tree with the same pools, or nil.
+	keyOwner map[string]string // account path by raw key hash
+	// previous is an earlier valid tree with the same pools, or nil.
 	previous *Tree
 }
 
@@ -36,7 +36,7 @@
 		c.checkPath(c.document.Paths[name], "paths."+name)
 	}
 	if c.document.Tree == nil {
-		c.problems.Add(c.document.At, "tree", "there is no tree", "add a key \"tree\" with the root node")
+		c.problems.Add(c.document.At, "tree", "the tree is missing", "add a key \"tree\" with the root node")
 		return
 	}
 	c.checkNode(c.document.Tree, "tree")
@@ -47,13 +47,13 @@
 		c.problems.Add(k.KeyPosition("protocol"), path+".protocol", fmt.Sprintf("%q is not a protocol", k.Protocol), "write engine or service")
 	}
 	if k.Protocol == ProtocolEngine && k.MemoryTokens <= 0 {
-		c.problems.Add(k.KeyPosition("memory_tokens"), path+".memory_tokens", "an engine needs its memory", "write the KV cache size in tokens, above zero")
+		c.problems.Add(k.KeyPosition("memory_tokens"), path+".memory_tokens", "an engine needs a KV cache size", "write the size in tokens, above zero")
 	}
 	if k.Protocol == ProtocolEngine && k.PrefillTokensPerSecond <= 0 {
-		c.problems.Add(k.KeyPosition("prefill_tokens_per_second"), path+".prefill_tokens_per_second", "an engine needs its prefill speed", "write the measured tokens a second, above zero")
+		c.problems.Add(k.KeyPosition("prefill_tokens_per_second"), path+".prefill_tokens_per_second", "an engine needs a prefill speed", "write the measured tokens per second, above zero")
 	}
 	if k.MaxConcurrent < 0 {
-		c.problems.Add(k.KeyPosition("max_concurrent"), path+".max_concurrent", "is below zero", "write zero for no bound, or a positive number")
+		c.problems.Add(k.KeyPosition("max_concurrent"), path+".max_concurrent", "is negative", "write zero for no limit, or a positive number")
 	}
 }
 
@@ -71,7 +71,7 @@
 		}
 	}
 	if policy.LongPerTarget < 0 || policy.LongPromptTokens < 0 || policy.ShortRoom < 0 || policy.PrefixWeight < 0 {
-		c.problems.Add(policy.At, path+".policy", "has a value below zero", "write values of zero or more")
+		c.problems.Add(policy.At, path+".policy", "has a negative value", "write values of zero or more")
 	}
 }
 
@@ -81,12 +81,12 @@
 	}
 }
 
-// maxLevel is the last priority level.
+// maxLevel is the highest level number, which is served last.
 const maxLevel = 9
 
 func (c *checker) checkNode(n *Node, path string) {
 	if n == nil {
-		c.problems.Add(c.document.KeyPosition("tree"), path, "the node is empty", "write its keys, or remove it")
+		c.problems.Add(c.document.KeyPosition("tree"), path, "the node is empty", "add keys to the node, or remove it")
 		return
 	}
 	c.checkInherited(&n.Inherited, &n.Source, path)
@@ -135,11 +135,11 @@
 		where := fmt.Sprintf("%s.account.key_hashes[%d]", path, i)
 		raw, err := hex.DecodeString(hash)
 		if err != nil || len(raw) != len(KeyHash{}) {
-			c.problems.Add(a.KeyPosition("key_hashes"), where, "is not a SHA-256 hash in hexadecimal", "run doorstack hash-key and paste its line")
+			c.problems.Add(a.KeyPosition("key_hashes"), where, "is not a SHA-256 hash in hexadecimal", "run doorstack hash-key and paste its output")
 			continue
 		}
 		if owner, taken := c.keyOwner[string(raw)]; taken {
-			c.problems.Add(a.KeyPosition("key_hashes"), where, "is also a key of "+owner, "give each account keys of its own")
+			c.problems.Add(a.KeyPosition("key_hashes"), where, "is also a key of "+owner, "use different keys for each account")
 		}
 		c.keyOwner[string(raw)] = path
 	}
--- a/core/settings/document.go
+++ b/core/settings/document.go
@@ -1,141 +1,142 @@
-// Package settings is the operators' tree: client accounts, priorities, routes
-// to pools of targets, limits and deadlines, each written once and inherited by
-// everything below unless a node says otherwise.
+// Package settings defines the operators' settings document: a tree of client
+// accounts with priorities, limits, deadlines and routes to pools of targets (model
+// engines or plain services). Each value is written once and inherited by all nodes
+// below that do not override it.
 //
-// Parse checks a whole document and returns either a Tree or every problem in
-// it, with line and column. The check depends on the document alone, so all
-// daemons reach the same verdict on the same revision. A Tree never changes
-// after Parse and is safe for use by any number of goroutines.
+// Parse validates a whole document and returns either a Tree or every problem in
+// it, with line and column. The result depends on the document alone, so all
+// daemons accept or reject the same revision. A Tree is immutable after Parse and
+// safe for concurrent use.
 package settings
 
 import "doorstack.dev/core/strictyaml"
 
-// Document is the settings file as written.
+// Document is the decoded settings file, before validation.
 type Document struct {
 	strictyaml.Source
-	// EngineKinds describes the kinds of target, by name.
+	// EngineKinds are the kinds of target, by name.
 	EngineKinds map[string]*EngineKind `yaml:"engine_kinds"`
-	// Pools are the groups of targets that routes lead to, by name.
+	// Pools are the groups of targets that routes refer to, by name.
 	Pools map[string]*Pool `yaml:"pools"`
-	// Priorities are the classes of urgency, by name.
+	// Priorities are the priority classes, by name.
 	Priorities map[string]*Priority `yaml:"priorities"`
-	// Paths are the routes of calls that are forwarded unchanged, by name.
+	// Paths are the routes for calls that are forwarded unchanged, by name.
 	Paths map[string]*PathRoute `yaml:"paths"`
-	// Callers bounds what callers may do with their connections.
+	// Callers limits the connections of callers.
 	Callers CallerLimits `yaml:"callers"`
 	// Tree is the root node of the account tree.
 	Tree *Node `yaml:"tree"`
 }
 
-// CallerLimits bound the connections of callers of path routes.
+// CallerLimits limit the connections of callers of path routes.
 type CallerLimits struct {
 	strictyaml.Source
-	// IdleTimeout is how long a connection may be idle; zero means the default.
+	// IdleTimeout is the longest time a connection may be idle; zero means the default.
 	IdleTimeout strictyaml.Duration `yaml:"idle_timeout"`
-	// MaxBody is the largest body in bytes; zero means the default.
+	// MaxBody is the largest request body in bytes; zero means the default.
 	MaxBody int64 `yaml:"max_body"`
 }
 
-// TargetProtocol says how the targets of a kind are spoken to.
+// TargetProtocol is the protocol that the targets of a kind speak.
 type TargetProtocol string
 
-// The protocols of targets.
+// The target protocols.
 const (
-	// ProtocolEngine is a model engine: generate, cancel, reserve, KV, orders.
+	// ProtocolEngine is a model engine: generate, cancel, reserve, KV cache, orders.
 	ProtocolEngine TargetProtocol = "engine"
 	// ProtocolService is a plain HTTP service.
 	ProtocolService TargetProtocol = "service"
 )
 
-// EngineKind is what the operator knows of a kind of target.
+// EngineKind describes a kind of target, as the operator knows it.
 type EngineKind struct {
 	strictyaml.Source
-	// Protocol is engine or service.
+	// Protocol is "engine" or "service".
 	Protocol TargetProtocol `yaml:"protocol"`
-	// ChecksFencing is true where targets refuse an order with an old number.
+	// ChecksFencing is true if the targets refuse orders with an outdated fencing token.
 	ChecksFencing bool `yaml:"checks_fencing"`
-	// MemoryTokens is the KV cache of one target, in tokens.
+	// MemoryTokens is the KV cache size of one target, in tokens.
 	MemoryTokens int64 `yaml:"memory_tokens"`
-	// BytesPerToken is the memory that one token of KV cache takes.
+	// BytesPerToken is the memory of one token in the KV cache, in bytes.
 	BytesPerToken int64 `yaml:"bytes_per_token"`
-	// PrefillTokensPerSecond is the speed at which a target reads a prompt.
+	// PrefillTokensPerSecond is the prefill speed of one target.
 	PrefillTokensPerSecond float64 `yaml:"prefill_tokens_per_second"`
-	// MaxConcurrent is the most calls a target takes at once; zero: no bound.
+	// MaxConcurrent is the most concurrent calls of a target; zero means no limit.
 	MaxConcurrent int `yaml:"max_concurrent"`
-	// Timing is what an engine's work costs; nil where it is not known.
+	// Timing is the cost model of an engine; nil if unknown.
 	Timing *EngineTiming `yaml:"timing"`
 }
 
-// EngineTiming describes the time that an engine takes. An engine works in passes:
-// a pass with requests that write consists of Stride steps, and a pass without any
-// only of what there is to read.
+// EngineTiming is the cost model of an engine, which works in passes: a pass with
+// decoding requests consists of Stride steps, and a pass without any consists of
+// prefill work alone.
 type EngineTiming struct {
 	strictyaml.Source
-	// StepMS is the time of a step, in milliseconds.
+	// StepMS is the base time of a step, in milliseconds.
 	StepMS float64 `yaml:"step_ms"`
-	// PerSequenceMS is added to a step for each request that writes.
+	// PerSequenceMS is added to a step for each decoding request.
 	PerSequenceMS float64 `yaml:"per_sequence_ms"`
-	// ContextMSPerK is added to a step for 1,000 tokens of a writing request's context.
+	// ContextMSPerK is added to a step per 1,000 context tokens of a decoding request.
 	ContextMSPerK float64 `yaml:"context_ms_per_k"`
-	// PairsMSPerM is the time for a million pairs of a prompt token and one before it.
+	// PairsMSPerM is the prefill time per million pairs of a prompt token and an earlier one.
 	PairsMSPerM float64 `yaml:"pairs_ms_per_m"`
-	// Stride is the number of steps of a pass, and the tokens of a stream's event.
+	// Stride is the number of steps of a pass, and of tokens in a stream event.
 	Stride int64 `yaml:"stride"`
 }
 
-// Pool is a group of equal targets.
+// Pool is a group of interchangeable targets.
 type Pool struct {
 	strictyaml.Source
 	// Kind names an entry of engine_kinds.
 	Kind string `yaml:"kind"`
 	// Model is the model that the engines of the pool serve.
 	Model string `yaml:"model"`
-	// Policy tunes routing and queueing in this pool.
+	// Policy configures routing and queueing in this pool.
 	Policy Policy `yaml:"policy"`
 }
 
-// Policy is the routing policy of a pool. Zero values take the defaults that
-// DefaultPolicy gives. Two settings of it serve an operator who weighs short
-// prompts most and one who weighs all lengths.
+// Policy is the routing policy of a pool. Zero values take the defaults of
+// DefaultPolicy. Operators may tune it to prefer short prompts or to treat all
+// prompt lengths alike.
 type Policy struct {
 	strictyaml.Source
-	// LongPromptTokens is the length from which a prompt counts as long.
+	// LongPromptTokens is the length in tokens from which a prompt counts as long.
 	LongPromptTokens int64 `yaml:"long_prompt_tokens"`
-	// LongShare is the part of the pool's targets, 0 to 1, that may hold long
+	// LongShare is the fraction of the pool's targets, 0 to 1, that may run long
 	// prefills at one time while short requests wait.
 	LongShare float64 `yaml:"long_share"`
-	// ShortRoom is how many times the targets that short prompts need on average
-	// are kept free of long ones, where that is less than LongShare leaves.
+	// ShortRoom multiplies the number of targets that short prompts need on average;
+	// that many are kept free of long prefills, unless LongShare keeps fewer free.
 	ShortRoom float64 `yaml:"short_room"`
-	// LongPerTarget is the most long prompts in prefill on one target.
+	// LongPerTarget is the most long prompts in prefill at once on one target.
 	LongPerTarget int `yaml:"long_per_target"`
-	// MemoryHeadroom is the part of a target's memory kept free for short ones.
+	// MemoryHeadroom is the fraction of a target's memory kept free for short prompts.
 	MemoryHeadroom float64 `yaml:"memory_headroom"`
-	// PrefixWeight scales the time saved by a cached prefix; 0 ignores caches.
+	// PrefixWeight scales the time saved by a cached prefix; 0 takes the default.
 	PrefixWeight float64 `yaml:"prefix_weight"`
-	// RemotePenalty is the cost of a target in another data centre.
+	// RemotePenalty is the cost in time of choosing a target in another data centre.
 	RemotePenalty strictyaml.Duration `yaml:"remote_penalty"`
-	// AgeingPerLevel is the wait that lifts a request by one priority level.
+	// AgeingPerLevel is the wait that raises a request by one priority level.
 	AgeingPerLevel strictyaml.Duration `yaml:"ageing_per_level"`
-	// MaxBacklog is the prefill time queued at a target above which work waits
-	// in the daemon, where order can still be changed.
+	// MaxBacklog is the prefill time queued at a target above which requests wait
+	// in the daemon, where their order can still change.
 	MaxBacklog strictyaml.Duration `yaml:"max_backlog"`
 }
 
-// Priority is a class of urgency. Level 0 is served first.
+// Priority is a priority class. Level 0 is served first.
 type Priority struct {
 	strictyaml.Source
-	// Level orders the classes; lower goes first.
+	// Level orders the classes; lower levels are served first.
 	Level int `yaml:"level"`
 }
 
-// Node is a place in the tree: a group, or a client account.
+// Node is a node of the tree: a group, or a client account.
 type Node struct {
 	strictyaml.Source
 	Inherited
-	// Routes are reachable from this node and all below, by name.
+	// Routes are usable by the accounts at this node and below, by name.
 	Routes map[string]*Route `yaml:"routes"`
-	// Account makes the node a client account.
+	// Account makes the node a client account if it is set.
 	Account *Account `yaml:"account"`
 	// Children are the nodes below, by name.
 	Children map[string]*Node `yaml:"children"`
@@ -144,48 +145,48 @@
 // Account marks a node as a client account.
 type Account struct {
 	strictyaml.Source
-	// KeyHashes are the SHA-256 hashes of its API keys, in hexadecimal. Two of
-	// them let a key be rotated without a gap.
+	// KeyHashes are the SHA-256 hashes of its API keys, in hexadecimal. Two
+	// hashes allow a key to be rotated without downtime.
 	KeyHashes []string `yaml:"key_hashes"`
 }
 
-// Route leads a name that callers use to a pool.
+// Route maps a name that callers use to a pool.
 type Route struct {
 	strictyaml.Source
 	// Pool names an entry of pools.
 	Pool string `yaml:"pool"`
-	// Repeatable is false for calls that may run at most once. Unset means
+	// Repeatable is false for calls that may run at most once. The default is
 	// true for engines and false for services.
 	Repeatable *bool `yaml:"repeatable"`
 	// Override replaces inherited values for this route only.
 	Override Inherited `yaml:"override"`
 }
 
-// Inherited are the values that a node passes to all below it. A nil field is
-// inherited from the nearest node above that sets it, in the end from Builtin.
+// Inherited holds the values that a node passes to all nodes below it. A nil field
+// is inherited from the nearest ancestor that sets it, or from BuiltinDefaults.
 type Inherited struct {
 	// Priority names an entry of priorities.
 	Priority *string `yaml:"priority"`
-	// Deadline is the longest time a request may take, from arrival to its end.
+	// Deadline is the longest time from the arrival of a request to its end.
 	Deadline *strictyaml.Duration `yaml:"deadline"`
-	// MaxPromptTokens is the longest prompt that is taken.
+	// MaxPromptTokens is the longest prompt that is accepted.
 	MaxPromptTokens *int64 `yaml:"max_prompt_tokens"`
-	// MaxOutputTokens is the longest answer, and the default where none is asked.
+	// MaxOutputTokens is the longest output, and the default if a request sets none.
 	MaxOutputTokens *int64 `yaml:"max_output_tokens"`
-	// MaxWaiting is the most requests of an account that wait at one daemon.
+	// MaxWaiting is the most queued requests of an account at one daemon.
 	MaxWaiting *int `yaml:"max_waiting"`
-	// RetryShare is the share of an account's requests that may be retries.
+	// RetryShare is the fraction of an account's requests that may be retries.
 	RetryShare *float64 `yaml:"retry_share"`
-	// Limits hold over all daemons together.
+	// Limits apply to all daemons together.
 	Limits Limits `yaml:"limits"`
 }
 
-// Limits bound the use by one client account over the whole fleet.
+// Limits bound the use by one client account across all daemons.
 type Limits struct {
-	// RequestsPerSecond is the rate of requests.
+	// RequestsPerSecond is the highest request rate.
 	RequestsPerSecond *float64 `yaml:"requests_per_second"`
-	// PromptTokensPerSecond is the rate of prompt tokens.
+	// PromptTokensPerSecond is the highest rate of prompt tokens.
 	PromptTokensPerSecond *float64 `yaml:"prompt_tokens_per_second"`
-	// Concurrent is the number of requests that run at one time.
+	// Concurrent is the most requests that run at one time.
 	Concurrent *int `yaml:"concurrent"`
 }
--- a/core/settings/inherit.go
+++ b/core/settings/inherit.go
@@ -8,7 +8,7 @@
 	"doorstack.dev/core/strictyaml"
 )
 
-// BuiltinDefaults are the values in force where no node sets one.
+// BuiltinDefaults returns the values that apply where no node sets one.
 func BuiltinDefaults() Inherited {
 	return Inherited{
 		Priority:        new(defaultPriority),
@@ -25,7 +25,7 @@
 	}
 }
 
-// DefaultPolicy is the policy of a pool that sets none.
+// DefaultPolicy returns the policy of a pool that sets none.
 func DefaultPolicy() Policy {
 	return Policy{
 		LongPromptTokens: 32_000,
@@ -40,7 +40,7 @@
 	}
 }
 
-// withDefaults fills the unset fields of p from DefaultPolicy.
+// withDefaults returns p with its zero fields filled from DefaultPolicy.
 func (p Policy) withDefaults() Policy {
 	defaults := reflect.ValueOf(DefaultPolicy())
 	v := reflect.ValueOf(&p).Elem()
@@ -55,7 +55,7 @@
 	return p
 }
 
-// inherit fills each nil field of child from parent.
+// inherit returns child with its nil fields filled from parent.
 func inherit(child, parent Inherited) Inherited {
 	inheritValue(reflect.ValueOf(&child).Elem(), reflect.ValueOf(parent))
 	return child
@@ -74,11 +74,11 @@
 	}
 }
 
-// EffectiveValue is one effective value of a node and where it comes from.
+// EffectiveValue is a value that applies to a node, and the node that sets it.
 type EffectiveValue struct {
-	// Name is the key, such as "limits.concurrent".
+	// Name is the YAML key, such as "limits.concurrent".
 	Name string `json:"name"`
-	// Value is the value in force, formatted as in YAML.
+	// Value is the value that applies, formatted as in YAML.
 	Value string `json:"value"`
 	// Origin is the path of the node that sets it, or "built-in".
 	Origin string `json:"origin"`
@@ -87,8 +87,8 @@
 // originBuiltin is the origin of a value that no node sets.
 const originBuiltin = "built-in"
 
-// effectiveValues lists the values of the last node of chain, which runs from
-// the root down; paths holds the path of each.
+// effectiveValues lists the values that apply to the last node of chain, which
+// starts at the root; paths holds the path of each node in chain.
 func effectiveValues(chain []*Node, paths []string) []EffectiveValue {
 	values := map[string]*EffectiveValue{}
 	var order []string
--- a/core/settings/graft.go
+++ b/core/settings/nodepart.go
@@ -6,22 +6,22 @@
 	"doorstack.dev/core/strictyaml"
 )
 
-// addNodePart reads a node that is published apart and puts it in its place. Keys come
-// in sorted order, so a parent is there before its children.
+// addNodePart decodes a node that is published as its own part and adds it to the tree.
+// Parts are processed in key order, so a parent is added before its children.
 func addNodePart(document *Document, key string, data []byte) strictyaml.Problems {
 	path, found := strings.CutPrefix(key, NodePartPrefix)
 	if !found || path == "" {
 		return strictyaml.Problems{{
 			File:    key,
 			Path:    key,
-			Message: "the key is not one of a settings part",
+			Message: "the key is not a valid key of a settings part",
 			Remedy:  "use " + MainPartKey + " or " + NodePartPrefix + "NAME/NAME",
 		}}
 	}
 	node := &Node{}
 	problems := strictyaml.Decode(data, node).InFile(key)
 	if document.Tree == nil {
-		return problems // The check reports the missing tree.
+		return problems // The checker reports the missing tree.
 	}
 	parent := document.Tree
 	names := strings.Split(path, "/")
@@ -32,8 +32,8 @@
 			problems = append(problems, strictyaml.Problem{
 				File:    key,
 				Path:    path,
-				Message: "the node above it, " + name + ", does not exist",
-				Remedy:  "publish that node too, or correct the key",
+				Message: "the parent node " + name + " does not exist",
+				Remedy:  "publish the parent node too, or correct the key",
 			})
 			return problems
 		}
@@ -43,8 +43,8 @@
 		return append(problems, strictyaml.Problem{
 			File:    key,
 			Path:    path,
-			Message: "the node is also written in the part above",
-			Remedy:  "remove one of the two",
+			Message: "the node is already defined in the part of an ancestor",
+			Remedy:  "remove one of the definitions",
 		})
 	}
 	if parent.Children == nil {
--- a/core/settings/partparser.go
+++ b/core/settings/partparser.go
@@ -5,36 +5,36 @@
 	"sync"
 )
 
-// PartParser resolves settings that are published in small parts. It remembers what it read,
-// so that of a new revision only the parts that changed are read: a third of 4,440 routes
-// that are new cost 0.25 s on a fifth of a core where the whole was read. It is safe for
-// concurrent use.
+// PartParser parses settings that are published in small parts. It caches parsed parts, so
+// that only the changed parts of a new revision are parsed: when a third of 4,440 routes
+// changed, parsing all parts took 0.25 s on a fifth of a core. It is safe for concurrent
+// use.
 type PartParser struct {
-	// Empty returns a document without parts.
+	// NewDocument returns a document to which no part has been added.
 	NewDocument func() *Document
-	// Read reads a part and returns what adds it to a document. What it adds is shared by
-	// documents and may not change.
+	// ParsePart parses a part and returns a function that adds it to a document. The added
+	// values are shared between documents and must not be modified.
 	ParsePart func(key string, data []byte) (func(*Document), error)
-	// Yield, where it is set, lets others have the processor; it is called after a few parts.
-	// A host with a fifth of a core has one thread, and reading 1,400 routes takes it 0.1 s,
-	// in which the events of all streams would wait.
+	// Yield, if set, is called every partsPerYield parts to let other goroutines run. A host
+	// with a fifth of a core has one thread, and parsing 1,400 routes takes it 0.1 s, which
+	// would delay the events of all streams.
 	Yield func()
 
 	mu       sync.Mutex
 	parts    map[string]parsedPart
-	lastTree *Tree // of the last settings that passed
+	lastTree *Tree // of the last valid revision
 }
 
-// partsPerYield is the number of parts that are read between two yields: some 0.2 ms of a core.
+// partsPerYield is the number of parts parsed between two yields: about 0.2 ms of a core.
 const partsPerYield = 32
 
-// parsedPart is a part that was read.
+// parsedPart is a cached part.
 type parsedPart struct {
 	data  []byte
 	addTo func(*Document)
 }
 
-// Parse checks the parts of a revision whole and resolves them.
+// Parse validates all parts of a revision together and resolves them.
 func (p *PartParser) Parse(parts map[string][]byte) (*Tree, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/core/settings/partparser_test.go
+++ b/core/settings/partparser_test.go
@@ -9,7 +9,7 @@
 	"github.com/go-faster/errors"
 )
 
-// routeParts are the parts of so many path routes; what a part holds is the route's prefix.
+// routeParts returns parts for the given number of path routes; a part holds the route's prefix.
 func routeParts(routes int) map[string][]byte {
 	parts := map[string][]byte{}
 	for i := range routes {
@@ -18,7 +18,7 @@
 	return parts
 }
 
-// countingParser reads such parts and counts what it reads.
+// countingParser returns a parser of such parts that counts the parts it parses in reads.
 func countingParser(reads *int) *PartParser {
 	return &PartParser{
 		NewDocument: func() *Document {
@@ -32,7 +32,7 @@
 		ParsePart: func(key string, data []byte) (func(*Document), error) {
 			*reads++
 			if len(data) == 0 {
-				return nil, errors.New("an empty part")
+				return nil, errors.New("the part is empty")
 			}
 			r := &PathRoute{
 				Host: "a.example", Prefix: string(data), Kind: CallSafe, Timeout: strictyaml.Duration(time.Second), MaxAttempts: 1,
@@ -43,7 +43,8 @@
 	}
 }
 
-// TestPartParserParsesOnlyChangedParts: each revision was read whole, also one that changed nothing.
+// TestPartParserParsesOnlyChangedParts guards against parsing all parts of each revision, even
+// of one that changes nothing.
 func TestPartParserParsesOnlyChangedParts(t *testing.T) {
 	reads, yields := 0, 0
 	p := countingParser(&reads)
@@ -59,25 +60,25 @@
 	parts := routeParts(100)
 	first := parse(parts)
 	if reads != 100 || yields < 100/partsPerYield {
-		t.Fatalf("%d parts read, %d yields", reads, yields)
+		t.Fatalf("first Parse parsed %d parts with %d yields, want 100 parts and a yield every partsPerYield", reads, yields)
 	}
 	if same := parse(parts); reads != 0 || same.MatchPath("a.example", "/7/x") != first.MatchPath("a.example", "/7/x") {
-		t.Errorf("%d parts read of a revision that changes nothing", reads)
+		t.Errorf("Parse of an unchanged revision parsed %d parts, want 0 and the same routes", reads)
 	}
 	parts = routeParts(100)
 	parts["route/7"] = []byte("/seven/")
 	delete(parts, "route/8")
 	changed := parse(parts)
 	if reads != 1 || changed.MatchPath("a.example", "/seven/x") == nil || changed.MatchPath("a.example", "/7/x") != nil || changed.MatchPath("a.example", "/8/") != nil {
-		t.Errorf("%d parts read of a revision that changes one and removes one", reads)
+		t.Errorf("Parse of a revision that changes one part and removes one parsed %d parts, want 1 and the new routes", reads)
 	}
 	if first.MatchPath("a.example", "/7/x") == nil {
-		t.Error("an earlier tree has changed")
+		t.Error("Parse changed an earlier tree")
 	}
 }
 
-// TestPartParserRecoversAfterRejectedRevision: after one that does not pass, the next is read like any
-// other.
+// TestPartParserRecoversAfterRejectedRevision guards against a rejected revision that keeps the
+// parser from accepting the next valid one.
 func TestPartParserRecoversAfterRejectedRevision(t *testing.T) {
 	reads := 0
 	p := countingParser(&reads)
@@ -87,15 +88,15 @@
 	}
 	parts["route/1"] = []byte("no prefix")
 	if _, err := p.Parse(parts); err == nil {
-		t.Fatal("a route without a prefix passes")
+		t.Fatal("Parse accepted a route with an invalid prefix")
 	}
 	parts["route/1"] = []byte{}
 	if _, err := p.Parse(parts); err == nil {
-		t.Fatal("a part that cannot be read passes")
+		t.Fatal("Parse accepted a part that cannot be parsed")
 	}
 	parts["route/1"] = []byte("/one/")
 	tree, err := p.Parse(parts)
 	if err != nil || tree.MatchPath("a.example", "/one/") == nil || tree.MatchPath("a.example", "/2/") == nil {
-		t.Fatalf("%v", err)
+		t.Fatalf("Parse after two rejected revisions: error %v, want the routes /one/ and /2/", err)
 	}
 }
--- a/core/settings/paths.go
+++ b/core/settings/paths.go
@@ -12,7 +12,7 @@
 	"doorstack.dev/core/strictyaml"
 )
 
-// CallKind says what may be repeated of a call that is forwarded unchanged.
+// CallKind says whether a call that is forwarded unchanged may be sent more than once.
 type CallKind string
 
 // The kinds of forwarded calls.
@@ -22,40 +22,40 @@
 	// CallUnsafe calls may run at most once.
 	CallUnsafe CallKind = "unsafe"
 	// CallStreaming calls are answered by a stream of events. They may run at most
-	// once, unless the stream may be resumed elsewhere.
+	// once, unless another target may resume the stream.
 	CallStreaming CallKind = "streaming"
 )
 
-// PathRoute leads calls of a host name and a path prefix to targets, which get
+// PathRoute forwards calls with a host name and a path prefix to targets, with
 // method, path and body unchanged.
 type PathRoute struct {
 	strictyaml.Source
-	// Host is the host name that callers write; without a port.
+	// Host is the host name that callers use, without a port.
 	Host string `yaml:"host"`
-	// Prefix begins the paths of the route. It starts and ends with a slash; of the
-	// routes of a host the one with the longest matching prefix is taken.
+	// Prefix is the path prefix, which starts and ends with a slash. Among the routes
+	// of a host, the longest matching prefix wins.
 	Prefix string `yaml:"prefix"`
-	// Pools are the pools that calls go to, each with its weight.
+	// Pools maps the names of the pools that serve the calls to their weights.
 	Pools map[string]float64 `yaml:"pools"`
-	// Kind says what may be repeated.
+	// Kind says whether calls may be repeated.
 	Kind CallKind `yaml:"kind"`
-	// Resumable streams may go on at another target after their last event.
+	// Resumable is true if another target may continue a stream after its last event.
 	Resumable bool `yaml:"resumable"`
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout is the longest time that a caller waits.
 	Timeout strictyaml.Duration `yaml:"timeout"`
-	// Goal is the time to the answer, or to the first event of a stream.
+	// Goal is the desired time to the answer, or to the first event of a stream.
 	Goal strictyaml.Duration `yaml:"goal"`
-	// GapGoal is the longest pause between two events of a stream.
+	// GapGoal is the desired longest pause between two events of a stream.
 	GapGoal strictyaml.Duration `yaml:"gap_goal"`
-	// MaxAttempts is the most targets that one call is sent to.
+	// MaxAttempts is the most targets to which one call is sent.
 	MaxAttempts int `yaml:"max_attempts"`
-	// Level is the priority level, for accounts that set no priority of their own.
+	// Level is the priority level for accounts that set no priority.
 	Level int `yaml:"level"`
-	// Open routes need no API key.
+	// Open is true if calls need no API key.
 	Open bool `yaml:"open"`
 }
 
-// ResolvedPath is a path route with its pools.
+// ResolvedPath is a path route with its pools resolved.
 type ResolvedPath struct {
 	Name, Host, Prefix string
 	Kind               CallKind
@@ -67,19 +67,20 @@
 	weightedRoutes []weightedRoute
 }
 
-// weightedRoute is one of the pools that a path route's calls are divided among.
+// weightedRoute is one of the pools among which a path route divides its calls.
 type weightedRoute struct {
 	route            *ResolvedRoute
-	cumulativeWeight float64 // sum of the weights up to this one
+	cumulativeWeight float64 // sum of the weights up to and including this one
 }
 
-// Repeatable tells whether a call of the route may run more than once.
+// Repeatable reports whether a call of the route may run more than once.
 func (p *ResolvedPath) Repeatable() bool {
 	return p.Kind == CallSafe || p.Kind == CallStreaming && p.Resumable
 }
 
-// Route picks the pool for a call by its id, in proportion to the weights, and
-// returns the route as the account sees it.
+// Route chooses the pool for the call with the given ID, in proportion to the
+// weights, and returns its route with the rules of the account. The level is p's if
+// the account sets no priority.
 func (p *ResolvedPath) Route(id string, account *ClientAccount) *ResolvedRoute {
 	route := *p.pickRoute(id)
 	route.Rules = account.Rules
@@ -89,7 +90,7 @@
 	return &route
 }
 
-// scoreRange is one above the highest rendezvous score, as a float.
+// scoreRange is the highest rendezvous score plus one, 2^64.
 const scoreRange = float64(1<<63) * 2
 
 func (p *ResolvedPath) pickRoute(id string) *ResolvedRoute {
@@ -106,17 +107,17 @@
 	return p.weightedRoutes[last].route
 }
 
-// Anonymous is the account of calls that need no key.
+// Anonymous returns the account of calls that need no API key.
 func (t *Tree) Anonymous() *ClientAccount { return t.anonymous }
 
-// pathKey is what calls are looked up by.
+// pathKey is the key of the index of path routes.
 type pathKey struct {
 	host, prefix string
 }
 
-// Path finds the route of a host name and path: the longest prefix of the host. Prefixes end
-// with a slash, so the path is tried up to each of its slashes, which does not grow with the
-// number of routes.
+// MatchPath returns the route of a host name and path with the longest matching prefix, or nil.
+// Prefixes end with a slash, so it does one lookup for each slash of the path, regardless of
+// the number of routes. A port in host is ignored.
 func (t *Tree) MatchPath(host, path string) *ResolvedPath {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -134,15 +135,15 @@
 	}
 }
 
-// resolvePaths resolves the path routes and indexes them. Of two with one prefix, that with
-// the first name is taken.
-func (t *Tree) resolvePaths(before *Tree) {
+// resolvePaths resolves the path routes and indexes them. If two have the same host and
+// prefix, the first by name wins. Routes unchanged since the previous tree are reused.
+func (t *Tree) resolvePaths(previous *Tree) {
 	t.pathsByPrefix = make(map[pathKey]*ResolvedPath, len(t.document.Paths))
 	t.pathsByName = make(map[string]*ResolvedPath, len(t.document.Paths))
 	for name, r := range t.document.Paths {
 		var p *ResolvedPath
-		if before != nil && before.document.Paths[name] == r {
-			p = before.pathsByName[name]
+		if previous != nil && previous.document.Paths[name] == r {
+			p = previous.pathsByName[name]
 		} else {
 			p = t.resolvePath(name, r)
 		}
@@ -170,7 +171,7 @@
 	return p
 }
 
-// changedPaths lists the path routes that are not the very same as in the earlier tree.
+// changedPaths lists the path routes that are not the same pointer as in the previous tree.
 func (c *checker) changedPaths() []string {
 	var names []string
 	for name, r := range c.document.Paths {
@@ -182,7 +183,7 @@
 	return names
 }
 
-// path checks a path route.
+// checkPath validates a path route.
 func (c *checker) checkPath(r *PathRoute, path string) {
 	if r.Host == "" {
 		c.problems.Add(r.KeyPosition("host"), path+".host", "is missing", "write the host name that callers use")
@@ -194,10 +195,10 @@
 		c.problems.Add(r.KeyPosition("kind"), path+".kind", fmt.Sprintf("%q is not a kind of call", r.Kind), "write safe, unsafe or streaming")
 	}
 	if r.Timeout <= 0 {
-		c.problems.Add(r.KeyPosition("timeout"), path+".timeout", "is not above zero", "write the longest time that a caller is kept waiting")
+		c.problems.Add(r.KeyPosition("timeout"), path+".timeout", "is not above zero", "write the longest time that a caller waits")
 	}
 	if r.MaxAttempts < 1 {
-		c.problems.Add(r.KeyPosition("max_attempts"), path+".max_attempts", "is below one", "write 1 for calls that are never sent twice")
+		c.problems.Add(r.KeyPosition("max_attempts"), path+".max_attempts", "is below one", "write 1 for calls that must not be sent twice")
 	}
 	if r.Level < 0 || r.Level > maxLevel {
 		c.problems.Add(r.KeyPosition("level"), path+".level", "is out of range", fmt.Sprintf("write 0 (first) to %d (last)", maxLevel))
@@ -212,7 +213,7 @@
 			c.problems.Add(r.KeyPosition("pools"), path+".pools."+pool, fmt.Sprintf("there is no pool %q", pool), declaredNames(c.document.Pools))
 		}
 		if r.Pools[pool] < 0 {
-			c.problems.Add(r.KeyPosition("pools"), path+".pools."+pool, "is below zero", "write a weight of zero or more")
+			c.problems.Add(r.KeyPosition("pools"), path+".pools."+pool, "is negative", "write a weight of zero or more")
 		}
 		sum += r.Pools[pool]
 	}
--- a/core/settings/paths_bench_test.go
+++ b/core/settings/paths_bench_test.go
@@ -8,8 +8,8 @@
 	"doorstack.dev/core/strictyaml"
 )
 
-// BenchmarkMatchPath finds the route of a call among 4,440 of one host: 0.30 us with the path made,
-// and 10.2 us where all routes of the host were tried.
+// BenchmarkMatchPath matches a call against 4,440 routes of one host. It took 0.30 us including
+// the formatting of the path, and 10.2 us when each route of the host was compared.
 func BenchmarkMatchPath(b *testing.B) {
 	const routes = 4440
 	d := &Document{
@@ -33,7 +33,7 @@
 	for b.Loop() {
 		i++
 		if tree.MatchPath("calls.example", fmt.Sprintf("/r%04d/x", i%routes)) == nil {
-			b.Fatal("no route")
+			b.Fatal("MatchPath found no route")
 		}
 	}
 }
--- a/core/settings/paths_test.go
+++ b/core/settings/paths_test.go
@@ -40,16 +40,16 @@
 			got = p.Name
 		}
 		if got != c.want {
-			t.Errorf("%s%s goes to %q, want %q", c.host, c.path, got, c.want)
+			t.Errorf("MatchPath(%q, %q) = %q, want %q", c.host, c.path, got, c.want)
 		}
 	}
 	for name, want := range map[string]bool{"/": true, "/x/y/": false} {
 		if got := tree.MatchPath("a.example", name).Repeatable(); got != want {
-			t.Errorf("%s repeatable: %v", name, got)
+			t.Errorf("Repeatable() of the route of %s = %v, want the opposite", name, got)
 		}
 	}
 	if !tree.MatchPath("b.example", "/t/").Repeatable() {
-		t.Error("a stream that may be resumed is not repeatable")
+		t.Error("Repeatable() of a resumable stream = false, want true")
 	}
 }
 
@@ -63,11 +63,11 @@
 		count[wide.Route(fmt.Sprint("request-", i), tree.Anonymous()).Pool.Name]++
 	}
 	if count["green"] < 800 || count["green"] > 1200 {
-		t.Errorf("green got %d of 10,000 calls, want about a tenth", count["green"])
+		t.Errorf("pool green got %d of 10,000 calls, want about 1,000", count["green"])
 	}
 	first := wide.Route("the same", tree.Anonymous()).Pool
 	if again := wide.Route("the same", tree.Anonymous()).Pool; again != first {
-		t.Error("one call goes to two pools")
+		t.Error("Route chose two pools for the same call ID")
 	}
 }
 
@@ -79,7 +79,7 @@
 	root := tree.MatchPath("a.example", "/")
 	for account, want := range map[string]int{"/plain": 4, "/first": 0} {
 		if got := root.Route("id", tree.Account(account)).Rules.Level; got != want {
-			t.Errorf("%s has level %d, want %d", account, got, want)
+			t.Errorf("level of account %s = %d, want %d", account, got, want)
 		}
 	}
 }
@@ -95,7 +95,7 @@
 	text := fmt.Sprint(err)
 	for _, want := range []string{"paths.bad.host", "paths.bad.prefix", "paths.bad.kind", "paths.bad.timeout", "paths.bad.max_attempts", "paths.bad.level", "paths.bad.pools.red", "paths.bad.pools.blue"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("no problem at %s in:\n%s", want, text)
+			t.Errorf("Parse reported no problem at %s:\n%s", want, text)
 		}
 	}
 }
--- a/core/settings/revision.go
+++ b/core/settings/revision.go
@@ -12,34 +12,35 @@
 	"github.com/go-faster/errors"
 )
 
-// Part is one value of the configuration service. A tree may be published in
-// parts, so that a change of one account moves a few hundred bytes and not all.
+// Part is one value of the configuration service. A tree may be published in parts,
+// so that a change of one account transfers a few hundred bytes instead of all.
 type Part struct {
 	// Revision is the revision at which the part was last written.
 	Revision int64 `json:"revision" cbor:"1,keyasint"`
-	// Data is the part's YAML; the service holds up to a megabyte.
+	// Data is the part's YAML; the service stores up to a megabyte.
 	Data []byte `json:"data" cbor:"2,keyasint"`
 
-	digest uint64 // of key and data, once it is in a snapshot
+	digest uint64 // of key and data; set when the part is added to a snapshot
 }
 
-// Changes are the parts that differ from an earlier revision.
+// Changes are the parts that differ from an earlier revision (a delta), or all parts
+// of a revision.
 type Changes struct {
-	// Since is the revision that the difference starts from; zero means that
-	// Parts is the whole.
+	// Since is the revision from which the delta starts; zero means that Parts holds
+	// all parts.
 	Since int64 `json:"since" cbor:"1,keyasint"`
-	// Revision is the revision that the difference leads to.
+	// Revision is the revision that results from the changes.
 	Revision int64 `json:"revision" cbor:"2,keyasint"`
 	// Parts are the changed parts by key.
 	Parts map[string]Part `json:"values" cbor:"3,keyasint"`
-	// Deleted are the keys that are gone.
+	// Deleted are the keys that were removed.
 	Deleted []string `json:"deleted,omitempty" cbor:"4,keyasint,omitempty"`
-	// Digest identifies the content of the revision that they lead to; zero where the
-	// sender does not tell.
+	// Digest identifies the content of the resulting revision; zero if the sender
+	// gives none.
 	Digest uint64 `json:"-" cbor:"5,keyasint,omitempty"`
 }
 
-// Size is the size of the changed parts, in bytes.
+// Size returns the size of the changed parts, in bytes.
 func (c Changes) Size() int {
 	size := 0
 	for _, part := range c.Parts {
@@ -48,38 +49,38 @@
 	return size
 }
 
-// Snapshot is the whole of one revision. It never changes. Parts that two revisions have in
-// common are held once.
+// Snapshot holds all parts of one revision. It is immutable. Snapshots share the data of
+// parts that they have in common.
 //
-// The revision of a part is the one at which whoever made the snapshot saw it change. It may
-// have skipped revisions, so two daemons may note different ones, and a part that changed
-// and changed back may pass for one that never did. Differences therefore carry a digest of
-// what they lead to, and one that leads elsewhere is refused.
+// The revision of a part is the one at which the daemon that built the snapshot saw the part
+// change. That daemon may have skipped revisions, so two daemons may record different ones,
+// and a part that changed and changed back may look unchanged. Deltas therefore carry a
+// digest of the resulting content, and Apply refuses one that leads to other content.
 type Snapshot struct {
 	Revision int64
 	Parts    map[string]Part
-	// Deleted holds the revisions at which keys went away, so that differences
-	// can be made for others.
+	// Deleted holds the revision at which each removed key went away, from which
+	// ChangesSince builds deltas.
 	Deleted map[string]int64
 
-	digest uint64 // the sum of the parts' digests
+	digest uint64 // sum of the parts' digests
 }
 
-// maxDeletions bounds the deletions that are remembered. Beyond it they are forgotten: whoever
-// would have needed them gets a difference whose digest does not fit, and reads the whole.
+// maxDeletions bounds the recorded deletions. Beyond it all are dropped: a daemon that needs
+// one then gets a delta whose digest does not match, and fetches all parts instead.
 const maxDeletions = 10_000
 
-// ErrRevisionGap means that a difference starts from a revision that is not here yet.
-var ErrRevisionGap = errors.New("the difference starts from a newer revision; read the whole")
+// ErrRevisionGap means that a delta starts from a revision newer than the snapshot.
+var ErrRevisionGap = errors.New("the delta starts from a newer revision; fetch all parts")
 
-// ErrNotNewer means that the changes lead nowhere new.
-var ErrNotNewer = errors.New("the revision in force is at least as new")
+// ErrNotNewer means that the changes do not lead to a newer revision.
+var ErrNotNewer = errors.New("the current revision is at least as new")
 
-// ErrDigestMismatch means that changes do not lead to the content that their sender has.
-var ErrDigestMismatch = errors.New("the difference does not lead to the sender's content; read the whole")
+// ErrDigestMismatch means that the changes do not lead to the sender's content.
+var ErrDigestMismatch = errors.New("the delta does not lead to the sender's content; fetch all parts")
 
-// Apply returns the snapshot that changes lead to from s. It never returns one
-// that is older than s. The zero Snapshot stands for nothing read yet.
+// Apply returns the snapshot that results from applying changes to s, or s and an
+// error. The result is never older than s. The zero Snapshot has no revision yet.
 func (s Snapshot) Apply(c Changes) (Snapshot, error) {
 	if c.Revision <= s.Revision {
 		return s, ErrNotNewer
@@ -113,9 +114,9 @@
 	return next, nil
 }
 
-// put takes a part in. One that is here with the same content stays as it is. Of a
-// difference, which may start before the snapshot and hold what that has newer, only newer
-// parts are taken.
+// put adds or replaces a part, unless its content is unchanged. A delta may start before the
+// snapshot's revision and hold parts older than the snapshot's; with onlyNewer, those are
+// skipped.
 func (s *Snapshot) put(key string, part Part, onlyNewer bool) {
 	old, ok := s.Parts[key]
 	if ok && (bytes.Equal(old.Data, part.Data) || onlyNewer && old.Revision > part.Revision) {
@@ -139,7 +140,8 @@
 	s.Deleted[key] = s.Revision
 }
 
-// Since is what somebody with an earlier revision needs to have this one.
+// ChangesSince returns the changes that lead from an earlier revision to s, or all parts
+// if revision is zero, negative or newer than s.
 func (s Snapshot) ChangesSince(revision int64) Changes {
 	if revision <= 0 || revision > s.Revision {
 		return Changes{Revision: s.Revision, Parts: s.Parts, Digest: s.Digest()}
@@ -159,35 +161,36 @@
 	return c
 }
 
-// Digest identifies the content of the snapshot, in whatever order it was put together.
+// Digest identifies the content of the snapshot, regardless of the order of its parts.
 func (s Snapshot) Digest() uint64 { return s.digest + emptyDigest }
 
-// emptyDigest is the digest of settings without parts; it is not zero, which stands for none.
+// emptyDigest is the digest of a snapshot without parts. It is not zero, since a zero digest
+// in Changes means none.
 const emptyDigest = 1
 
 func partDigest(key string, data []byte) uint64 {
 	digest := xxhash.New()
-	_, _ = fmt.Fprintf(digest, "%q %d\n", key, len(data)) // A digest never fails.
+	_, _ = fmt.Fprintf(digest, "%q %d\n", key, len(data)) // Writing to a hash never fails.
 	_, _ = digest.Write(data)
 	return digest.Sum64()
 }
 
-// MainPartKey is the key of the document; NodePartPrefix begins the keys of nodes that
-// are published apart, such as "tree/desks/north" for the node /desks/north.
+// MainPartKey is the key of the main document. NodePartPrefix begins the keys of nodes that
+// are published as their own parts, such as "tree/desks/north" for the node /desks/north.
 const (
 	MainPartKey    = "settings"
 	NodePartPrefix = "tree/"
 )
 
-// ParseParts checks a snapshot whole and resolves it. Keys are given without the
-// fleet's prefix. Problems name the part that they are in.
+// ParseParts validates all parts of a revision together and resolves them. Keys are given
+// without the prefix of the fleet in the configuration service. Problems name their part.
 func ParseParts(parts map[string][]byte) (*Tree, error) {
 	main, ok := parts[MainPartKey]
 	if !ok {
 		return nil, strictyaml.Problems{{
 			Path:    MainPartKey,
 			Message: "there is no part " + MainPartKey,
-			Remedy:  "publish the document under that key",
+			Remedy:  "publish the document under this key",
 		}}
 	}
 	document := &Document{}
@@ -201,22 +204,23 @@
 	return checkAndResolve(document, problems, nil)
 }
 
-// checkAndResolve checks a document and resolves it. Path routes that are the very same as in an
-// earlier tree, which may be nil, are taken from there.
-func checkAndResolve(document *Document, problems strictyaml.Problems, before *Tree) (*Tree, error) {
-	if before != nil && !samePools(document, before.document) {
-		before = nil
+// checkAndResolve validates a document and resolves it. Path routes that are the same pointers
+// as in the previous tree, which may be nil, are reused from it.
+func checkAndResolve(document *Document, problems strictyaml.Problems, previous *Tree) (*Tree, error) {
+	if previous != nil && !samePools(document, previous.document) {
+		previous = nil
 	}
-	c := &checker{document: document, problems: problems, previous: before}
+	c := &checker{document: document, problems: problems, previous: previous}
 	c.check()
 	if len(c.problems) > 0 {
 		c.problems.Sort()
 		return nil, c.problems
 	}
-	return resolve(document, before), nil
+	return resolve(document, previous), nil
 }
 
-// samePools tells whether path routes mean the same in two documents.
+// samePools reports whether two documents declare the same pools and engine kinds, so that
+// their resolved path routes are interchangeable.
 func samePools(a, b *Document) bool {
 	return reflect.DeepEqual(a.Pools, b.Pools) && reflect.DeepEqual(a.EngineKinds, b.EngineKinds)
 }
--- a/core/settings/settings_test.go
+++ b/core/settings/settings_test.go
@@ -50,13 +50,13 @@
 	}
 	rules := account.Routes["book"].Rules
 	if account.Path != "/desks/north" || rules.Level != 0 || rules.Deadline.Seconds() != 5 || rules.Concurrent != 7 || rules.MaxWaiting != 3 {
-		t.Fatalf("%s: %+v", account.Path, rules)
+		t.Fatalf("rules of route book for account %s: %+v", account.Path, rules)
 	}
 	if account.Routes["chat"].Rules.Deadline.Seconds() != 30 || !account.Routes["chat"].Repeatable || account.Routes["book"].Repeatable {
-		t.Fatalf("%+v", account.Routes["chat"])
+		t.Fatalf("route chat: %+v", account.Routes["chat"])
 	}
 	if _, err := tree.Authenticate("other"); err == nil {
-		t.Fatal("a wrong key is taken")
+		t.Fatal("Authenticate accepted an unknown key")
 	}
 	values, err := tree.EffectiveValues("/desks/north")
 	if err != nil {
@@ -71,11 +71,11 @@
 		"retry_share": "0.1 built-in", "limits.concurrent": "7 /",
 	} {
 		if origins[name] != want {
-			t.Errorf("%s: got %q, want %q", name, origins[name], want)
+			t.Errorf("effective value of %s = %q, want %q", name, origins[name], want)
 		}
 	}
 	if _, err := tree.EffectiveValues("/desks/nort"); err == nil || !strings.Contains(err.Error(), "north") {
-		t.Errorf("the error does not name what exists: %v", err)
+		t.Errorf("EffectiveValues of an unknown node: error %v, want the existing nodes named", err)
 	}
 }
 
@@ -93,7 +93,7 @@
 `))
 	problems, ok := err.(strictyaml.Problems)
 	if !ok {
-		t.Fatalf("got %T %v", err, err)
+		t.Fatalf("Parse error is a %T, want strictyaml.Problems: %v", err, err)
 	}
 	want := []string{
 		`line 3, column 9: pools.llm.kind: there is no engine kind "nothing"`,
@@ -106,7 +106,7 @@
 	text := problems.Error()
 	for _, w := range want {
 		if !strings.Contains(text, w) {
-			t.Errorf("missing %q in:\n%s", w, text)
+			t.Errorf("Parse did not report %q:\n%s", w, text)
 		}
 	}
 }
@@ -123,16 +123,16 @@
 		t.Fatal(err)
 	}
 	if a := tree.Account("/desks/south"); a == nil || a.Rules.Level != 0 {
-		t.Fatalf("the grafted account does not inherit: %+v", a)
+		t.Fatalf("account of a node part does not inherit from its parent: %+v", a)
 	}
 	parts["tree/nowhere/x"] = []byte("deadline: 1s")
 	if _, err := ParseParts(parts); err == nil || !strings.Contains(err.Error(), "tree/nowhere/x") {
-		t.Fatalf("got %v", err)
+		t.Fatalf("ParseParts with a part that has no parent: error %v, want the part named", err)
 	}
 }
 
-// TestSnapshotRevisionOnlyIncreases sends differences of one history in any order, some
-// twice: the revision only rises, and equal revisions have equal content.
+// TestSnapshotRevisionOnlyIncreases applies deltas of one history in any order, some
+// twice: the revision only increases, and equal revisions have equal content.
 func TestSnapshotRevisionOnlyIncreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := []Snapshot{{}}
@@ -158,16 +158,16 @@
 			next, err := have.Apply(history[to].ChangesSince(since))
 			if err != nil {
 				if next.Revision != before.Revision {
-					t.Fatal("a refused change changed the snapshot")
+					t.Fatal("Apply returned an error and another revision")
 				}
 				continue
 			}
 			have = next
 			if have.Revision <= before.Revision {
-				t.Fatalf("went from %d to %d", before.Revision, have.Revision)
+				t.Fatalf("Apply went from revision %d to %d", before.Revision, have.Revision)
 			}
 			if have.Digest() != history[have.Revision].Digest() {
-				t.Fatalf("revision %d has other content here", have.Revision)
+				t.Fatalf("digest of revision %d differs from the history", have.Revision)
 			}
 		}
 	})
@@ -181,7 +181,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		tree, err := Parse(data)
 		if (tree == nil) == (err == nil) {
-			t.Fatalf("tree %v, error %v", tree, err)
+			t.Fatalf("Parse returned tree %v and error %v, want exactly one", tree, err)
 		}
 	})
 }
@@ -225,10 +225,10 @@
 	}
 }
 
-// TestChangesReproduceContentOfRevision: daemons see some of the revisions of a text in parts,
-// each starting at one of them, and ask each other for differences, in any order; a part may
-// change and change back between. Whatever is taken has the content of its revision, a
-// difference that would lead elsewhere is refused, and the whole is always taken.
+// TestChangesReproduceContentOfRevision: daemons read some revisions from the store and request
+// deltas from each other, in any order; a part may change and change back in between. Every
+// snapshot must have the content of its revision, a delta that leads to other content must be
+// refused, and the full set of parts must then be accepted.
 func TestChangesReproduceContentOfRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const revisions = 8
@@ -260,7 +260,7 @@
 			next, err := before.Apply(daemons[j].ChangesSince(before.Revision))
 			if err == ErrDigestMismatch {
 				if next, err = before.Apply(daemons[j].ChangesSince(0)); err != nil {
-					t.Fatalf("the whole of %d is refused at %d: %v", daemons[j].Revision, before.Revision, err)
+					t.Fatalf("Apply of all parts of revision %d at revision %d: %v", daemons[j].Revision, before.Revision, err)
 				}
 			}
 			daemons[i] = next
@@ -271,11 +271,11 @@
 			}
 			for key, part := range texts[d.Revision] {
 				if string(d.Parts[key].Data) != string(part.Data) {
-					t.Fatalf("part %s of revision %d has other content", key, d.Revision)
+					t.Fatalf("part %s of revision %d differs from the store", key, d.Revision)
 				}
 			}
 			if fresh := read(Snapshot{}, int(max(1, d.Revision))); d.Revision > 0 && fresh.Digest() != d.Digest() {
-				t.Fatalf("revision %d has another digest here", d.Revision)
+				t.Fatalf("digest of revision %d differs from that of a fresh read", d.Revision)
 			}
 		}
 	})
--- a/core/settings/tree.go
+++ b/core/settings/tree.go
@@ -17,108 +17,108 @@
 // KeyHash is the SHA-256 hash of an API key.
 type KeyHash [sha256.Size]byte
 
-// HashKey hashes an API key as callers send it.
+// HashKey returns the hash of an API key as callers send it.
 func HashKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
 
-// Tree is a checked settings document, resolved for fast lookups.
+// Tree is a valid settings document, resolved for fast lookups.
 type Tree struct {
 	document      *Document
 	accounts      map[string]*ClientAccount
 	accountsByKey map[KeyHash]*ClientAccount
 	pools         map[string]*ResolvedPool
 	pathsByPrefix map[pathKey]*ResolvedPath
-	// byRoute holds the resolved path routes by their name.
+	// pathsByName holds the resolved path routes by name.
 	pathsByName map[string]*ResolvedPath
 
 	anonymous *ClientAccount
 }
 
-// ClientAccount is an account with every value resolved.
+// ClientAccount is a client account with all values resolved.
 type ClientAccount struct {
-	// Path is the account's place in the tree, such as "/desks/north".
+	// Path is the account's path in the tree, such as "/desks/north".
 	Path string
-	// Rules are the account's values before any route's override.
+	// Rules are the account's values without the overrides of routes.
 	Rules Rules
-	// Routes are the routes it may use, by name.
+	// Routes are the routes that the account may use, by name.
 	Routes    map[string]*ResolvedRoute
 	keyHashes []KeyHash
-	// setsPriority is true where the account or a node above it sets a priority.
+	// setsPriority is true if the inherited priority is not defaultPriority.
 	setsPriority bool
 }
 
-// ResolvedRoute is a route as one account sees it.
+// ResolvedRoute is a route with the values that apply to one account.
 type ResolvedRoute struct {
-	// Name is what callers write as model or service.
+	// Name is the model or service that callers name.
 	Name string
-	// Pool is where it leads.
+	// Pool is the pool that serves the route.
 	Pool *ResolvedPool
-	// Repeatable is false where a call may run at most once.
+	// Repeatable is false if a call may run at most once.
 	Repeatable bool
-	// Rules are the values in force on this route.
+	// Rules are the values that apply to this route.
 	Rules Rules
 }
 
-// ResolvedPool is a pool with its kind and the defaults of its policy filled in.
+// ResolvedPool is a pool with its kind and policy resolved.
 type ResolvedPool struct {
 	// Name is the pool's name.
 	Name string
-	// Model is the model its engines serve.
+	// Model is the model that its engines serve.
 	Model string
 	// Kind describes its targets.
 	Kind EngineKind
 	// Policy is its routing policy.
 	Policy Policy
-	// Timing is what its engines' work costs; nil where it is not known.
+	// Timing is the cost model of its engines; nil if unknown.
 	Timing *engine.Timing
 }
 
-// Rules are the inherited values in plain types.
+// Rules are the values that apply to a request of an account, after inheritance.
 type Rules struct {
-	// Priority is the name of the class of urgency.
+	// Priority is the name of the priority class.
 	Priority string
-	// Level is its level; lower goes first.
+	// Level is the priority level; lower levels are served first.
 	Level int
-	// Deadline bounds a request from arrival to end.
+	// Deadline is the longest time from the arrival of a request to its end.
 	Deadline time.Duration
 	// MaxPromptTokens and MaxOutputTokens bound one request, in tokens.
 	MaxPromptTokens, MaxOutputTokens int64
 	// MaxWaiting bounds the account's queue at one daemon.
 	MaxWaiting int
-	// RetryShare bounds retries as a share of requests.
+	// RetryShare bounds retries, as a fraction of requests.
 	RetryShare float64
-	// RequestsPerSecond and PromptTokensPerSecond are rates over the fleet.
+	// RequestsPerSecond and PromptTokensPerSecond are limits across all daemons.
 	RequestsPerSecond, PromptTokensPerSecond float64
-	// Concurrent bounds running requests over the fleet.
+	// Concurrent bounds running requests across all daemons.
 	Concurrent int
 }
 
-// Resolve checks a document that was built by a program and resolves it. On failure
-// the error is of type strictyaml.Problems.
+// Resolve validates a document that was built in memory and resolves it. On failure the
+// error is of type strictyaml.Problems.
 func Resolve(document *Document) (*Tree, error) { return checkAndResolve(document, nil, nil) }
 
-// Parse checks a settings file whole and resolves it. On failure the error is
-// of type strictyaml.Problems and holds every problem in the file.
+// Parse decodes and validates a whole settings file and resolves it. On failure the
+// error is of type strictyaml.Problems and holds every problem in the file.
 func Parse(data []byte) (*Tree, error) {
 	document := &Document{}
 	return checkAndResolve(document, strictyaml.Decode(data, document), nil)
 }
 
-func resolve(document *Document, before *Tree) *Tree {
+func resolve(document *Document, previous *Tree) *Tree {
 	t := &Tree{
 		document:      document,
 		accounts:      map[string]*ClientAccount{},
 		accountsByKey: map[KeyHash]*ClientAccount{},
 		pools:         map[string]*ResolvedPool{},
 	}
-	if before != nil {
-		t.pools = before.pools
+	if previous != nil {
+		t.pools = previous.pools
 	} else {
 		t.resolvePools()
 	}
 	builtin := BuiltinDefaults()
 	t.anonymous = &ClientAccount{Rules: t.rules(builtin)}
 	t.resolveNode(document.Tree, "/", builtin, nil)
-	t.resolvePaths(before)
+	t.resolvePaths(previous)
 	return t
 }
 
@@ -134,7 +134,7 @@
 	}
 }
 
-// timing turns the costs of an engine's work into seconds.
+// timing converts the cost model of the engine to seconds; it is nil if unknown.
 func (k *EngineKind) timing() *engine.Timing {
 	c := k.Timing
 	if c == nil || k.PrefillTokensPerSecond <= 0 {
@@ -197,7 +197,7 @@
 	for _, text := range n.Account.KeyHashes {
 		var hash KeyHash
 		if _, err := hex.Decode(hash[:], []byte(text)); err != nil {
-			continue // The check has refused such a file already.
+			continue // The checker has already refused malformed hashes.
 		}
 		account.keyHashes = append(account.keyHashes, hash)
 		t.accountsByKey[hash] = account
@@ -220,8 +220,8 @@
 	}
 }
 
-// defaultPriority is the priority where no node sets one, and defaultLevel its
-// level where it is not declared.
+// defaultPriority is the priority if no node sets one, and defaultLevel its level
+// if the document does not declare it.
 const (
 	defaultPriority = "normal"
 	defaultLevel    = 1
@@ -234,9 +234,9 @@
 	return defaultLevel
 }
 
-// Authenticate finds the account of an API key. The lookup is by the key's
-// hash, so its timing says nothing about the key itself, and the hash found is
-// compared once more in constant time.
+// Authenticate returns the account of an API key. The lookup is by the key's hash,
+// so its timing reveals nothing about the key itself, and the hash found is compared
+// again in constant time.
 func (t *Tree) Authenticate(key string) (*ClientAccount, error) {
 	hash := HashKey(key)
 	account := t.accountsByKey[hash]
@@ -255,13 +255,13 @@
 	"the API key is not known",
 	"send \"Authorization: Bearer KEY\" with a key of an account in the settings")
 
-// Callers are the limits of callers' connections.
+// CallerLimits returns the limits on callers' connections.
 func (t *Tree) CallerLimits() CallerLimits { return t.document.Callers }
 
-// Account finds an account by its path, or returns nil.
+// Account returns the account with a path, or nil.
 func (t *Tree) Account(path string) *ClientAccount { return t.accounts[path] }
 
-// Accounts lists all accounts by path.
+// Accounts returns all accounts, sorted by path.
 func (t *Tree) Accounts() []*ClientAccount {
 	list := make([]*ClientAccount, 0, len(t.accounts))
 	for _, path := range slices.Sorted(maps.Keys(t.accounts)) {
@@ -270,10 +270,10 @@
 	return list
 }
 
-// Pool finds a pool by name, or returns nil.
+// Pool returns the pool with a name, or nil.
 func (t *Tree) Pool(name string) *ResolvedPool { return t.pools[name] }
 
-// Pools lists the pools by name.
+// Pools returns all pools, sorted by name.
 func (t *Tree) Pools() []*ResolvedPool {
 	list := make([]*ResolvedPool, 0, len(t.pools))
 	for _, name := range slices.Sorted(maps.Keys(t.pools)) {
@@ -282,8 +282,9 @@
 	return list
 }
 
-// Effective lists the values in force at a path of the tree, each with the node
-// that sets it. The error names the nearest part of the path that exists.
+// EffectiveValues lists the values that apply to the node at a path, each with the
+// node that sets it. If there is no such node, the error names the nearest existing
+// ancestor and its children.
 func (t *Tree) EffectiveValues(path string) ([]EffectiveValue, error) {
 	chain := []*Node{t.document.Tree}
 	paths := []string{"/"}
