--- a/core/strictyaml/strictyaml.go
+++ b/core/strictyaml/strictyaml.go
@@ -1,7 +1,7 @@
-// Package strictyaml decodes YAML into typed structs and reports every problem
-// at once, each with line, column and remedy. Unknown keys are errors that name
-// the nearest known key. It is used for the settings tree and for the daemon's
-// own file, so both are checked the same way.
+// Package strictyaml decodes YAML into structs and reports all problems at once,
+// each with line, column and remedy. Unknown keys are errors that name the most
+// similar known key. It decodes both the settings tree and the daemon's own
+// configuration file, so that both are validated in the same way.
 package strictyaml
 
 import (
@@ -23,16 +23,16 @@
 // String implements fmt.Stringer.
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// Position is a place in a YAML file; both numbers count from one.
+// Position is a position in a YAML file; line and column count from one.
 type Position struct {
 	Line, Column int
 }
 
-// Source is embedded in a struct that wants to know where it was written.
+// Source is embedded in a struct to record the positions of its mapping and keys.
 type Source struct {
-	// At is the place of the mapping itself.
+	// At is the position of the mapping.
 	At Position `yaml:"-"`
-	// keys are the places of its keys, in file order.
+	// keys are the positions of the keys of the mapping, in file order.
 	keys []keyPosition
 }
 
@@ -41,7 +41,7 @@
 	at   Position
 }
 
-// Key is the place where a key was written, or of the mapping if it was not.
+// KeyPosition returns the position of a key, or of the mapping if the key is absent.
 func (s *Source) KeyPosition(name string) Position {
 	for _, k := range s.keys {
 		if k.name == name {
@@ -51,16 +51,16 @@
 	return s.At
 }
 
-// Problem is one thing wrong in a file.
+// Problem is one error in a file.
 type Problem struct {
 	Position
-	// File names the file or part, where there are several.
+	// File names the file or part, if there are several.
 	File string
-	// Path is the place in the tree, such as "tree.children.desks".
+	// Path is the path of the key in the document, such as "tree.children.desks".
 	Path string
 	// Message states the cause.
 	Message string
-	// Remedy says what to write instead.
+	// Remedy says how to correct it.
 	Remedy string
 }
 
@@ -73,7 +73,7 @@
 	return fmt.Sprintf("%s: %s: %s; %s", place, p.Path, p.Message, p.Remedy)
 }
 
-// Problems is an error made of all that is wrong in a file.
+// Problems is an error that lists all problems of a file.
 type Problems []Problem
 
 // Error implements error.
@@ -90,7 +90,7 @@
 	*ps = append(*ps, Problem{Position: at, Path: path, Message: message, Remedy: remedy})
 }
 
-// InFile names the file that the problems are in.
+// InFile sets the file name of all problems and returns them.
 func (ps Problems) InFile(name string) Problems {
 	for i := range ps {
 		ps[i].File = name
@@ -98,18 +98,18 @@
 	return ps
 }
 
-// Sort orders the problems by their place in the file.
+// Sort orders the problems by file and position.
 func (ps Problems) Sort() {
 	slices.SortStableFunc(ps, func(a, b Problem) int {
 		return cmp.Or(cmp.Compare(a.File, b.File), cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
 	})
 }
 
-// maxDepth bounds nesting, so that a hostile file cannot exhaust the stack.
+// maxDepth bounds the nesting depth, so that a malicious file cannot exhaust the stack.
 const maxDepth = 64
 
-// Decode reads YAML into the struct that into points to. It returns every
-// problem found; into holds what could be read all the same.
+// Decode decodes YAML into the struct that into points to. It returns every problem
+// found; even then, into holds the values that could be decoded.
 func Decode(data []byte, into any) Problems {
 	var document yaml.Node
 	if err := yaml.Unmarshal(data, &document); err != nil {
@@ -125,7 +125,7 @@
 	return d.problems
 }
 
-// syntaxProblem turns the library's "yaml: line 3: ..." into a Problem.
+// syntaxProblem converts the YAML library's "yaml: line 3: ..." into a Problem.
 func syntaxProblem(err error) Problem {
 	text := strings.TrimPrefix(err.Error(), "yaml: ")
 	at := Position{Line: 1, Column: 1}
@@ -153,7 +153,7 @@
 		return
 	}
 	if n.Kind == yaml.AliasNode {
-		d.addProblem(n, path, "aliases are not supported", "write the value out, or set it on a common parent")
+		d.addProblem(n, path, "aliases are not supported", "repeat the value, or set it on a common parent")
 		return
 	}
 	if v.Type() == reflect.TypeFor[Duration]() {
@@ -190,7 +190,7 @@
 		key, val := n.Content[i], n.Content[i+1]
 		sub := joinPath(path, key.Value)
 		if seen[key.Value] {
-			d.addProblem(key, sub, "the key is written twice", "remove one of them")
+			d.addProblem(key, sub, "duplicate key", "remove one of them")
 			continue
 		}
 		seen[key.Value] = true
@@ -217,7 +217,7 @@
 		sub := joinPath(path, key.Value)
 		name := reflect.ValueOf(key.Value).Convert(v.Type().Key())
 		if v.MapIndex(name).IsValid() {
-			d.addProblem(key, sub, "the key is written twice", "remove one of them")
+			d.addProblem(key, sub, "duplicate key", "remove one of them")
 			continue
 		}
 		elem := reflect.New(v.Type().Elem()).Elem()
@@ -228,7 +228,7 @@
 
 func (d *decoder) decodeSlice(n *yaml.Node, v reflect.Value, path string, depth int) {
 	if n.Kind != yaml.SequenceNode {
-		d.addProblem(n, path, "expected a list", "write one item a line, each after \"- \"")
+		d.addProblem(n, path, "expected a list", "write one item per line, each after \"- \"")
 		return
 	}
 	v.Set(reflect.MakeSlice(v.Type(), len(n.Content), len(n.Content)))
@@ -263,7 +263,8 @@
 	return path + "." + key
 }
 
-// fieldIndexes lists the YAML keys of a struct type, through embedded structs.
+// fieldIndexes maps the YAML keys of a struct type, including those of embedded structs,
+// to field indexes.
 func fieldIndexes(t reflect.Type) map[string][]int {
 	fields := map[string][]int{}
 	for _, f := range reflect.VisibleFields(t) {
@@ -284,7 +285,7 @@
 	return f.Addr().Interface().(*Source)
 }
 
-// unknownKeyRemedy builds the remedy for an unknown key.
+// unknownKeyRemedy suggests the most similar known key, or lists all known keys.
 func unknownKeyRemedy(key string, known map[string][]int) string {
 	names := make([]string, 0, len(known))
 	for name := range known {
