--- a/core/stream/stream.go
+++ b/core/stream/stream.go
@@ -33,8 +33,8 @@
 var (
 	// ErrTruncated means that the stream ended without its end mark.
 	ErrTruncated = errors.New("the target's stream ended without its end mark")
-	// ErrGap means that chunks are missing in the middle.
-	ErrGap = errors.New("chunks are missing in the target's stream")
+	// ErrMissingChunks means that chunks are missing in the middle.
+	ErrMissingChunks = errors.New("chunks are missing in the target's stream")
 	// ErrConflict means that two chunks claim the same place.
 	ErrConflict = errors.New("the target sent two different chunks with one index")
 )
@@ -113,7 +113,7 @@
 		return errors.Wrap(ErrConflict, fmt.Sprintf("index %d", c.Index))
 	}
 	if len(a.pending) >= maxPending {
-		return errors.Wrap(ErrGap, fmt.Sprintf("index %d never came", a.next))
+		return errors.Wrap(ErrMissingChunks, fmt.Sprintf("index %d never came", a.next))
 	}
 	if a.pending == nil {
 		a.pending = map[int64]string{}
@@ -148,7 +148,7 @@
 	case a.Complete():
 		return nil
 	case a.ended:
-		return errors.Wrap(ErrGap, fmt.Sprintf("%d of %d tokens came", a.next, a.total))
+		return errors.Wrap(ErrMissingChunks, fmt.Sprintf("%d of %d tokens came", a.next, a.total))
 	default:
 		return errors.Wrap(ErrTruncated, fmt.Sprintf("after %d tokens", a.next))
 	}
