--- a/core/poison/key.go
+++ b/core/poison/key.go
@@ -1,10 +1,11 @@
-// Package poison finds requests that crash the targets which run them, also called queries
-// of death, and keeps them away from further targets.
+// Package poison detects requests that crash the targets which run them (queries of death)
+// and quarantines them, so that they are not sent to further targets.
 //
-// A request that ends one target may be unlucky: a target dies under a dozen calls, one of which
-// was to blame at most. One under which target after target ends is quarantined, at whatever
-// daemon it comes next. The package is pure: crashes, successes and the time come in as values,
-// the word whether a request is quarantined comes out; who tells whom is decided elsewhere.
+// A single crash does not convict a request: a target crashes while it runs a dozen requests, at
+// most one of which caused the crash. A request under which several targets crash in turn is
+// quarantined at every daemon. The package does no I/O and reads no clock: callers pass in
+// crashes, successes, the verdicts of other daemons and the time, and ask whether a request may
+// be sent. The callers also exchange the verdicts between daemons.
 package poison
 
 import (
@@ -14,19 +15,19 @@
 	"hash"
 )
 
-// Key identifies a request by what it asks and for whom, so that the same request is known
-// again under another request id. It begins with a part that all keys of one account share.
+// Key identifies a request by its account and content, so that a repetition under another
+// request id has the same key. All keys of one account share a prefix.
 type Key [accountBytes + requestBytes]byte
 
-// The parts of a key. Two different requests of one account have the same key with a chance
-// of 2^-96; two accounts that share the first part share the room for their keys, nothing else.
+// Sizes of the parts of a key, in bytes. Two different requests of one account collide with a
+// probability of 2^-96. Accounts whose prefixes collide share maxRecordsPerAccount and nothing else.
 const (
 	accountBytes = 4
 	requestBytes = 12
 )
 
-// KeyOf makes the key of an account's request from the parts that make it the same request:
-// method, host name, path and body.
+// KeyOf returns the key of an account's request, computed from the parts that identify its
+// content, such as method, host name, path and body.
 func KeyOf(account string, parts ...[]byte) Key {
 	ofAccount := sha256.Sum256([]byte(account))
 	h := sha256.New()
@@ -40,14 +41,15 @@
 	return k
 }
 
-// writeLengthPrefixed hashes a part behind its length, so that no two lists of parts read the same.
+// writeLengthPrefixed hashes the length of a part and then the part, so that different lists of
+// parts never hash the same bytes.
 func writeLengthPrefixed(h hash.Hash, part []byte) {
 	length := binary.BigEndian.AppendUint64(nil, uint64(len(part)))
-	_, _ = h.Write(length) // A hash never fails.
+	_, _ = h.Write(length) // hash.Hash.Write never returns an error.
 	_, _ = h.Write(part)
 }
 
-// String is the key as logs show it.
+// String returns the key in hexadecimal, as logs show it.
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
 
 func (k Key) accountPrefix() [accountBytes]byte { return [accountBytes]byte(k[:accountBytes]) }
--- a/core/poison/key_test.go
+++ b/core/poison/key_test.go
@@ -12,19 +12,19 @@
 	}
 	base := KeyOf("/a", parts("POST", "h", "/x", "body")...)
 	if again := KeyOf("/a", parts("POST", "h", "/x", "body")...); again != base {
-		t.Errorf("the same request has the keys %v and %v", base, again)
+		t.Errorf("KeyOf gave %v for the same request, want %v", again, base)
 	}
 	for name, other := range map[string]Key{
-		"another account":     KeyOf("/b", parts("POST", "h", "/x", "body")...),
-		"another body":        KeyOf("/a", parts("POST", "h", "/x", "bodx")...),
-		"parts cut elsewhere": KeyOf("/a", parts("POST", "h/", "x", "body")...),
-		"a part less":         KeyOf("/a", parts("POST", "h", "/xbody")...),
+		"another account":       KeyOf("/b", parts("POST", "h", "/x", "body")...),
+		"another body":          KeyOf("/a", parts("POST", "h", "/x", "bodx")...),
+		"another part boundary": KeyOf("/a", parts("POST", "h/", "x", "body")...),
+		"one part fewer":        KeyOf("/a", parts("POST", "h", "/xbody")...),
 	} {
 		if other == base {
-			t.Errorf("%s: the same key", name)
+			t.Errorf("%s: KeyOf gave %v as for the base request, want another key", name, other)
 		}
 	}
 	if KeyOf("/a", []byte("other")).accountPrefix() != base.accountPrefix() {
-		t.Error("two requests of an account do not share its part")
+		t.Errorf("accountPrefix of another request = %x, want %x as for the base request", KeyOf("/a", []byte("other")).accountPrefix(), base.accountPrefix())
 	}
 }
--- a/core/poison/table.go
+++ b/core/poison/table.go
@@ -10,82 +10,83 @@
 )
 
 const (
-	// quarantineThreshold is the number of targets that end under a request until it is refused,
-	// and minDistinctTimes how many different moments they end at. Two targets may die under a
-	// sound request by chance, and any number at one moment, when a rack loses power.
+	// quarantineThreshold is the number of target crashes that quarantine a request, provided that
+	// they happened at minDistinctTimes different times at least. Two targets may crash by chance
+	// while they run a harmless request, and any number at the same time when a rack loses power.
 	quarantineThreshold = 3
 	minDistinctTimes    = 2
-	// duplicateWindow is how close two reports about one target are that tell of one end: a target is
-	// not back sooner, and several copies of a request end with it.
+	// duplicateWindow is the time within which two reports about one target count as one crash: a
+	// target does not restart faster, and all copies of a request that it runs fail together.
 	duplicateWindow = time.Second
-	// coincidenceWindow is how close ends of different targets are that may have one cause, where
-	// nobody knows better. News of them come from several daemons, some tenths of a second apart.
+	// coincidenceWindow is the time within which crashes of different targets count as possibly one
+	// event, unless the request was already suspected. Several daemons report such crashes, some
+	// tenths of a second apart.
 	coincidenceWindow = 250 * time.Millisecond
-	// retention is how long a request is remembered after the last end under it, and a
-	// quarantined one after the last time that somebody asked for it.
+	// retention is how long a record is kept after the last crash, or, for a quarantined request,
+	// after the last attempt to send it.
 	retention = 10 * time.Minute
-	// successValidity is how long an answer shows that a request is sound. Many callers may send the
-	// same one, under which targets then die as they do under any other.
+	// successValidity is how long a success clears a request: crashes within that time are not
+	// counted. A request that many callers send is running at many targets that crash for other reasons.
 	successValidity = time.Minute
-	// firstTrialDelay is when a quarantined request may be sent once more, to show that its targets
-	// died by chance, and trialBackoffFactor how many times as long each further trial takes. A trial
-	// that is not heard of again within trialTimeout may be repeated.
+	// firstTrialDelay is the time from the quarantine to the first trial: the request is sent once
+	// more, because its targets may have crashed by chance. Each further delay is
+	// trialBackoffFactor times as long. A trial without a result within trialTimeout may be repeated.
 	firstTrialDelay    = 15 * time.Second
 	trialBackoffFactor = 6
 	trialTimeout       = 30 * time.Second
-	// maxRecords bounds the requests remembered, maxRecordsPerAccount those of one account: one
-	// that invents requests drives out only its own.
+	// maxRecords bounds the records of all accounts, and maxRecordsPerAccount those of one account,
+	// so that an account which sends ever new requests evicts only its own records.
 	maxRecords           = 4096
 	maxRecordsPerAccount = 256
-	// maxSuccesses bounds the served requests remembered.
+	// maxSuccesses bounds the number of remembered successes.
 	maxSuccesses = 2048
 )
 
-// Crash is the end of a target under a request.
+// Crash reports that a target crashed while it ran a request. Daemons send it to each other.
 type Crash struct {
 	Request Key    `cbor:"1,keyasint"`
 	Target  string `cbor:"2,keyasint"`
-	// Repeat means that another target was known to have ended under the request when it
-	// was sent to this one, so that the two did not end together.
+	// Suspected is true if another target was known to have crashed under the request when the
+	// request was sent to this one, so that the two crashes are separate events.
 	Suspected bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Status is what is known of a request that is about to be sent.
+// Status is the state of a request that is about to be sent.
 type Status struct {
-	// Suspected means that a target has ended under it.
+	// Suspected is true if a target has crashed under the request.
 	Suspected bool
-	// Quarantined requests are refused. Left is the time until the next trial, or until the
-	// quarantine ends if nobody asks again.
+	// Quarantined is true if the request must be refused. RetryAfter is then the time until the
+	// next trial, firstTrialDelay at least. The quarantine may expire sooner if no attempt follows.
 	Quarantined bool
 	RetryAfter  time.Duration
-	// Due means that a quarantined request may be tried once more, by one daemon of all.
+	// TrialDue is true if one daemon may send the quarantined request as a trial.
 	TrialDue bool
 }
 
-// CrashResult is what the end of a target under a request leads to.
+// CrashResult is the consequence of a crash.
 type CrashResult struct {
-	// Counted ends are held against the request.
+	// Counted is true unless the crash was ignored because of a recent success.
 	Counted bool
-	// Quarantined means that the request is refused from now on; Verdict is what to tell.
+	// Quarantined is true if the crash began a quarantine; Verdict is then to be sent to all daemons.
 	Quarantined bool
 	Verdict     Verdict
 }
 
-// Verdict is what the fleet holds of a request under which targets ended. Daemons tell each
-// other verdicts; of two about one request the later quarantine wins, and of one
-// quarantine that it was lifted.
+// Verdict says that a request is quarantined, or that its quarantine was lifted. Daemons exchange
+// verdicts. Of two verdicts on one request the one with the higher Count wins, and at the same
+// Count the one that lifts the quarantine.
 type Verdict struct {
 	Request Key `cbor:"1,keyasint"`
-	// Count is how often the request has been quarantined, this time included. A trial that
-	// ended one more target counts.
+	// Count is the number of quarantines of the request so far, this one included. A trial that
+	// crashes its target begins a new quarantine.
 	Count uint32 `cbor:"2,keyasint"`
-	// Lifted means that a target has answered the request since, so that it is sound.
+	// Lifted is true if a target has completed the request since, which ends the quarantine.
 	Lifted bool `cbor:"3,keyasint,omitempty"`
-	// Age is the time since the last end under the request, or since it was last asked for.
+	// Age is the time since the last crash, attempt or success of the request.
 	Age time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// over tells whether the verdict replaces another about the same request.
+// supersedes reports whether the verdict replaces what is known of the same request.
 func (v *Verdict) supersedes(known *record) bool {
 	if v.Count != known.count {
 		return v.Count > known.count
@@ -93,30 +94,32 @@
 	return v.Lifted && !known.lifted
 }
 
-// Table is a daemon's memory of requests under which targets ended.
+// Table holds a daemon's records of requests under which targets crashed. It is not safe for
+// concurrent use.
 type Table struct {
 	records   map[Key]*record
 	successes successSet
 }
 
-// record is what is known of one request.
+// record is the state of one request.
 type record struct {
-	crashes  []crashEvent // of different targets or processes, the earliest first
-	count    uint32       // see Verdict
+	crashes  []crashEvent // of different targets or processes, oldest first
+	count    uint32       // see Verdict.Count
 	lifted   bool
-	lastUsed time.Time // when the record was last of use
-	// since is when this daemon learned of the quarantine, and trial when it let one through.
+	lastUsed time.Time // last crash, attempt or success; the record expires retention after it
+	// quarantinedAt is when this daemon learned of the quarantine, and trialAt when the current
+	// trial started; zero if there is none.
 	quarantinedAt, trialAt time.Time
 }
 
-// crashEvent is the end of a target under a request.
+// crashEvent is a crash of one target under the request of the record.
 type crashEvent struct {
 	target    string
 	at        time.Time
-	suspected bool // see Crash
+	suspected bool // see Crash.Suspected
 }
 
-// quarantined tells whether the request of the record is refused.
+// quarantined reports whether the request is quarantined now.
 func (r *record) quarantined() bool { return r.count > 0 && !r.lifted }
 
 func (r *record) verdict(k Key, now time.Time) Verdict {
@@ -126,11 +129,11 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{records: map[Key]*record{}} }
 
-// Empty tells whether nothing is held against any request.
+// Empty reports whether the table has no records.
 func (t *Table) Empty() bool { return len(t.records) == 0 }
 
-// Crashed takes in that a target has ended under a request. One that was answered lately
-// is not to blame.
+// RecordCrash records that a target crashed under a request, and quarantines the request at the
+// threshold. The crash is ignored if the request succeeded within successValidity.
 func (t *Table) RecordCrash(c Crash, now time.Time) CrashResult {
 	k := c.Request
 	if t.successes.contains(k, now) {
@@ -151,15 +154,15 @@
 	return r.quarantine(k, now)
 }
 
-// quarantine begins a quarantine, or the next one.
+// quarantine begins a quarantine and resets what was recorded before it.
 func (r *record) quarantine(k Key, now time.Time) CrashResult {
 	r.count++
 	r.lifted, r.crashes, r.quarantinedAt, r.trialAt = false, nil, now, time.Time{}
 	return CrashResult{Counted: true, Quarantined: true, Verdict: r.verdict(k, now)}
 }
 
-// tried takes in an end under a quarantined request: that of a trial begins the next quarantine;
-// others are of copies that were on their way.
+// crashInQuarantine records a crash under a quarantined request. A crash during a trial begins the
+// next quarantine; without a trial, the crash is that of a copy sent before the quarantine.
 func (r *record) crashInQuarantine(k Key, now time.Time) CrashResult {
 	if r.trialAt.IsZero() {
 		return CrashResult{Counted: true}
@@ -167,7 +170,7 @@
 	return r.quarantine(k, now)
 }
 
-// untilTrial is the time until the request may be tried.
+// untilNextTrial returns the time until the next trial; zero or less if one is due.
 func (r *record) untilNextTrial(now time.Time) time.Duration {
 	wait := firstTrialDelay
 	for n := uint32(1); n < r.count && wait < retention; n++ {
@@ -176,7 +179,7 @@
 	return r.quarantinedAt.Add(wait).Sub(now)
 }
 
-// add notes an end, and tells whether it is another one than those known.
+// addCrash records a crash and reports whether it is not a duplicate of a recorded one.
 func (r *record) addCrash(e crashEvent) bool {
 	for _, known := range r.crashes {
 		if known.target == e.target && e.at.Sub(known.at) < duplicateWindow {
@@ -190,10 +193,11 @@
 	return true
 }
 
-// maxCrashesPerRecord bounds the ends kept of a request that is not quarantined.
+// maxCrashesPerRecord bounds the crashes recorded for a request that is not quarantined.
 const maxCrashesPerRecord = 4 * quarantineThreshold
 
-// moments counts the different moments at which targets ended.
+// distinctTimes returns the number of different times at which targets crashed. A crash counts as
+// a new time if its request was already suspected, or coincidenceWindow after the last one counted.
 func (r *record) distinctTimes() int {
 	n := 0
 	var last time.Time
@@ -206,8 +210,8 @@
 	return n
 }
 
-// Served takes in that a target has answered a request whole, which lifts what was held
-// against it. It returns the verdict and true where that ends a quarantine.
+// RecordSuccess records that a target completed a request, which clears its crashes and lifts its
+// quarantine. If there was a quarantine, it returns the verdict for the other daemons and true.
 func (t *Table) RecordSuccess(k Key, now time.Time) (Verdict, bool) {
 	t.successes.add(k, now)
 	r := t.records[k]
@@ -222,7 +226,8 @@
 	return r.verdict(k, now), true
 }
 
-// Ask tells what is known of a request that is about to be sent.
+// Check returns the status of a request that is about to be sent. For a quarantined request it
+// also extends the retention of the record.
 func (t *Table) Check(k Key, now time.Time) Status {
 	r := t.records[k]
 	if r == nil || now.Sub(r.lastUsed) > retention {
@@ -236,8 +241,9 @@
 	return Status{Suspected: true, Quarantined: true, RetryAfter: max(firstTrialDelay, left), TrialDue: left <= 0}
 }
 
-// Try tells whether a quarantined request may be sent this once, and notes that it is. Of all
-// daemons one is asked; whoever sends the request notes its word by Grant.
+// StartTrial reports whether a quarantined request may be sent once as a trial, and records that
+// the trial started. All daemons ask the same daemon; the one that sends the request then calls
+// RecordTrial on its own table.
 func (t *Table) StartTrial(k Key, now time.Time) bool {
 	r := t.records[k]
 	if r == nil || !r.quarantined() || r.untilNextTrial(now) > 0 || now.Sub(r.trialAt) < trialTimeout {
@@ -247,16 +253,17 @@
 	return true
 }
 
-// Grant notes that this daemon sends a quarantined request once, on another one's word.
+// RecordTrial records that this daemon sends a quarantined request as a trial that another daemon
+// has allowed.
 func (t *Table) RecordTrial(k Key, now time.Time) {
 	if r := t.records[k]; r != nil {
 		r.trialAt = now
 	}
 }
 
-// Learn takes in another daemon's verdict. It returns true, with the verdict to pass on,
-// where that is news. A quarantine of a request that this daemon has had an answer to lately
-// is lifted instead: others than this one cannot know that it was served here.
+// Merge applies another daemon's verdict. If the verdict is new here, Merge returns the verdict to
+// pass on and true. It lifts a quarantine of a request that succeeded at this daemon within
+// successValidity, since only this daemon knows of that success.
 func (t *Table) Merge(v Verdict, now time.Time) (Verdict, bool) {
 	last := now.Add(-v.Age)
 	if v.Count == 0 || v.Age > retention {
@@ -277,7 +284,7 @@
 	return r.verdict(v.Request, now), true
 }
 
-// Verdicts lists what is held of requests that were quarantined, for a daemon that lacks some.
+// Verdicts returns all current verdicts, the most recently used first, for a daemon whose digest differs.
 func (t *Table) Verdicts(now time.Time) []Verdict {
 	t.removeExpired(now)
 	var list []Verdict
@@ -290,8 +297,8 @@
 	return list
 }
 
-// Digest identifies the verdicts: daemons with different digests tell each other theirs. It
-// is zero where there are none.
+// Digest returns a hash of the current verdicts that is independent of their order and ages; zero
+// without verdicts. Daemons with different digests exchange their verdicts.
 func (t *Table) Digest(now time.Time) uint64 {
 	t.removeExpired(now)
 	sum := uint64(0)
@@ -311,7 +318,7 @@
 	return xxhash.Sum64(data)
 }
 
-// Counts tells how many requests are quarantined, and how many others are remembered.
+// Counts returns the number of quarantined requests and of other recorded requests.
 func (t *Table) Counts() (quarantined, others int) {
 	for _, r := range t.records {
 		if r.quarantined() {
@@ -321,7 +328,7 @@
 	return quarantined, len(t.records) - quarantined
 }
 
-// trim forgets what is too old to count.
+// removeExpired deletes the records that have not been used for longer than retention.
 func (t *Table) removeExpired(now time.Time) {
 	for k, r := range t.records {
 		if now.Sub(r.lastUsed) > retention {
@@ -330,7 +337,7 @@
 	}
 }
 
-// record returns the record of a request, a new one if there is none.
+// record returns the record of a request and creates it if necessary.
 func (t *Table) record(k Key, now time.Time) *record {
 	if r := t.records[k]; r != nil {
 		return r
@@ -341,8 +348,8 @@
 	return r
 }
 
-// makeRoom drops a record where there is no room for one more: the oldest of the account that
-// has too many, else the oldest of all; those of no quarantine first.
+// evictIfFull evicts a record if there is no room for k: one of k's account if the account is at
+// its limit, else one of any account if the table is full.
 func (t *Table) evictIfFull(k Key, now time.Time) {
 	if len(t.records) < maxRecordsPerAccount {
 		return
@@ -362,18 +369,20 @@
 	}
 }
 
-// drop forgets the least useful of the records that may go.
-func (t *Table) evict(may func(Key) bool) {
+// evict deletes the first record in eviction order among those for which eligible returns true.
+func (t *Table) evict(eligible func(Key) bool) {
 	var worst Key
 	var found *record
 	for k, r := range t.records {
-		if may(k) && (found == nil || r.evictBefore(found)) {
+		if eligible(k) && (found == nil || r.evictBefore(found)) {
 			worst, found = k, r
 		}
 	}
 	delete(t.records, worst)
 }
 
+// evictBefore defines the eviction order: records without a quarantine first, then the least
+// recently used.
 func (r *record) evictBefore(other *record) bool {
 	if r.quarantined() != other.quarantined() {
 		return other.quarantined()
@@ -381,11 +390,11 @@
 	return r.lastUsed.Before(other.lastUsed)
 }
 
-// successSet remembers which requests were answered lately, in two halves: the younger one becomes
-// the older when it is full or old, and what the older one held is forgotten.
+// successSet holds the requests that succeeded recently, in two generations: when the current one
+// is full or too old it replaces the previous one, whose entries are dropped.
 type successSet struct {
 	current, previous map[Key]time.Time
-	rotatedAt         time.Time // when the younger half was begun
+	rotatedAt         time.Time // when the current generation was started
 }
 
 func (s *successSet) add(k Key, now time.Time) {
