--- a/core/forward/forward.go
+++ b/core/forward/forward.go
@@ -1,9 +1,10 @@
-// Package forward decides what becomes of a call that is passed on unchanged to a
-// target: what an answer of a target proves, whether the call may be sent once
-// more, and what its caller may be told in the end.
+// Package forward makes the decisions about a call that a daemon passes on unchanged to a
+// target: whether the target's answer may go to the caller, whether the call may be sent
+// again, how long a silent target is waited for, and what the caller may be told about
+// execution. It also keeps what targets say of their own state, such as rate limits.
 //
-// The package is pure. A Progress is fed with the result of each send and answers
-// what to do next; the sockets are elsewhere.
+// The package does no I/O. The daemon passes in the route's rules and goals, the decoded
+// heads of answers and the result of each send.
 package forward
 
 import (
@@ -12,91 +13,94 @@
 	"doorstack.dev/core/fault"
 )
 
-// Call is a caller's request, decoded once where it comes in.
+// Call is what a caller's request says of itself, decoded when it arrives.
 type Call struct {
-	// ID is the caller's own id of this attempt; targets echo it.
+	// ID is the request id that the caller chose; targets echo it.
 	ID string
-	// Key is the API key, empty if there is none.
+	// APIKey is empty if the request has none.
 	APIKey string
-	// Left is how long the caller will wait from now on; zero if it did not say.
+	// Timeout is how long the caller will wait from now on; zero if not stated.
 	Timeout time.Duration
-	// LastEvent is the id of the last event that the caller has of the stream that
-	// it wants the rest of; empty for a stream from the beginning.
+	// LastEventID is the id of the last event that the caller has received of a stream
+	// that it resumes; empty for a stream from the beginning.
 	LastEventID string
-	// PromptTokens and OutputTokens are the lengths that the caller states; zero for
-	// plain services.
+	// PromptTokens and OutputTokens are the lengths stated by the caller; zero for plain
+	// services.
 	PromptTokens, OutputTokens int64
 }
 
-// SendParams is what the daemon adds to a call for one target.
+// SendParams is what the daemon adds to a call when it sends it to a target.
 type SendParams struct {
-	// Target is the id of the target that the call is meant for; another one at the
-	// same address must turn it away.
+	// Target is the id of the target that the call is meant for. A different target at
+	// the same address must reject the call.
 	Target string
 	// Account names the caller's account to the target; empty on open routes.
 	Account string
-	// Left is how long the target may work on it.
+	// Timeout is how long the target may work on the call.
 	Timeout time.Duration
-	// LastEvent asks for the stream after that event; empty for the whole.
+	// LastEventID asks for the stream after that event; empty for the whole stream.
 	LastEventID string
-	// Helpers are targets that read parts of the prompt for this one.
+	// Helpers are other targets that prefill parts of the prompt.
 	Helpers []Helper
 }
 
-// Helper is a target that reads a part of another one's prompt.
+// Helper is a target that prefills part of a prompt for the target of the call.
 type Helper struct {
-	// Address is its host:port.
+	// Address is the helper's host:port.
 	Address string
-	// Ticket names memory reserved there for the part, if any.
+	// ReservationID names the memory reserved at the helper for the part, if any.
 	ReservationID string
 }
 
-// Report is what a target says of itself when it is asked.
+// Report is a target's answer to a status query.
 type Report struct {
-	// Pace is how many times as long as usual its work takes: 1 for a sound target.
+	// Slowdown is how many times as long as usual the target's work takes: 1 for a healthy target.
 	Slowdown float64
-	// Started is when its process started, in Unix milliseconds; zero where it does not tell.
+	// Started is when the target's process started, in Unix milliseconds; zero if not told.
 	Started int64
 }
 
-// Message is what goes to a target: a caller's call unchanged, or an order.
+// Message is an HTTP request to a target: a caller's call, passed on unchanged, or a control
+// request of the daemon, such as one to reserve memory.
 type Message struct {
-	// ID is the id that the answer must carry; orders have none.
+	// ID is the id that the answer must carry; control requests have none.
 	ID string
-	// Method, URI (path and query as the caller wrote them) and Host are the caller's.
+	// Method, URI (path and query as received) and Host are those of the caller's request.
 	Method, URI, Host string
-	// Header has been cleared of what concerns one connection only.
+	// Header has no hop-by-hop fields.
 	Header map[string][]string
 	Body   []byte
-	// Probed asks that the connection be probed while the answer is awaited, so that a
-	// target whose host has died is known as dead though it owes no answer yet.
+	// ProbeConnection turns on TCP probes while the daemon waits for the answer, so that the
+	// death of the target's host is detected before an answer is due.
 	ProbeConnection bool
-	// CallerLeft tells, without waiting, whether the caller has closed its connection; nil
-	// for orders, and where nobody can tell.
+	// CallerDisconnected reports, without blocking, whether the caller has closed its
+	// connection; nil for control requests and where this cannot be determined.
 	CallerDisconnected func() bool
 }
 
-// Head is what the head of a target's answer says, decoded.
+// Head is the decoded head (status and headers) of a target's answer.
 type Head struct {
 	Status int
-	// RequestID is the id of the call that the answer belongs to.
+	// RequestID is the id of the call that is answered.
 	RequestID string
-	// Unrun is the target's word that it has not run the call and will not.
+	// NotExecuted is true if the target states that it has not run the call and will not.
 	NotExecuted bool
-	// Signed tells whether the answer carries the target's signature; a success
-	// without one is not the target's.
+	// Signed is true if the answer carries the target's signature. A success without a
+	// signature does not come from the target.
 	Signed bool
-	// Encoded answers are not the bytes that the target made.
+	// Encoded is true if the answer has a content encoding, so that its bytes are not
+	// those that the target produced.
 	Encoded bool
-	// AtFault is the address of a helper that the call failed for.
+	// FailedHelper is the address of the helper that made the call fail, if any.
 	FailedHelper string
-	// Notice is what the target that answered says of itself.
+	// Notice is what the answering target says of its own state.
 	Notice Notice
-	// Unread names headers that the dialect does not understand.
+	// UnknownHeaders names the headers that the dialect does not understand.
 	UnknownHeaders []string
 }
 
-// Said is what the target that was meant says of itself: nothing, where another one answered.
+// TargetNotice returns the notice of the target that the message was sent to: the zero Notice if
+// a different target answered.
 func (h *Head) TargetNotice() Notice {
 	if h.Status == statusMisdirected {
 		return Notice{}
@@ -104,27 +108,27 @@
 	return h.Notice
 }
 
-// Disposition is what an answer is good for.
+// Disposition says what is to be done with an answer.
 type Disposition int
 
-// The verdicts.
+// Dispositions of an answer.
 const (
-	// Deliver means that the answer is the caller's.
+	// Deliver means that the answer goes to the caller.
 	Deliver Disposition = iota
-	// Rejected means that the call has not run at this target.
+	// Rejected means that the target has not run the call.
 	Rejected
-	// Erred means that the target ran the call and failed; the answer may be given
-	// to the caller if no other target does better.
+	// TargetError means that the target ran the call and failed. The answer may go to the
+	// caller if no other target succeeds.
 	TargetError
-	// Useless means that the call may have run, and that the answer must not be
-	// given to the caller.
+	// Unusable means that the call may have run, and that the answer must not go to the
+	// caller.
 	Unusable
 )
 
-// statusMisdirected is the answer of a target that is not the one that was meant.
+// statusMisdirected is the HTTP status of a target that received a message meant for another one.
 const statusMisdirected = 421
 
-// Judge tells what an answer is good for from its head.
+// Classify returns the disposition of the answer with this head.
 func (h *Head) Classify() Disposition {
 	switch {
 	case h.NotExecuted || h.Status == statusMisdirected:
@@ -137,7 +141,7 @@
 		}
 		return Deliver
 	case impliesNotExecuted(h.Status):
-		// To the caller it would mean that nothing ran, which the target did not say.
+		// The caller would take the status to mean that nothing ran, which the target did not state.
 		return Unusable
 	case h.Status >= 500:
 		return TargetError
@@ -146,36 +150,37 @@
 	}
 }
 
-// impliesNotExecuted tells whether callers take a status as the word that nothing ran.
+// impliesNotExecuted reports whether callers take an HTTP status to mean that the call did not run.
 func impliesNotExecuted(status int) bool {
 	return status == 408 || status == 421 || status == 429 || status == 503
 }
 
-// Rules are what a route allows.
+// Rules are a route's rules for sending a call again.
 type Rules struct {
-	// Repeatable calls may run more than once.
+	// Repeatable is true if a call may run more than once.
 	Repeatable bool
-	// MaxAttempts is the most targets that may run the call.
+	// MaxAttempts is the maximum number of sends after which a target may have run the call.
 	MaxAttempts int
 }
 
-// maxRejections is the most targets that may turn a call away before it is refused:
-// each of them costs a part of the fleet's budget for repeated sends, and where
-// three in a row are full the next one most likely is too.
+// maxRejections is the number of targets that may reject a call before the daemon refuses it.
+// Each further send uses some of the fleet's retry budget, and if three targets in a row are
+// full, the next one most likely is full as well.
 const maxRejections = 3
 
-// Progress is what is known of a call so far. The zero value with Rules set is a
-// call that has not been sent.
+// Progress records the sends of one call. The zero value with Rules set is a call that has not
+// been sent.
 type Progress struct {
 	Rules Rules
-	// Begun is true once the caller has been given the head of an answer.
+	// AnswerStarted is true once the caller has received the head of an answer.
 	AnswerStarted bool
 
 	mayHaveRun int // sends after which a target may have run the call
-	rejections int // sends that a target turned away
+	rejections int // sends that a target rejected
 }
 
-// Failed takes the result of a send that did not lead to a whole answer.
+// RecordFailure records a send that did not give a complete answer: whether the call ran, and
+// whether the send reached a target.
 func (p *Progress) RecordFailure(x fault.Execution, reached bool) {
 	switch {
 	case x != fault.NotRun:
@@ -185,11 +190,11 @@
 	}
 }
 
-// Sends is the number of sends that reached a target.
+// Sends returns the number of sends that reached a target.
 func (p *Progress) Sends() int { return p.mayHaveRun + p.rejections }
 
-// MayTryAgain tells whether the rules allow one more send. The budget for repeated
-// sends and the time left are not its matter.
+// MayRetry reports whether the rules allow one more send. The caller checks the retry budget and
+// the remaining time.
 func (p *Progress) MayRetry() bool {
 	if p.mayHaveRun > 0 && !p.Rules.Repeatable {
 		return false
@@ -197,7 +202,7 @@
 	return p.mayHaveRun < p.Rules.MaxAttempts && p.rejections < maxRejections
 }
 
-// Execution is what can be said of the call when no send is under way.
+// Execution returns what is known about execution of the call while no send is in progress.
 func (p *Progress) Execution() fault.Execution {
 	if p.AnswerStarted {
 		return fault.Ran
--- a/core/forward/forward_test.go
+++ b/core/forward/forward_test.go
@@ -14,27 +14,27 @@
 		want Disposition
 	}{
 		"success":                 {Head{Status: 200, Signed: true}, Deliver},
-		"success without sign":    {Head{Status: 200}, Unusable},
+		"unsigned success":        {Head{Status: 200}, Unusable},
 		"encoded":                 {Head{Status: 200, Signed: true, Encoded: true}, Unusable},
-		"full":                    {Head{Status: 503, NotExecuted: true}, Rejected},
-		"limit":                   {Head{Status: 429, NotExecuted: true}, Rejected},
-		"other target":            {Head{Status: 421}, Rejected},
-		"503 without a word":      {Head{Status: 503, Signed: true}, Unusable},
-		"429 without a word":      {Head{Status: 429, Signed: true}, Unusable},
-		"408 without a word":      {Head{Status: 408}, Unusable},
-		"own failure":             {Head{Status: 500, Signed: true}, TargetError},
-		"own timeout":             {Head{Status: 504, Signed: true}, TargetError},
+		"full target":             {Head{Status: 503, NotExecuted: true}, Rejected},
+		"rate limit":              {Head{Status: 429, NotExecuted: true}, Rejected},
+		"another target":          {Head{Status: 421}, Rejected},
+		"503 without NotExecuted": {Head{Status: 503, Signed: true}, Unusable},
+		"429 without NotExecuted": {Head{Status: 429, Signed: true}, Unusable},
+		"408 without NotExecuted": {Head{Status: 408}, Unusable},
+		"target failure":          {Head{Status: 500, Signed: true}, TargetError},
+		"target timeout":          {Head{Status: 504, Signed: true}, TargetError},
 		"not found at the target": {Head{Status: 404, Signed: true}, Deliver},
 	} {
 		if got := c.head.Classify(); got != c.want {
-			t.Errorf("%s: %v, want %v", name, got, c.want)
+			t.Errorf("%s: Classify() = %v, want %v", name, got, c.want)
 		}
 	}
 }
 
-// TestProgressRetryRules: whatever happens to the sends of a call, one that may
-// not be repeated is not sent again once it may have run, "not run" is said only
-// where nothing can have run, and the sends are bounded.
+// TestProgressRetryRules checks for any results of the sends that a call which must not be repeated
+// is not sent again once it may have run, that NotRun is reported only if no target can have run
+// the call, and that the number of sends is bounded.
 func TestProgressRetryRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Progress{Rules: Rules{
@@ -47,7 +47,7 @@
 				break
 			}
 			if mayHaveRun > 0 && !p.Rules.Repeatable {
-				t.Fatal("sent again though it may have run")
+				t.Fatal("MayRetry() = true for a call that may have run and must not be repeated")
 			}
 			x := rapid.SampledFrom([]fault.Execution{fault.NotRun, fault.Unknown, fault.Ran}).Draw(t, "execution")
 			if x != fault.NotRun {
@@ -55,11 +55,11 @@
 			}
 			p.RecordFailure(x, x != fault.NotRun || rapid.Bool().Draw(t, "reached"))
 			if (p.Execution() == fault.NotRun) != (mayHaveRun == 0) {
-				t.Fatalf("said %v after %d runs", p.Execution(), mayHaveRun)
+				t.Fatalf("Execution() = %v after %d sends that may have run", p.Execution(), mayHaveRun)
 			}
 		}
 		if mayHaveRun > p.Rules.MaxAttempts {
-			t.Fatalf("%d targets may have run it, %d are allowed", mayHaveRun, p.Rules.MaxAttempts)
+			t.Fatalf("%d targets may have run the call, want at most %d", mayHaveRun, p.Rules.MaxAttempts)
 		}
 	})
 }
--- a/core/forward/limit.go
+++ b/core/forward/limit.go
@@ -5,19 +5,20 @@
 	"strconv"
 )
 
-// Limit is a target's word on how many requests a second it takes from all daemons together. The
-// zero value is no word.
+// Limit is what a target's answer says of the rate of requests that the target accepts from all
+// daemons together. The zero value says nothing.
 type Limit struct {
-	// Named is true where the target names a limit, Lifted where it answered a call and named none.
+	// Declared is true if the answer states a limit, Lifted if it answers a call and states none.
 	Declared, Lifted bool
-	// PerSecond is the named limit in requests a second.
+	// PerSecond is the declared limit in requests per second.
 	PerSecond float64
 }
 
-// maxPerSecond bounds what is read as a limit; more than that binds nobody.
+// maxPerSecond is the largest limit, in requests per second; a higher one would limit no caller.
 const maxPerSecond = 1e6
 
-// DeclaredLimit returns the word of a target that names a limit, and no word for what is none.
+// DeclaredLimit returns a declared limit in requests per second, capped at maxPerSecond. A negative
+// rate or NaN gives the zero Limit.
 func DeclaredLimit(perSecond float64) Limit {
 	if math.IsNaN(perSecond) || perSecond < 0 {
 		return Limit{}
@@ -25,7 +26,7 @@
 	return Limit{Declared: true, PerSecond: min(perSecond, maxPerSecond)}
 }
 
-// String is the limit as logs show it.
+// String returns the limit as logs show it.
 func (l Limit) String() string {
 	switch {
 	case l.Declared:
--- a/core/forward/notice.go
+++ b/core/forward/notice.go
@@ -2,40 +2,41 @@
 
 import "time"
 
-// Notice is what a target says of itself beside an answer. The zero value says nothing.
+// Notice is what a target says of its own state in the headers of an answer. The zero value says
+// nothing.
 type Notice struct {
-	// Leaving means that the target's process is about to end and wants no new calls. The
-	// store may say so much later: it may be away.
+	// Draining is true if the target's process is about to end and accepts no new calls. The
+	// platform's store may be unavailable and report this much later.
 	Draining bool
-	// Rest is how long the target wants no calls from this daemon.
+	// Backoff is how long the target wants no calls from this daemon.
 	Backoff time.Duration
-	// Limit is what the target says of the rate of requests that it takes from all daemons.
+	// Limit is the rate limit that the target states for all daemons together.
 	Limit Limit
 }
 
 const (
-	// drainRetention is how long the word that a target leaves holds after it was last said. Its
-	// process ends within a minute or two; the store tells of that unless it is away.
+	// drainRetention is how long a target counts as draining after its last notice of that. Its
+	// process ends within a minute or two, which the store reports unless it is unavailable.
 	drainRetention = 10 * time.Minute
-	// limitRetention is how long a limit holds after it was last named, for a target that is gone.
+	// limitRetention is how long a limit is kept after it was last declared, for targets that are gone.
 	limitRetention = 10 * time.Minute
-	// maxBackoff bounds what is believed of a time of rest.
+	// maxBackoff caps the backoff that a target asks for.
 	maxBackoff = 10 * time.Minute
 )
 
-// Notices are what targets have said of themselves, by their ids. They outlive a target's entry,
-// which may run out and come back while the store is away.
+// Notices holds the notices of targets by target id. A target's notices outlive its entry in the
+// target list, which may expire and come back while the store is unavailable.
 type Notices struct {
 	byTarget map[string]*targetNotices
 }
 
-// targetNotices is what one target said.
+// targetNotices is what one target's notices say.
 type targetNotices struct {
 	address string
 	// started is when the target's process started, in Unix milliseconds; zero where it was
-	// not known when the target spoke.
+	// not known when the notice arrived.
 	started        int64
-	drainNoticedAt time.Time // when it last said that it leaves; zero if it did not
+	drainNoticedAt time.Time // last notice that the target is draining; zero if none
 	backoffUntil   time.Time
 	limiter        RateLimiter
 }
@@ -43,43 +44,43 @@
 // NewNotices returns an empty collection.
 func NewNotices() *Notices { return &Notices{byTarget: map[string]*targetNotices{}} }
 
-// Empty tells whether no target has said anything that may still hold.
+// Empty reports whether there are no notices that may still apply.
 func (n *Notices) Empty() bool { return len(n.byTarget) == 0 }
 
-// TimedNotice is a notice with the times that it belongs to: when the call was sent that the target
-// answered, and when the answer came.
+// TimedNotice is a notice with the time at which the answered call was sent and the time at which
+// the answer was received. Sent is zero for a limit declared to another daemon.
 type TimedNotice struct {
 	Notice
 	Sent, Received time.Time
 }
 
-// Take takes in what a target at an address said, whose process started then, and tells whether
-// any of it is new.
-func (n *Notices) Record(id, address string, started int64, said TimedNotice) bool {
-	known, at := n.byTarget[id], said.Received
-	if known == nil && !said.informative() {
+// Record records a notice of a target and reports whether any of it is new. The target is listed
+// under the address, and started is the start of its process in Unix milliseconds, zero if unknown.
+func (n *Notices) Record(id, address string, started int64, notice TimedNotice) bool {
+	known, at := n.byTarget[id], notice.Received
+	if known == nil && !notice.informative() {
 		return false
 	}
 	if known == nil {
 		known = &targetNotices{address: address, started: started}
 		n.byTarget[id] = known
 	}
-	news := false
-	if said.Draining {
-		news = !known.draining(at)
+	isNew := false
+	if notice.Draining {
+		isNew = !known.draining(at)
 		known.drainNoticedAt = at
 	}
-	if said.Backoff > 0 {
-		news = news || !at.Before(known.backoffUntil)
-		known.backoffUntil = at.Add(min(said.Backoff, maxBackoff))
+	if notice.Backoff > 0 {
+		isNew = isNew || !at.Before(known.backoffUntil)
+		known.backoffUntil = at.Add(min(notice.Backoff, maxBackoff))
 	}
-	return known.limiter.update(said) || news
+	return known.limiter.update(notice) || isNew
 }
 
-// tells tells whether a notice says more than that all is as usual.
+// informative reports whether the notice says more than that the target works as usual.
 func (n *Notice) informative() bool { return n.Draining || n.Backoff > 0 || n.Limit.Declared }
 
-// RateLimiter keeps to the limit that a target has named and not lifted; nil where there is none.
+// RateLimiter returns the rate limiter of a target whose limit is in force; nil if there is none.
 func (n *Notices) RateLimiter(id string) *RateLimiter {
 	known := n.byTarget[id]
 	if known == nil || !known.limiter.limit.Declared {
@@ -88,7 +89,7 @@
 	return &known.limiter
 }
 
-// Leaves tells whether a target has said that it leaves.
+// Draining reports whether a target has given notice that it is draining.
 func (n *Notices) Draining(id string, at time.Time) bool {
 	known := n.byTarget[id]
 	return known != nil && known.draining(at)
@@ -98,7 +99,7 @@
 	return !k.drainNoticedAt.IsZero() && at.Sub(k.drainNoticedAt) < drainRetention
 }
 
-// Rests is for how long a target still wants no calls; zero if it takes them.
+// BackoffLeft returns for how long a target still wants no calls; zero if it accepts them.
 func (n *Notices) BackoffLeft(id string, at time.Time) time.Duration {
 	known := n.byTarget[id]
 	if known == nil {
@@ -107,9 +108,9 @@
 	return max(0, known.backoffUntil.Sub(at))
 }
 
-// Seen takes in under which address a target is listed, and when its process started if that is
-// told. That an earlier process leaves does not hold for a later one. A time of rest does: it is
-// short, and what made the target ask for it may have ended its process.
+// UpdateTarget takes the address under which a target is listed and the start of its process in Unix
+// milliseconds, zero if unknown. A drain notice of an earlier process does not hold for a later
+// one. A backoff does: it is short, and the process may have ended for the reason for which it asked.
 func (n *Notices) UpdateTarget(id, address string, started int64) {
 	known := n.byTarget[id]
 	if known == nil {
@@ -117,14 +118,14 @@
 	}
 	later := known.started > 0 && started > known.started
 	if known.started == 0 && !known.drainNoticedAt.IsZero() && started > known.drainNoticedAt.UnixMilli() {
-		later = true // It started after it had last said so, so it was another that said it.
+		later = true // The notice came before this process started, so it was another process's.
 	}
 	if later || known.address != address {
 		known.drainNoticedAt, known.address, known.started = time.Time{}, address, started
 	}
 }
 
-// Trim forgets what holds no longer.
+// RemoveExpired deletes the notices that no longer apply.
 func (n *Notices) RemoveExpired(at time.Time) {
 	for id, known := range n.byTarget {
 		limited := known.limiter.limit.Declared && at.Sub(known.limiter.declaredAt) < limitRetention
--- a/core/forward/ratelimiter.go
+++ b/core/forward/ratelimiter.go
@@ -2,54 +2,54 @@
 
 import "time"
 
-// RateLimiter keeps the calls to one target within the limit that it has named: each call takes the
-// time that lies between two calls at that rate.
+// RateLimiter keeps the calls to one target within its declared limit: each call occupies one
+// interval at the limit's rate.
 type RateLimiter struct {
 	limit Limit
-	// asOf is how recent the word is on which the limit rests.
+	// declaredAt is the time of the notice that set or lifted the limit.
 	declaredAt time.Time
-	// next is when the calls so far are paid for, last when the last of them was sent.
+	// nextFree is the end of the intervals of all calls so far, and lastSent when the last one was sent.
 	nextFree, lastSent time.Time
 }
 
 const (
 	// burst is how far calls may run ahead of the limit's rate.
 	burst = 500 * time.Millisecond
-	// minRate is the rate, in requests a second, at which a target is called whatever it names:
-	// only an answer shows that it takes more again.
+	// minRate is the rate, in requests per second, at which a target is called at any declared limit:
+	// only an answer shows that the target accepts more again.
 	minRate = 0.25
 )
 
-// Limit is the limit in force.
+// Limit returns the limit in force.
 func (l *RateLimiter) Limit() Limit { return l.limit }
 
-// Named is when the limit was last named.
+// DeclaredAt returns when the limit was last declared.
 func (l *RateLimiter) DeclaredAt() time.Time { return l.declaredAt }
 
-// recordNotice takes in a target's word and tells whether it is news. Words overtake each other: only a call
-// sent after the limit was named shows that it is lifted, and a word that another daemon passes on may
-// be older than what is known here.
-func (l *RateLimiter) update(said TimedNotice) bool {
+// update applies the limit of a notice and reports whether it changes the limit. Notices arrive out
+// of order: only a call sent after the limit was declared shows that it is lifted, and a notice that
+// another daemon passes on may be older than the limit in force.
+func (l *RateLimiter) update(notice TimedNotice) bool {
 	switch {
-	case said.Limit.Declared && said.Received.After(l.declaredAt):
-		news := l.limit != said.Limit
-		l.limit, l.declaredAt = said.Limit, said.Received
-		if said.Sent.After(l.lastSent) {
-			l.lastSent = said.Sent
+	case notice.Limit.Declared && notice.Received.After(l.declaredAt):
+		changed := l.limit != notice.Limit
+		l.limit, l.declaredAt = notice.Limit, notice.Received
+		if notice.Sent.After(l.lastSent) {
+			l.lastSent = notice.Sent
 		}
-		return news
-	case said.Limit.Lifted && l.limit.Declared && said.Sent.After(l.declaredAt):
-		l.limit, l.declaredAt = Limit{}, said.Sent
+		return changed
+	case notice.Limit.Lifted && l.limit.Declared && notice.Sent.After(l.declaredAt):
+		l.limit, l.declaredAt = Limit{}, notice.Sent
 		return true
 	default:
 		return false
 	}
 }
 
-// Rate is the requests a second that the target is called with.
+// Rate returns the rate at which the target is called, in requests per second.
 func (l *RateLimiter) Rate() float64 { return max(l.limit.PerSecond, minRate) }
 
-// Count counts a call.
+// RecordCall records a call that is sent to the target.
 func (l *RateLimiter) RecordCall(at time.Time) {
 	l.lastSent = at
 	if l.nextFree.Before(at) {
@@ -58,8 +58,8 @@
 	l.nextFree = l.nextFree.Add(time.Duration(float64(time.Second) / l.Rate()))
 }
 
-// Wait is how long it takes until one more call keeps to the limit.
+// Wait returns the time until one more call is within the limit.
 func (l *RateLimiter) Wait(at time.Time) time.Duration { return max(0, l.nextFree.Sub(at.Add(burst))) }
 
-// Idle is the time since the last call.
+// SinceLastCall returns the time since the last call to the target.
 func (l *RateLimiter) SinceLastCall(at time.Time) time.Duration { return max(0, at.Sub(l.lastSent)) }
--- a/core/forward/patience_test.go
+++ b/core/forward/silence_timeouts_test.go
@@ -7,28 +7,28 @@
 	"doorstack.dev/core/fault"
 )
 
-// TestTimeoutsEndBeforeCallerTimeout: callers leave after the longest of 2 s, four goals and
-// eight pauses; a target is left earlier, and not as soon as it is late.
+// TestTimeoutsEndBeforeCallerTimeout checks that a silent target is given up before its caller, which
+// waits for the longest of 2 s, four goals and eight pauses, but not as soon as it misses the goal.
 func TestTimeoutsEndBeforeCallerTimeout(t *testing.T) {
-	for name, c := range map[string]struct{ goal, gap, callers time.Duration }{
+	for name, c := range map[string]struct{ goal, gap, callerTimeout time.Duration }{
 		"chat":     {300 * time.Millisecond, 250 * time.Millisecond, 2 * time.Second},
-		"reading":  {1500 * time.Millisecond, 600 * time.Millisecond, 6 * time.Second},
+		"prefill":  {1500 * time.Millisecond, 600 * time.Millisecond, 6 * time.Second},
 		"referral": {3 * time.Second, time.Second, 12 * time.Second},
 		"no goals": {0, 0, 2 * time.Second},
 	} {
 		p := StreamTimeouts(c.goal, c.gap)
-		if p.FirstEvent <= 2*c.goal || p.FirstEvent > c.callers*3/4 {
-			t.Errorf("%s: %v to the first event, callers wait %v", name, p.FirstEvent, c.callers)
+		if p.FirstEvent <= 2*c.goal || p.FirstEvent > c.callerTimeout*3/4 {
+			t.Errorf("%s: FirstEvent = %v, want more than %v and at most %v", name, p.FirstEvent, 2*c.goal, c.callerTimeout*3/4)
 		}
-		if p.BetweenEvents <= 4*c.gap || p.BetweenEvents > c.callers*9/10 {
-			t.Errorf("%s: %v between events, callers wait %v", name, p.BetweenEvents, c.callers)
+		if p.BetweenEvents <= 4*c.gap || p.BetweenEvents > c.callerTimeout*9/10 {
+			t.Errorf("%s: BetweenEvents = %v, want more than %v and at most %v", name, p.BetweenEvents, 4*c.gap, c.callerTimeout*9/10)
 		}
 	}
 	if p := PlainTimeouts(300 * time.Millisecond); p.FirstEvent != 600*time.Millisecond || p.BetweenEvents != 0 {
-		t.Errorf("plain: %+v", p)
+		t.Errorf("PlainTimeouts(300ms) = %+v, want 600ms to the first event and no other bound", p)
 	}
 	if p := PlainTimeouts(0); p != (SilenceTimeouts{}) {
-		t.Errorf("without a goal there is no bound: %+v", p)
+		t.Errorf("PlainTimeouts(0) = %+v, want no bounds", p)
 	}
 }
 
@@ -38,12 +38,12 @@
 		{SilenceTimeouts{FirstEvent: 3, BetweenEvents: 9}, SilenceTimeouts{FirstEvent: 3, BetweenEvents: 7}},
 	} {
 		if got := c.in.AtMost(7); got != c.want {
-			t.Errorf("%+v bounded by 7: %+v, want %+v", c.in, got, c.want)
+			t.Errorf("%+v.AtMost(7) = %+v, want %+v", c.in, got, c.want)
 		}
 	}
 }
 
-// TestMayRetryAfterUnknown: whether a call may go elsewhere is asked before its send has ended.
+// TestMayRetryAfterUnknown checks the question that is asked before a send has ended.
 func TestMayRetryAfterUnknown(t *testing.T) {
 	for name, c := range map[string]struct {
 		rules Rules
@@ -61,7 +61,7 @@
 		}
 		before := p
 		if got := p.MayRetryAfterUnknown(); got != c.want || p != before {
-			t.Errorf("%s: %v, want %v", name, got, c.want)
+			t.Errorf("%s: MayRetryAfterUnknown() = %v, want %v and an unchanged Progress", name, got, c.want)
 		}
 	}
 }
