--- a/core/share/share.go
+++ b/core/share/share.go
@@ -1,77 +1,78 @@
-// Package share divides an account's limits over the daemons, without shared
-// writes. One daemon owns an account (the first of its rendezvous order among
-// the living) and leases fractions of the limit to those that have demand.
+// Package share divides the limits of a client account among the daemons, without a
+// shared store. One daemon owns an account: the first alive one in the account's
+// rendezvous order. It leases fractions of the limit to the daemons that have demand.
 //
-// A small part of the limit, Reserve, is not leased: each published daemon may
-// always use its equal part of it, so that a daemon without a lease is never
-// quite without room. The rest is leased, but only as much as the part of the
-// published daemons that the owner believes alive: in a split, the owners on the
-// two sides together lease no more than the whole. When they meet again, nothing
-// is raised until the leases of the other side have run out. A fraction is lowered at its
-// holder, or has run out, before it is raised elsewhere. A new owner grants
-// nothing but what holders say they have until every lease of an owner before it
-// has run out.
+// A small fraction of the limit, ReserveFraction, is never leased: each published daemon
+// may always use an equal part of it, so that a daemon without a lease can still serve
+// calls. Of the rest, the owner leases only the share of the published daemons that it
+// believes alive: in a network partition, the owners on both sides together lease no more
+// than the whole. When the sides reconnect, no fraction is raised until the leases of the
+// other side have expired. A fraction is raised only after another holder has lowered its
+// own, or its lease has expired. Until every lease of the previous owner has expired, a new
+// owner grants each holder only the fraction that the holder says it has.
 //
-// What can pass the limit: a daemon that restarts uses its part of the reserve
-// while its old lease is still counted (that is within the limit), and lists that
-// differ while a host is added let each daemon think its part larger than it is,
-// by one part in the number of daemons, for as long as the list lags.
+// The sum stays within the limit when a daemon restarts, although the daemon then uses its
+// part of the reserve while its old lease is still counted. The sum can exceed the limit
+// while a host is added: as long as their host lists lag, daemons take their parts of the
+// reserve to be larger than they are, by one part in the number of daemons.
 package share
 
 import (
 	"time"
 )
 
-// The times and sizes of leases.
+// Durations of leases, and parameters of their fractions.
 const (
-	// TTL is how long a lease lasts without renewal.
+	// LeaseTTL is how long a lease lasts without renewal.
 	LeaseTTL = 8 * time.Second
 	// RenewInterval is the time between renewals.
 	RenewInterval = 2 * time.Second
-	// Reserve is the part of a limit that is not leased.
+	// ReserveFraction is the fraction of a limit that is not leased.
 	ReserveFraction = 0.05
-	// headroom is how many times its demand a holder may be given.
+	// demandHeadroom is how many times its demand a holder may be granted.
 	demandHeadroom = 2
-	// minDemandWeight lets a holder with no demand keep a little.
+	// minDemandWeight is added to each demand, so that a holder without demand keeps a small fraction.
 	minDemandWeight = 0.01
 )
 
-// Floor is the fraction that each published daemon may always use.
+// Floor returns the fraction of a limit that each of the published daemons may always use.
 func Floor(published int) float64 { return ReserveFraction / float64(max(1, published)) }
 
-// Renewal asks for a lease, or for more time.
+// Renewal is a daemon's request for a lease or for its renewal.
 type Renewal struct {
-	// Holder is the daemon that asks.
+	// Holder is the name of the daemon.
 	Holder string
-	// Demand is what its callers ask for, in limits: 1 is the whole limit.
+	// Demand is what the daemon's callers ask for, as a fraction of the limit; it may exceed 1.
 	Demand float64
-	// Holding is the fraction it has now, Ack the last grant it took over.
+	// Fraction is the leased fraction that the daemon has now, and AckedSequence the sequence
+	// number of the last grant that it accepted.
 	Fraction      float64
 	AckedSequence uint64
 }
 
-// Grant is a lease.
+// Grant is an owner's answer to a Renewal: a lease for LeaseTTL.
 type Grant struct {
-	// Sequence orders the grants of an owner.
+	// Sequence orders the grants of an account; later ones are higher.
 	Sequence uint64
-	// Fraction is the part of the limit, beside the floor.
+	// Fraction is the leased fraction of the limit, in addition to the floor.
 	Fraction float64
 }
 
-// outstandingGrant is one that may still be in use.
+// outstandingGrant is a grant that its holder may still be using.
 type outstandingGrant struct {
 	sequence uint64
 	fraction float64
 	expires  time.Time
 }
 
+// holderState is what an owner knows of one holder.
 type holderState struct {
 	demand      float64
 	lastRenewal time.Time
 	grants      []outstandingGrant // those not superseded by an acknowledged one
 }
 
-// outstanding is the most that the holder may be using.
+// maxInUse returns the largest fraction that the holder may be using.
 func (h *holderState) maxInUse(now time.Time) float64 {
 	most := 0.0
 	for _, g := range h.grants {
@@ -82,7 +83,8 @@
 	return most
 }
 
-// acknowledge drops the grants that a later one has replaced at the holder.
+// acknowledge drops the grants that the holder has replaced by the one with this sequence number,
+// and those that have expired.
 func (h *holderState) acknowledge(sequence uint64, now time.Time) {
 	kept := h.grants[:0]
 	for _, g := range h.grants {
@@ -93,17 +95,17 @@
 	h.grants = kept
 }
 
-// Owner leases out the limit of one account.
+// Owner leases out the limits of one account.
 type Owner struct {
-	waitFrom time.Time
+	waitFrom time.Time // leases of other owners may be in use until LeaseTTL after it
 	sequence uint64
 	holders  map[string]*holderState
 }
 
-// NewOwner starts owning an account. The sequence starts at the time, so that
-// the grants of an owner before it count as older. With settled true the caller
-// vouches that no lease of an owner before can be in use but those that it tells
-// by Adopt; otherwise the owner waits until they have run out.
+// NewOwner returns the owner of an account. Sequence numbers start at the current time, so that
+// grants of previous owners count as older. With settled true, the caller guarantees that no
+// lease of a previous owner is in use except those that it passes to Adopt; otherwise the owner
+// waits until such leases have expired.
 func NewOwner(settled bool, now time.Time) *Owner {
 	o := &Owner{waitFrom: now, sequence: uint64(now.UnixNano()), holders: map[string]*holderState{}}
 	if settled {
@@ -112,7 +114,7 @@
 	return o
 }
 
-// Adopt counts a lease that a holder has from an owner before.
+// Adopt records a lease that a previous owner granted to a holder.
 func (o *Owner) Adopt(name string, fraction float64, now time.Time) {
 	h := o.holders[name]
 	if h == nil {
@@ -122,13 +124,13 @@
 	h.grants = append(h.grants, outstandingGrant{o.sequence, fraction, now.Add(LeaseTTL)})
 }
 
-// Joined tells the owner that a daemon came to life, or back from the other side
-// of a split. It may hold a lease of another owner, so nothing is raised until
-// that has run out.
+// DaemonJoined tells the owner that a daemon has started, or is reachable again after a network
+// partition. The daemon may hold a lease of another owner, so the owner raises no fraction until
+// such a lease has expired.
 func (o *Owner) DaemonJoined(now time.Time) { o.waitFrom = now }
 
-// Renew answers a renewal. alive and published count the daemons that this one
-// believes alive and that are on the platform's list.
+// Renew answers a renewal with a grant. alive is the number of daemons that this one believes
+// alive, and published the number in the platform's host list.
 func (o *Owner) Renew(r Renewal, alive, published int, now time.Time) Grant {
 	h := o.holders[r.Holder]
 	if h == nil {
@@ -143,15 +145,15 @@
 	return Grant{Sequence: o.sequence, Fraction: fraction}
 }
 
-// leasable is the part of the limit that may be leased out.
+// leasable returns the fraction of the limit that may be leased.
 func leasable(alive, published int) float64 {
 	return (1 - ReserveFraction) * min(1, float64(alive)/float64(max(1, published)))
 }
 
-// target is the holder's part by demand.
+// targetFraction returns the fraction that the holder should have by its demand.
 func (o *Owner) targetFraction(r Renewal, h *holderState, alive, published int, now time.Time) float64 {
 	if now.Sub(o.waitFrom) < LeaseTTL {
-		// The grants of an owner before this one are still in use.
+		// Leases of a previous owner may still be in use.
 		return r.Fraction
 	}
 	sum := 0.0
@@ -162,14 +164,14 @@
 		}
 		sum += other.demand + minDemandWeight
 	}
-	all := leasable(alive, published)
-	// Nobody gets much more than it asks for: what is not leased out can be given
-	// at once to the next daemon that asks, without taking it from anybody first.
-	wanted := demandHeadroom*h.demand + all/float64(2*max(1, published))
-	return min(wanted, all*(h.demand+minDemandWeight)/sum)
+	total := leasable(alive, published)
+	// No holder gets much more than its demand: what is not leased can be granted at once to
+	// the next daemon that asks, without reducing another holder's fraction first.
+	wanted := demandHeadroom*h.demand + total/float64(2*max(1, published))
+	return min(wanted, total*(h.demand+minDemandWeight)/sum)
 }
 
-// available is what no other holder may be using.
+// availableFraction returns the leasable fraction that no other holder may be using.
 func (o *Owner) availableFraction(name string, alive, published int, now time.Time) float64 {
 	left := leasable(alive, published)
 	for other, h := range o.holders {
@@ -180,7 +182,7 @@
 	return max(0, left)
 }
 
-// Idle tells whether nobody holds a lease any more.
+// Idle reports whether no lease of this owner or a previous one can be in use.
 func (o *Owner) Idle(now time.Time) bool {
 	for _, h := range o.holders {
 		if h.maxInUse(now) > 0 {
@@ -190,15 +192,16 @@
 	return now.Sub(o.waitFrom) > LeaseTTL
 }
 
-// Holder is a daemon's lease on one account.
+// Holder is a daemon's lease on the limits of one account. The zero value holds no lease.
 type Holder struct {
 	fraction float64
 	sequence uint64
 	expires  time.Time
 }
 
-// Accept takes over a grant that was asked for at the given time; the lease
-// counts from then, so that it ends at the holder before it ends at the owner.
+// Accept applies a grant that was requested at the given time. The lease is counted from that
+// time, so that it expires at the holder before it expires at the owner. A grant that is not
+// newer than the last one is ignored.
 func (h *Holder) Accept(g Grant, asked time.Time) {
 	if g.Sequence <= h.sequence {
 		return
@@ -206,7 +209,7 @@
 	h.fraction, h.sequence, h.expires = g.Fraction, g.Sequence, asked.Add(LeaseTTL)
 }
 
-// Leased is the fraction in force now, beside the floor.
+// LeasedFraction returns the leased fraction in force, in addition to the floor; zero without a lease.
 func (h *Holder) LeasedFraction(now time.Time) float64 {
 	if !now.Before(h.expires) {
 		return 0
@@ -214,13 +217,13 @@
 	return h.fraction
 }
 
-// Expires is when the lease ends.
+// Expires returns when the lease expires.
 func (h *Holder) Expires() time.Time { return h.expires }
 
-// Renewal asks for more time, with the demand of the last period.
+// NewRenewal returns the renewal of the daemon with this name, with its demand in the last period.
 func (h *Holder) NewRenewal(name string, demand float64, now time.Time) Renewal {
 	return Renewal{Holder: name, Demand: demand, Fraction: h.LeasedFraction(now), AckedSequence: h.sequence}
 }
 
-// Void ends the lease, after a pause of the process.
+// Invalidate ends the lease, for example after a pause of the process.
 func (h *Holder) Invalidate() { h.expires = time.Time{} }
--- a/core/share/share_test.go
+++ b/core/share/share_test.go
@@ -12,13 +12,13 @@
 
 const daemonCount = 6
 
-// fleetModel is one account at several daemons that may be split in two. Each
-// side that has daemons has an owner of its own.
+// fleetModel models one account at several daemons, which a network partition may split into two
+// sides. Each side with daemons has its own owner of the account.
 type fleetModel struct {
 	now     time.Time
 	holders [daemonCount]*Holder
 	side    [daemonCount]int
-	owners  map[int]*Owner // by the daemon that owns
+	owners  map[int]*Owner // by the index of the owning daemon
 	demand  [daemonCount]float64
 }
 
@@ -30,7 +30,7 @@
 	return m
 }
 
-// owner is the first daemon of a side.
+// owner returns the owner on a side, which is its first daemon, and the number of daemons there.
 func (m *fleetModel) owner(side int) (owner, alive int) {
 	owner = -1
 	for i, s := range m.side {
@@ -45,6 +45,7 @@
 	return owner, alive
 }
 
+// renew renews the lease of daemon i; the grant does not arrive if lost is true.
 func (m *fleetModel) renew(i int, lost bool) {
 	id, alive := m.owner(m.side[i])
 	o := m.owners[id]
@@ -66,8 +67,8 @@
 	return total
 }
 
-// TestLeasesStayWithinLimit holds for splits, lost messages, deaths of owners
-// and holders, and any demand.
+// TestLeasesStayWithinLimit checks that the daemons together never exceed the limit, with partitions,
+// lost messages, restarts of owners and holders, and any demand.
 func TestLeasesStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newFleetModel()
@@ -93,7 +94,7 @@
 			},
 			"": func(t *rapid.T) {
 				if s := m.totalFraction(); s > 1+1e-9 {
-					t.Fatalf("the daemons may use %f of the limit", s)
+					t.Fatalf("the daemons may use %f of the limit, want at most 1", s)
 				}
 			},
 		})
@@ -123,7 +124,7 @@
 	one.demand[3] = 1
 	one.settle()
 	if f := one.holders[3].LeasedFraction(one.now.Add(-time.Second)); f < 0.85 {
-		t.Errorf("one daemon with all the traffic may use %.2f of the limit", f)
+		t.Errorf("one daemon with all the traffic may use %.2f of the limit, want at least 0.85", f)
 	}
 	all := newFleetModel()
 	for i := range all.demand {
@@ -132,6 +133,6 @@
 	all.settle()
 	all.now = all.now.Add(-time.Second)
 	if s := all.totalFraction(); s < 0.95 {
-		t.Errorf("all together may use %.2f of the limit", s)
+		t.Errorf("all daemons together may use %.2f of the limit, want at least 0.95", s)
 	}
 }
