--- a/core/fault/fault.go
+++ b/core/fault/fault.go
@@ -1,6 +1,6 @@
-// Package fault holds the typed errors that doorstack gives to callers and
-// operators. Each one has a kind, a message that names the remedy, what is
-// known about execution, and whether and when a retry makes sense.
+// Package fault defines the typed errors that doorstack returns to callers and
+// shows to operators. Each has a kind, a message, a remedy, what is known about
+// execution of the request, and whether and when a retry makes sense.
 package fault
 
 import (
@@ -10,21 +10,22 @@
 	"github.com/go-faster/errors"
 )
 
-// Execution says what is known about whether a request ran at a target.
+// Execution is what is known about whether a request ran at a target. Its text is part of the
+// interface to callers.
 type Execution string
 
 const (
-	// NotRun is proof that no byte of the request reached a target, under this
-	// attempt or any other attempt with the same idempotency key.
+	// NotRun means that the request is proven not to have run: no byte of it reached
+	// a target, in this attempt or another one with the same idempotency key.
 	NotRun Execution = "not_run"
-	// Ran is the target's own word that it executed the request.
+	// Ran means that the target stated that it executed the request.
 	Ran Execution = "ran"
-	// Unknown is everything else: bytes were sent, or another attempt may have
-	// sent some, and no target has said how it ended.
+	// Unknown is every other case: bytes were sent, or another attempt may have
+	// sent some, and no target has reported the outcome.
 	Unknown Execution = "unknown"
 )
 
-// Kind names a class of failure. Its text is part of the caller's interface.
+// Kind is a class of failure. Its text is part of the interface to callers.
 type Kind string
 
 // The kinds of failure. The operators' page lists the remedy for each.
@@ -77,23 +78,23 @@
 	Internal:            500,
 }
 
-// Error is a failure as a caller sees it.
+// Error is a failure as it is returned to a caller.
 type Error struct {
 	// Kind is the class of failure.
 	Kind Kind
 	// Message says what happened, in one sentence.
 	Message string
-	// Remedy says what the reader can do about it.
+	// Remedy says what the caller or operator can do about it.
 	Remedy string
-	// Execution says whether the request ran.
+	// Execution is what is known about whether the request ran.
 	Execution Execution
-	// Retry is true where sending the same request again can succeed.
+	// Retryable is true if sending the same request again can succeed.
 	Retryable bool
-	// RetryAfter is the earliest useful time for that; zero means at once.
+	// RetryAfter is the shortest useful delay before a retry; zero means at once.
 	RetryAfter time.Duration
 }
 
-// New builds a failure of the kind that has not run and is not worth a retry.
+// New returns a failure of the kind, with execution NotRun and not retryable.
 func New(kind Kind, message, remedy string) *Error {
 	return &Error{Kind: kind, Message: message, Remedy: remedy, Execution: NotRun}
 }
@@ -105,7 +106,7 @@
 	return &c
 }
 
-// WithRetry returns a copy of e that tells the caller to retry after d.
+// WithRetry returns a copy of e that is retryable after d.
 func (e *Error) WithRetry(d time.Duration) *Error {
 	c := *e
 	c.Retryable = true
@@ -113,9 +114,9 @@
 	return &c
 }
 
-// Honest returns a failure whose status says no more than its execution state: a
-// status that callers take as the word that nothing ran becomes a bad gateway where
-// something may have.
+// WithConsistentStatus returns a failure whose HTTP status does not contradict its execution
+// state. Callers take the statuses of NoTarget and RateLimited to mean that nothing ran; if the
+// request may have run, such a failure becomes TargetFailed (502) without a retry.
 func (e *Error) WithConsistentStatus() *Error {
 	if e.Execution == NotRun || e.Status() != httpStatus[NoTarget] && e.Status() != httpStatus[RateLimited] {
 		return e
@@ -126,12 +127,12 @@
 	return &c
 }
 
-// Error implements error.
+// Error implements error: it gives the kind, the message and the remedy.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s: %s; %s", e.Kind, e.Message, e.Remedy)
 }
 
-// Status is the HTTP status code of the failure.
+// Status returns the HTTP status code of the failure; 500 for an unknown kind.
 func (e *Error) Status() int {
 	if code, ok := httpStatus[e.Kind]; ok {
 		return code
@@ -139,9 +140,8 @@
 	return 500
 }
 
-// From finds the typed failure in err, or wraps err as Internal with an
-// unknown execution, which is the only safe thing to say of a failure nobody
-// classified.
+// From returns the typed failure that err wraps. Any other error becomes Internal with
+// Unknown execution, since nothing is known about what it left behind.
 func From(err error) *Error {
 	var typed *Error
 	if errors.As(err, &typed) {
--- a/core/fault/fault_test.go
+++ b/core/fault/fault_test.go
@@ -10,7 +10,7 @@
 func TestFromUntypedErrorIsInternal(t *testing.T) {
 	e := From(errors.New("something"))
 	if e.Kind != Internal || e.Execution != Unknown || e.Status() != 500 {
-		t.Fatalf("%+v", e)
+		t.Fatalf("From(untyped error) = %+v with status %d, want Internal, Unknown and 500", *e, e.Status())
 	}
 }
 
@@ -18,10 +18,10 @@
 	typed := New(NoTarget, "m", "r").WithRetry(time.Second).WithExecution(Ran)
 	e := From(errors.Wrap(typed, "while testing"))
 	if e.Kind != NoTarget || !e.Retryable || e.RetryAfter != time.Second || e.Execution != Ran {
-		t.Fatalf("%+v", e)
+		t.Fatalf("From(wrapped error) = %+v, want the fields of %+v", *e, *typed)
 	}
 	if base := New(NoTarget, "m", "r"); base.WithExecution(Ran) == base || base.Execution != NotRun {
-		t.Fatal("the base is changed")
+		t.Fatal("WithExecution changed its receiver, want a changed copy")
 	}
 }
 
@@ -33,7 +33,7 @@
 	}
 	for _, k := range kinds {
 		if _, ok := httpStatus[k]; !ok {
-			t.Errorf("%s has no status", k)
+			t.Errorf("httpStatus has no entry for %s", k)
 		}
 	}
 }
