--- a/core/eventstream/eventstream.go
+++ b/core/eventstream/eventstream.go
@@ -1,6 +1,6 @@
-// Package eventstream cuts a server-sent event stream (text/event-stream) into
-// whole events and checks that their ids rise, so that a stream which breaks in the
-// middle of an event can be taken up again after the last whole one.
+// Package eventstream splits a stream of server-sent events (text/event-stream) into
+// complete events and checks that their ids increase, so that a stream which breaks off in
+// the middle of an event can be resumed after the last complete one.
 package eventstream
 
 import (
@@ -10,37 +10,39 @@
 	"github.com/go-faster/errors"
 )
 
-// Event is one whole event with its closing blank line.
+// Event is one complete event.
 type Event struct {
-	// Raw are the bytes as they came. They are valid until the next Push.
+	// Raw holds the bytes as received, with the final blank line. It is valid until the next Push.
 	Raw []byte
-	// ID is the event's id; empty where it has none.
+	// ID is the event's id; empty if it has none.
 	ID string
 }
 
-// ErrTooLong is returned for an event over the bound.
-var ErrTooLong = errors.New("an event of the stream is longer than the bound")
+// ErrTooLong is returned by Push if an incomplete event exceeds Splitter.MaxEvent.
+var ErrTooLong = errors.New("an event of the stream exceeds the size limit")
 
-// ErrOutOfOrder is returned for an event whose id is not above the one before.
-var ErrOutOfOrder = errors.New("the stream's events are out of order")
+// ErrOutOfOrder is returned by Push for an event whose numeric id is not above the previous one.
+var ErrOutOfOrder = errors.New("the event ids of the stream do not increase")
 
-// Splitter cuts a stream into events.
+// Splitter splits a stream into events.
 type Splitter struct {
-	// MaxEvent bounds the bytes of one event.
+	// MaxEvent is the size limit of an incomplete event, in bytes.
 	MaxEvent int
 
 	pending []byte
 	lastID  int64
 }
 
-// After makes the splitter refuse events up to an id, which were given already.
+// ResumeAfter makes Push reject events up to and including the one with this id, which were
+// delivered before. An id that is not a number is ignored.
 func (s *Splitter) ResumeAfter(id string) {
 	if n, err := strconv.ParseInt(id, 10, 64); err == nil {
 		s.lastID = n
 	}
 }
 
-// Push adds bytes and hands each event that they complete to emit.
+// Push adds received bytes and calls emit with each event that they complete. It stops at the first
+// error: that of emit, ErrOutOfOrder or ErrTooLong.
 func (s *Splitter) Push(data []byte, emit func(Event) error) error {
 	s.pending = append(s.pending, data...)
 	start := 0
@@ -66,12 +68,12 @@
 	return nil
 }
 
-// Partial tells whether the stream stands in the middle of an event.
+// Partial reports whether the bytes so far end in the middle of an event.
 func (s *Splitter) Partial() bool { return len(s.pending) > 0 }
 
 func (s *Splitter) checkOrder(id string) error {
 	n, err := strconv.ParseInt(id, 10, 64)
-	numbered := err == nil // An event without a number has no order to keep.
+	numbered := err == nil // Only numeric ids have an order.
 	if numbered && n <= s.lastID {
 		return ErrOutOfOrder
 	}
@@ -81,7 +83,8 @@
 	return nil
 }
 
-// eventLength is the length of the first whole event: up to its blank line, or -1.
+// eventLength returns the length of the first complete event, including its blank line, or -1 if
+// there is none.
 func eventLength(data []byte) int {
 	offset := 0
 	for {
@@ -99,7 +102,7 @@
 
 var idField = []byte("id:")
 
-// eventID reads the id field of an event.
+// eventID returns the value of the event's id field; empty if there is none.
 func eventID(raw []byte) string {
 	for line := range bytes.Lines(raw) {
 		if value, found := bytes.CutPrefix(line, idField); found {
--- a/core/eventstream/eventstream_test.go
+++ b/core/eventstream/eventstream_test.go
@@ -10,6 +10,7 @@
 
 const sample = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\n"
 
+// pushAll pushes the pieces in turn and returns each event as its id and its bytes, joined by "|".
 func pushAll(s *Splitter, pieces ...string) (events []string, err error) {
 	for _, p := range pieces {
 		err = s.Push([]byte(p), func(e Event) error {
@@ -23,29 +24,29 @@
 	return events, nil
 }
 
-// TestSplitAtAnyByte: wherever a stream is cut into reads, the events are the same; and a
-// stream that ends there has given whole events only.
+// TestSplitAtAnyByte checks that the events do not depend on how the stream is cut into reads, and that
+// after any prefix of the stream only complete events have been emitted.
 func TestSplitAtAnyByte(t *testing.T) {
 	whole, err := pushAll(&Splitter{MaxEvent: 100}, sample)
 	if err != nil || len(whole) != 3 {
-		t.Fatal(whole, err)
+		t.Fatalf("pushing the whole stream gave %q, %v, want 3 events", whole, err)
 	}
 	for cut := range len(sample) {
 		s := &Splitter{MaxEvent: 100}
 		first, err := pushAll(s, sample[:cut])
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("split at %d: Push of the first part gave %v, want nil", cut, err)
 		}
 		given := ""
 		for _, e := range first {
 			given += e[strings.Index(e, "|")+1:]
 		}
 		if !strings.HasPrefix(sample, given) || s.Partial() != (len(given) < cut) {
-			t.Fatalf("cut at %d: gave %q, partial %v", cut, given, s.Partial())
+			t.Fatalf("split at %d: events %q, Partial() = %v, want a prefix of the stream and Partial() = %v", cut, given, s.Partial(), len(given) < cut)
 		}
 		rest, err := pushAll(s, sample[cut:])
 		if err != nil || strings.Join(append(first, rest...), "") != strings.Join(whole, "") {
-			t.Fatalf("cut at %d: %v %v", cut, rest, err)
+			t.Fatalf("split at %d: events %q and %q, error %v, want %q", cut, first, rest, err, whole)
 		}
 	}
 }
@@ -55,23 +56,23 @@
 		after, text string
 		want        error
 	}{
-		"doubled":          {"", "id: 1\n\nid: 1\n\n", ErrOutOfOrder},
-		"back":             {"", "id: 2\n\nid: 1\n\n", ErrOutOfOrder},
-		"from the start":   {"4", "id: 1\n\n", ErrOutOfOrder},
-		"goes on":          {"4", "id: 5\n\nid: 6\n\n", nil},
-		"ids that rise":    {"", "id: 3\n\nid: 9\n\n", nil},
-		"without ids":      {"", "data: a\n\ndata: b\n\n", nil},
-		"an event too big": {"", "data: " + strings.Repeat("x", 200), ErrTooLong},
+		"repeated id":             {"", "id: 1\n\nid: 1\n\n", ErrOutOfOrder},
+		"lower id":                {"", "id: 2\n\nid: 1\n\n", ErrOutOfOrder},
+		"before the resume point": {"4", "id: 1\n\n", ErrOutOfOrder},
+		"after the resume point":  {"4", "id: 5\n\nid: 6\n\n", nil},
+		"increasing ids":          {"", "id: 3\n\nid: 9\n\n", nil},
+		"without ids":             {"", "data: a\n\ndata: b\n\n", nil},
+		"event too long":          {"", "data: " + strings.Repeat("x", 200), ErrTooLong},
 	} {
 		s := &Splitter{MaxEvent: 100}
 		s.ResumeAfter(c.after)
 		if _, err := pushAll(s, c.text); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", name, err, c.want)
+			t.Errorf("%s: Push gave %v, want %v", name, err, c.want)
 		}
 	}
 }
 
-// FuzzSplitter: no bytes make the splitter lose or invent any.
+// FuzzSplitter checks that the splitter neither loses nor adds bytes for any input.
 func FuzzSplitter(f *testing.F) {
 	for _, seed := range []string{sample, "\n\n\n", "id:\n\n", "id: 99999999999999999999\n\n", "data: \x00\r\r\n\n"} {
 		f.Add([]byte(seed), 3)
@@ -89,10 +90,10 @@
 			err = s.Push(data[cut:], emit)
 		}
 		if !strings.HasPrefix(string(data), given) {
-			t.Fatalf("gave %q of %q", given, data)
+			t.Fatalf("events hold %q, want a prefix of %q", given, data)
 		}
 		if err == nil && !s.Partial() && given != string(data) {
-			t.Fatalf("bytes were lost: gave %q of %q", given, data)
+			t.Fatalf("events hold %q and Partial() = false, want all of %q", given, data)
 		}
 	})
 }
@@ -105,12 +106,12 @@
 		for len(text) > 0 {
 			n := rapid.IntRange(1, len(text)).Draw(t, "piece")
 			if err := s.Push([]byte(text[:n]), func(e Event) error { given += len(e.Raw); return nil }); err != nil {
-				t.Fatal(err)
+				t.Fatalf("Push gave %v, want nil", err)
 			}
 			text = text[n:]
 		}
 		if s.Partial() || given%len("data: x\n\n") != 0 {
-			t.Fatal(given)
+			t.Fatalf("events hold %d bytes and Partial() = %v, want whole events and no rest", given, s.Partial())
 		}
 	})
 }
