--- a/core/stream/stream.go
+++ b/core/stream/stream.go
@@ -1,8 +1,8 @@
-// Package stream puts the chunks of an answer in order and tells a whole answer
-// from a broken one. Chunks carry the attempt that they belong to and an index;
-// the last one carries an end mark with the total. Late, doubled or misordered
-// chunks are harmless, and a stream that stops without its end mark is never
-// taken for an answer.
+// Package stream reassembles the chunks of a generated answer and distinguishes a
+// complete answer from a broken one. Each chunk carries an index and the attempt that
+// it belongs to; the end chunk carries the total number of tokens. Chunks may arrive
+// late, repeated or out of order. A stream without an end chunk is never accepted as
+// an answer.
 package stream
 
 import (
@@ -13,33 +13,34 @@
 
 // Chunk is one piece of an answer.
 type Chunk struct {
-	// Attempt is the id under which the daemon asked for the answer.
+	// Attempt is the id of the daemon's attempt that requested the answer.
 	Attempt string
-	// Index counts the tokens of the answer from zero.
+	// Index is the position of the token in the answer, from zero.
 	Index int64
-	// Text is the token's text.
+	// Text is the text of the token.
 	Text string
-	// End marks the chunk after the last token; Total is then their number.
+	// End is true for the end chunk, which has no token; Total is then the number of tokens.
 	End   bool
 	Total int64
-	// FinishReason says why the answer ended, on the end chunk.
+	// FinishReason is the reason why the answer ended; set only in the end chunk.
 	FinishReason string
 }
 
-// maxPending bounds the chunks kept while an earlier one is missing.
+// maxPending is the maximum number of chunks buffered while an earlier one is missing.
 const maxPending = 1024
 
-// The ways in which a stream can be broken.
+// Errors of a broken stream.
 var (
-	// ErrTruncated means that the stream ended without its end mark.
-	ErrTruncated = errors.New("the target's stream ended without its end mark")
-	// ErrMissingChunks means that chunks are missing in the middle.
+	// ErrTruncated means that the stream ended without an end chunk.
+	ErrTruncated = errors.New("the target's stream ended without its end chunk")
+	// ErrMissingChunks means that tokens before the end are missing.
 	ErrMissingChunks = errors.New("chunks are missing in the target's stream")
-	// ErrConflict means that two chunks claim the same place.
-	ErrConflict = errors.New("the target sent two different chunks with one index")
+	// ErrConflict means that chunks contradict each other: two texts for one index, two totals,
+	// or a token after the end.
+	ErrConflict = errors.New("chunks of the target's stream contradict each other")
 )
 
-// Assembler puts one attempt's chunks in order.
+// Assembler puts the chunks of one attempt in order.
 type Assembler struct {
 	attempt      string
 	next         int64
@@ -50,13 +51,14 @@
 	pending      map[int64]string
 }
 
-// NewAssembler expects the chunks of an attempt from index first on.
+// NewAssembler returns an assembler for the chunks of an attempt, beginning at index first.
 func NewAssembler(attempt string, first int64) *Assembler {
 	return &Assembler{attempt: attempt, next: first}
 }
 
-// Push takes a chunk and hands each token that is now in order to emit, once.
-// A chunk of another attempt or one seen before is dropped.
+// Push adds a chunk and calls emit, in order and once, for each token whose predecessors have all
+// arrived. Chunks of other attempts and repeated chunks are dropped. The error is that of emit, or
+// wraps ErrConflict or ErrMissingChunks.
 func (a *Assembler) Push(c Chunk, emit func(index int64, text string) error) error {
 	if c.Attempt != a.attempt {
 		return nil
@@ -65,7 +67,7 @@
 		return a.setEnd(c)
 	}
 	if a.ended && c.Index >= a.total {
-		return errors.Wrap(ErrConflict, fmt.Sprintf("index %d after an end at %d", c.Index, a.total))
+		return errors.Wrap(ErrConflict, fmt.Sprintf("index %d in an answer of %d tokens", c.Index, a.total))
 	}
 	if c.Index < a.next {
 		return a.checkDuplicate(c)
@@ -100,20 +102,21 @@
 	return nil
 }
 
-// duplicate drops a chunk seen before; the last one can still be compared.
+// checkDuplicate checks a repeated chunk, which is dropped. Only the text of the last emitted
+// token is still known for the comparison.
 func (a *Assembler) checkDuplicate(c Chunk) error {
 	if c.Index == a.next-1 && c.Text != a.lastText {
-		return errors.Wrap(ErrConflict, fmt.Sprintf("index %d", c.Index))
+		return errors.Wrap(ErrConflict, fmt.Sprintf("different texts for index %d", c.Index))
 	}
 	return nil
 }
 
 func (a *Assembler) buffer(c Chunk) error {
 	if text, seen := a.pending[c.Index]; seen && text != c.Text {
-		return errors.Wrap(ErrConflict, fmt.Sprintf("index %d", c.Index))
+		return errors.Wrap(ErrConflict, fmt.Sprintf("different texts for index %d", c.Index))
 	}
 	if len(a.pending) >= maxPending {
-		return errors.Wrap(ErrMissingChunks, fmt.Sprintf("index %d never came", a.next))
+		return errors.Wrap(ErrMissingChunks, fmt.Sprintf("index %d has not arrived", a.next))
 	}
 	if a.pending == nil {
 		a.pending = map[int64]string{}
@@ -124,31 +127,32 @@
 
 func (a *Assembler) setEnd(c Chunk) error {
 	if a.ended && c.Total != a.total {
-		return errors.Wrap(ErrConflict, fmt.Sprintf("ends at %d and at %d", a.total, c.Total))
+		return errors.Wrap(ErrConflict, fmt.Sprintf("totals of %d and %d tokens", a.total, c.Total))
 	}
 	if c.Total < a.next {
-		return errors.Wrap(ErrConflict, fmt.Sprintf("ends at %d after %d tokens", c.Total, a.next))
+		return errors.Wrap(ErrConflict, fmt.Sprintf("a total of %d after %d tokens", c.Total, a.next))
 	}
 	a.ended, a.total, a.finishReason = true, c.Total, c.FinishReason
 	return nil
 }
 
-// Complete tells whether the end mark and every token before it have come.
+// Complete reports whether the end chunk and all tokens have arrived.
 func (a *Assembler) Complete() bool { return a.ended && a.next == a.total }
 
-// Next is the index of the first token that has not been emitted.
+// Next returns the index of the first token that has not been emitted.
 func (a *Assembler) Next() int64 { return a.next }
 
-// FinishReason is the target's reason for the end.
+// FinishReason returns the finish reason of the end chunk; empty before it has arrived.
 func (a *Assembler) FinishReason() string { return a.finishReason }
 
-// Close is called when the stream is over. It returns nil only for a whole answer.
+// Close checks the answer at the end of the stream. It returns nil if the answer is complete, else
+// an error that wraps ErrMissingChunks or ErrTruncated.
 func (a *Assembler) Close() error {
 	switch {
 	case a.Complete():
 		return nil
 	case a.ended:
-		return errors.Wrap(ErrMissingChunks, fmt.Sprintf("%d of %d tokens came", a.next, a.total))
+		return errors.Wrap(ErrMissingChunks, fmt.Sprintf("%d of %d tokens arrived in order", a.next, a.total))
 	default:
 		return errors.Wrap(ErrTruncated, fmt.Sprintf("after %d tokens", a.next))
 	}
--- a/core/stream/stream_test.go
+++ b/core/stream/stream_test.go
@@ -10,8 +10,8 @@
 
 func token(i int64) string { return fmt.Sprint("t", i) }
 
-// TestAssemblerReordersChunks sends the chunks of an answer in any
-// order, with some dropped, doubled or of another attempt.
+// TestAssemblerReordersChunks sends the chunks of an answer in any order, with some dropped, repeated or
+// of another attempt. Tokens must come out in order, and Close must succeed only for a complete answer.
 func TestAssemblerReordersChunks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.Int64Range(0, 50).Draw(t, "total")
@@ -38,20 +38,20 @@
 				return nil
 			})
 			if err != nil {
-				t.Fatalf("a correct chunk was refused: %v", err)
+				t.Fatalf("Push(%+v) gave %v, want nil", c, err)
 			}
 		}
 		for i, text := range got {
 			if text != token(int64(i)) {
-				t.Fatalf("token %d is %q", i, text)
+				t.Fatalf("token %d = %q, want %q", i, text, token(int64(i)))
 			}
 		}
-		whole := ended
+		complete := ended
 		for i := range total {
-			whole = whole && seen[i]
+			complete = complete && seen[i]
 		}
-		if (a.Close() == nil) != whole {
-			t.Fatalf("close says %v, all chunks came: %v", a.Close(), whole)
+		if (a.Close() == nil) != complete {
+			t.Fatalf("Close() = %v, all chunks were sent: %v", a.Close(), complete)
 		}
 	})
 }
@@ -59,10 +59,10 @@
 func TestConflictingChunksAreRejected(t *testing.T) {
 	cases := map[string][]Chunk{
 		"two texts for one index":  {{Attempt: "a", Text: "x"}, {Attempt: "a", Text: "y"}},
-		"two texts while waiting":  {{Attempt: "a", Index: 2, Text: "x"}, {Attempt: "a", Index: 2, Text: "y"}},
+		"two texts while buffered": {{Attempt: "a", Index: 2, Text: "x"}, {Attempt: "a", Index: 2, Text: "y"}},
 		"two totals":               {{Attempt: "a", End: true, Total: 2}, {Attempt: "a", End: true, Total: 3}},
-		"ends before its own text": {{Attempt: "a", Text: "x"}, {Attempt: "a", End: true, Total: 0}},
-		"goes on after its end":    {{Attempt: "a", End: true, Total: 1}, {Attempt: "a", Index: 1, Text: "x"}},
+		"total below tokens sent":  {{Attempt: "a", Text: "x"}, {Attempt: "a", End: true, Total: 0}},
+		"token after the end":      {{Attempt: "a", End: true, Total: 1}, {Attempt: "a", Index: 1, Text: "x"}},
 	}
 	for name, chunks := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -72,7 +72,7 @@
 				err = errors.Join(err, a.Push(c, func(int64, string) error { return nil }))
 			}
 			if !errors.Is(err, ErrConflict) {
-				t.Fatalf("got %v, want a conflict", err)
+				t.Fatalf("Push gave %v, want ErrConflict", err)
 			}
 		})
 	}
