--- a/node/api/left.go
+++ b/node/api/left.go
@@ -25,5 +25,5 @@
 	if !ok {
 		return nil
 	}
-	return func() bool { return sock.Peek(conn) == sock.Ended }
+	return func() bool { return sock.Peek(conn) == sock.Closed }
 }
--- a/node/api/paths.go
+++ b/node/api/paths.go
@@ -161,7 +161,7 @@
 }
 
 func (s *pathServer) record(c *pathCall, outcome, reason string) {
-	s.director.Record.Record(decision.Record{Kind: decision.KindAdmit, Request: c.ID, Outcome: outcome, Reason: reason})
+	s.director.Recorder.Record(decision.Record{Kind: decision.KindAdmit, Request: c.ID, Outcome: outcome, Reason: reason})
 }
 
 // resolve finds route and account.
@@ -193,15 +193,15 @@
 		allowed = min(allowed, c.Timeout)
 	}
 	req := &requestcontrol.Request{
-		ID:        c.ID,
-		Account:   c.account,
-		Route:     c.path.Route(c.ID, c.account),
-		Revision:  c.view.Revision,
-		Arrived:   c.arrived,
-		Deadline:  c.arrived.Add(allowed),
-		MaxTokens: c.OutputTokens,
-		Path:      c.path,
-		LastEvent: c.LastEventID,
+		ID:          c.ID,
+		Account:     c.account,
+		Route:       c.path.Route(c.ID, c.account),
+		Revision:    c.view.Revision,
+		Arrived:     c.arrived,
+		Deadline:    c.arrived.Add(allowed),
+		MaxTokens:   c.OutputTokens,
+		Path:        c.path,
+		LastEventID: c.LastEventID,
 		Forward: &forward.Message{
 			ID: c.ID, Method: c.r.Method, URI: c.r.RequestURI, Host: c.r.Host,
 			Header: endToEnd(c.r.Header), Body: body, CallerDisconnected: callerLeft(c.r),
@@ -242,7 +242,7 @@
 	s.dialect.WriteFailure(header, c.ID, e.Retryable && e.Execution == fault.NotRun, e.RetryAfter)
 	c.w.WriteHeader(e.Status())
 	if err := json.NewEncoder(c.w).Encode(errorBody(e, c.ID)); err != nil {
-		s.director.Record.Log.Debug("the caller did not take a failure", "request", c.ID, "error", err.Error())
+		s.director.Recorder.Log.Debug("the caller did not take a failure", "request", c.ID, "error", err.Error())
 	}
 }
 
@@ -264,7 +264,7 @@
 }
 
 // Begin implements requestcontrol.AnswerWriter.
-func (a *answerWriter) Begin(status int, h http.Header, length int64) {
+func (a *answerWriter) WriteHead(status int, h http.Header, length int64) {
 	a.begun = true
 	header := a.w.Header()
 	for name, values := range endToEnd(h) {
--- a/node/api/server.go
+++ b/node/api/server.go
@@ -278,22 +278,22 @@
 	if err != nil {
 		return err
 	}
-	req.Call = &target.ServiceCall{
+	req.ServiceCall = &target.ServiceCall{
 		Method: x.r.Method,
 		Path:   "/" + x.r.PathValue("path"),
 		Header: x.r.Header.Clone(),
 		Body:   b.data,
 	}
 	if x.r.URL.RawQuery != "" {
-		req.Call.Path += "?" + x.r.URL.RawQuery
+		req.ServiceCall.Path += "?" + x.r.URL.RawQuery
 	}
 	for _, name := range dropHeaders {
-		req.Call.Header.Del(name)
+		req.ServiceCall.Header.Del(name)
 	}
-	req.Call.Header.Set(HeaderRequestID, x.id)
+	req.ServiceCall.Header.Set(HeaderRequestID, x.id)
 	ctx, cancel := context.WithCancel(x.r.Context())
 	defer cancel()
-	result, err := s.director.Service(ctx, req)
+	result, err := s.director.CallService(ctx, req)
 	if err != nil {
 		return err
 	}
--- a/node/api/starting_test.go
+++ b/node/api/starting_test.go
@@ -19,7 +19,7 @@
 func startingServer() (*blackboard.Blackboard, http.Handler) {
 	board := blackboard.New(blackboard.Identity{Name: "d1"}, blackboard.DefaultLimits())
 	metrics := telemetry.NewMetrics()
-	director := &requestcontrol.Director{Board: board, Record: &telemetry.Recorder{Board: board, Log: slog.New(slog.DiscardHandler), Metrics: metrics}}
+	director := &requestcontrol.Director{Board: board, Recorder: &telemetry.Recorder{Board: board, Log: slog.New(slog.DiscardHandler), Metrics: metrics}}
 	return board, NewServer(board, director, metrics, DefaultLimits()).PathHandler(platform.Headers{})
 }
 
--- a/node/api/stream.go
+++ b/node/api/stream.go
@@ -16,7 +16,7 @@
 	text strings.Builder
 }
 
-// Token implements requestcontrol.Sink.
+// Token implements requestcontrol.TokenSink.
 func (c *collector) Token(_ int64, text string) error {
 	c.text.WriteString(text)
 	return nil
@@ -107,7 +107,7 @@
 	e.x.started = true
 }
 
-// Token implements requestcontrol.Sink.
+// Token implements requestcontrol.TokenSink.
 func (e *eventStream) Token(_ int64, text string) error {
 	if !e.x.started {
 		e.start()
@@ -161,7 +161,7 @@
 	return events.finish(req, result)
 }
 
-func (e *eventStream) finish(req *requestcontrol.Request, result requestcontrol.Result) error {
+func (e *eventStream) finish(req *requestcontrol.Request, result requestcontrol.GenerateResult) error {
 	if !e.x.started {
 		e.start()
 	}
--- a/node/clock/clock.go
+++ b/node/clock/clock.go
@@ -9,23 +9,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// Slept is for how long the host has slept since it booted. It never falls. A kernel that does
+// SuspendedTime is for how long the host has slept since it booted. It never falls. A kernel that does
 // not tell counts as one that never sleeps.
-func Slept() time.Duration {
+func SuspendedTime() time.Duration {
 	// The steady clock is read first: a pause between the two reads makes the sleep seem longer,
 	// which ends a belief too soon, not too late.
-	steady, err := read(unix.CLOCK_MONOTONIC)
+	steady, err := readClock(unix.CLOCK_MONOTONIC)
 	if err != nil {
 		return 0
 	}
-	all, err := read(unix.CLOCK_BOOTTIME)
+	all, err := readClock(unix.CLOCK_BOOTTIME)
 	if err != nil {
 		return 0
 	}
 	return max(0, all-steady)
 }
 
-func read(id int32) (time.Duration, error) {
+func readClock(id int32) (time.Duration, error) {
 	var at unix.Timespec
 	if err := unix.ClockGettime(id, &at); err != nil {
 		return 0, err
--- a/node/clock/clock_test.go
+++ b/node/clock/clock_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// TestAHostThatIsAwakeDoesNotSleep: two reads while the test runs differ by the time between
+// TestSuspendedTimeIsConstantWhileAwake: two reads while the test runs differ by the time between
 // the reads of the two clocks at most.
-func TestAHostThatIsAwakeDoesNotSleep(t *testing.T) {
+func TestSuspendedTimeIsConstantWhileAwake(t *testing.T) {
 	began := time.Now()
-	before := Slept()
-	after := Slept()
+	before := SuspendedTime()
+	after := SuspendedTime()
 	if took := time.Since(began); after-before > took || before-after > took {
 		t.Errorf("the host slept for %v in %v", after-before, took)
 	}
--- a/node/cluster/claims.go
+++ b/node/cluster/claims.go
@@ -64,10 +64,10 @@
 // Claim implements requestcontrol.Claimer.
 func (c *Cluster) Claim(ctx context.Context, in requestcontrol.Claim) (*requestcontrol.Permit, error) {
 	request := claimRequest{Key: in.Key, Holder: c.Board.Self.Name}
-	if birth := claim.CreationTimeOf(in.Stamp); birth.Known {
+	if birth := claim.CreationTimeOf(in.CallerKey); birth.Known {
 		request.Dated, request.Born = true, birth.At
 	}
-	for attempt := in.Attempt; ; attempt = requestcontrol.NewAttempt() {
+	for attempt := in.Attempt; ; attempt = requestcontrol.NewAttemptID() {
 		request.Attempt = attempt
 		permit, retry, err := c.claimOnce(ctx, request)
 		if err == nil {
@@ -88,7 +88,7 @@
 	sets := c.Board.Members.WitnessSets(in.core(), now)
 	claimer := claim.NewClaimer(in.core(), sets, now)
 	outcome := c.askWitnesses(ctx, claimer, in)
-	permit = &requestcontrol.Permit{Ends: claimer.PermitExpiry(), Tally: tallyOf(in.Key, claimer)}
+	permit = &requestcontrol.Permit{ExpiresAt: claimer.PermitExpiry(), Tally: tallyOf(in.Key, claimer)}
 	if claimer.State() == claim.Won {
 		c.Board.Claims.Begin(in.Attempt)
 		return permit, false, nil
@@ -148,19 +148,19 @@
 // that call gave up, so that the key is free again.
 func (c *Cluster) earlier(ctx context.Context, key, attempt, holder string, known *blackboard.Outcome) (duplicate error, again bool) {
 	if known != nil {
-		return &requestcontrol.Duplicate{Outcome: *known}, false
+		return &requestcontrol.DuplicateError{Outcome: *known}, false
 	}
 	var answer outcomeAnswer
 	question := concludeMessage{Key: key, Attempt: attempt}
 	if holder == c.Board.Self.Name {
 		answer, _ = c.serveOutcome(ctx, holder, question)
 	} else if c.Hub.Ask(ctx, c.address(holder), peer.KindOutcome, question, &answer) != nil {
-		return &requestcontrol.Duplicate{Outcome: blackboard.Outcome{Execution: fault.Unknown}}, false
+		return &requestcontrol.DuplicateError{Outcome: blackboard.Outcome{Execution: fault.Unknown}}, false
 	}
 	if answer.GaveUp {
 		return nil, true
 	}
-	return &requestcontrol.Duplicate{Outcome: answer.Outcome}, false
+	return &requestcontrol.DuplicateError{Outcome: answer.Outcome}, false
 }
 
 // outcomeAnswer is what the daemon of a call says of it.
@@ -216,7 +216,7 @@
 
 // Conclude implements requestcontrol.Claimer. A call that surely did not run
 // frees its key, since its attempt never sends any more.
-func (c *Cluster) Conclude(in requestcontrol.Claim, o blackboard.Outcome) {
+func (c *Cluster) RecordOutcome(in requestcontrol.Claim, o blackboard.Outcome) {
 	message := concludeMessage{Key: in.Key, Attempt: in.Attempt, Outcome: o}
 	c.Board.Claims.Conclude(in.Key, in.Attempt, o, time.Now())
 	c.Board.Claims.End(in.Attempt)
@@ -224,7 +224,7 @@
 	if o.Execution == fault.NotRun {
 		kind = peer.KindGiveUp
 	}
-	sets := c.Board.Members.WitnessSets(claim.Request{Key: in.Key, Created: claim.CreationTimeOf(in.Stamp)}, time.Now())
+	sets := c.Board.Members.WitnessSets(claim.Request{Key: in.Key, Created: claim.CreationTimeOf(in.CallerKey)}, time.Now())
 	var witnesses []string
 	for _, set := range sets {
 		witnesses = append(witnesses, set...)
--- a/node/cluster/coordinate.go
+++ b/node/cluster/coordinate.go
@@ -84,7 +84,7 @@
 func (p *Placements) ticket(in *placeRequest, now time.Time) *blackboard.Ticket {
 	board := p.cluster.Board
 	pool := board.Settings.Current().Tree.Pool(in.Pool)
-	params := requestcontrol.ParamsOf(pool, board.Targets.Capacity(pool.Name, now), board.Members.Sharers())
+	params := requestcontrol.RoutingParams(pool, board.Targets.Capacity(pool.Name, now), board.Members.Sharers())
 	arrived := now.Add(-in.Waited)
 	return &blackboard.Ticket{
 		Pool: pool, Attempt: in.Attempt, Params: params, Deadline: now.Add(in.Left),
@@ -94,8 +94,8 @@
 		},
 		Item: &admission.Item{
 			ID: in.Request, Account: in.Account, Level: in.Level, Tokens: max(1, in.PromptTokens),
-			Long: params.IsLong(in.PromptTokens), Retry: in.Retry, Arrived: arrived, PrefillSeconds: requestcontrol.ReadingWork(&params, in.PromptTokens),
-			LatestStart: requestcontrol.LatestPlacement(&params, in.PromptTokens, arrived, in.Goal, in.Retry),
+			Long: params.IsLong(in.PromptTokens), Retry: in.Retry, Arrived: arrived, PrefillSeconds: requestcontrol.PrefillSeconds(&params, in.PromptTokens),
+			LatestStart: requestcontrol.LatestStart(&params, in.PromptTokens, arrived, in.Goal, in.Retry),
 		},
 	}
 }
--- a/node/cluster/limits.go
+++ b/node/cluster/limits.go
@@ -22,7 +22,7 @@
 
 // LimitSaid tells the pool's coordinator what a target said of its limit in the answer to a call that
 // was sent then.
-func (p *Placements) LimitSaid(pool, target string, said forward.Limit, sent time.Time) {
+func (p *Placements) ReportLimit(pool, target string, said forward.Limit, sent time.Time) {
 	now := time.Now()
 	c := p.coordinatorOf(pool, now)
 	if c.name == "" || c.name == p.cluster.Board.Self.Name {
--- a/node/cluster/placement.go
+++ b/node/cluster/placement.go
@@ -350,7 +350,7 @@
 }
 
 // PromptRead tells the coordinator that a call's prompt was read.
-func (p *Placements) PromptRead(attempt string) {
+func (p *Placements) ReportPrefillDone(attempt string) {
 	p.mu.Lock()
 	name := p.placedBy[attempt]
 	p.mu.Unlock()
@@ -361,7 +361,7 @@
 
 // Finished tells the coordinator that a call has ended, and of a target that turned it
 // away or could not be reached.
-func (p *Placements) Finished(attempt string, result blackboard.CallResult, suspect string, suspectFor time.Duration) {
+func (p *Placements) ReportFinished(attempt string, result blackboard.CallResult, suspect string, suspectFor time.Duration) {
 	p.mu.Lock()
 	name := p.placedBy[attempt]
 	delete(p.placedBy, attempt)
--- a/node/cluster/seek.go
+++ b/node/cluster/seek.go
@@ -22,10 +22,10 @@
 	done  chan struct{}
 }
 
-// Seek implements requestcontrol.ShareSeeker: it asks the account's owner for a
+// Seek implements requestcontrol.ShareRequester: it asks the account's owner for a
 // lease at once, instead of at the next renewal. Requests that come while the
 // question is under way wait for the same answer.
-func (c *Cluster) Seek(ctx context.Context, account string, rules *settings.Rules, promptTokens int64) bool {
+func (c *Cluster) RequestShare(ctx context.Context, account string, rules *settings.Rules, promptTokens int64) bool {
 	now := time.Now()
 	living, listed := c.Board.Members.Living()
 	if listed <= 1 {
--- a/node/cluster/verdicts.go
+++ b/node/cluster/verdicts.go
@@ -26,7 +26,7 @@
 )
 
 // Crashed implements requestcontrol.CrashReporter.
-func (c *Cluster) Crashed(crash poison.Crash) {
+func (c *Cluster) NotifyCrash(crash poison.Crash) {
 	living, _ := c.Board.Members.Living()
 	for _, name := range rendezvous.Top(crash.Request.String(), living, keepers) {
 		if name != c.Board.Self.Name { // Its own table has it already.
@@ -50,14 +50,14 @@
 		v := found.Verdict
 		c.Record.Log.Warn("a call is quarantined", "call", in.Request.String(), "target", in.Target, "count", v.Count,
 			"reason", "the last of several targets ended under it", "peer", from)
-		c.Spread(v)
+		c.BroadcastVerdict(v)
 	}
 	return done{}, nil
 }
 
 // MayTry implements requestcontrol.CrashReporter: the first keeper decides, so that one daemon
 // of all tries the request.
-func (c *Cluster) MayTry(ctx context.Context, request poison.Key) bool {
+func (c *Cluster) RequestTrial(ctx context.Context, request poison.Key) bool {
 	living, _ := c.Board.Members.Living()
 	first := rendezvous.Owner(request.String(), living)
 	if first == c.Board.Self.Name {
@@ -81,7 +81,7 @@
 }
 
 // Spread implements requestcontrol.CrashReporter.
-func (c *Cluster) Spread(v poison.Verdict) { c.tellVerdicts([]poison.Verdict{v}, "") }
+func (c *Cluster) BroadcastVerdict(v poison.Verdict) { c.tellVerdicts([]poison.Verdict{v}, "") }
 
 // tellVerdicts tells verdicts over all links but the one that they came over. What is lost is
 // repaired when heartbeats are compared.
--- a/node/daemon/daemon.go
+++ b/node/daemon/daemon.go
@@ -127,7 +127,7 @@
 	if d.adapter != nil {
 		source, parse = d.adapter.Settings, d.adapter.Parse
 	}
-	d.director = &requestcontrol.Director{Board: d.Board, Targets: client, Record: d.record, Slept: clock.Slept, Retrying: requestcontrol.DefaultRetryPolicy()}
+	d.director = &requestcontrol.Director{Board: d.Board, Targets: client, Recorder: d.record, SuspendedTime: clock.SuspendedTime, RetryPolicy: requestcontrol.DefaultRetryPolicy()}
 	d.settings = &controller.Settings{
 		Board:    d.Board,
 		Platform: source,
@@ -139,9 +139,9 @@
 	d.hub = peer.NewHub(d.Config.Name, d.Config.PeerKeys, d.Metrics)
 	d.hub.LogTo(d.Log)
 	d.cluster = cluster.New(d.Board, d.hub, d.record, d.settings, client)
-	d.director.Claims, d.director.Shares, d.director.Crashes = d.cluster, d.cluster, d.cluster
+	d.director.Claimer, d.director.ShareRequester, d.director.CrashReporter = d.cluster, d.cluster, d.cluster
 	d.Board.Accounts.SetShares(d.Board.Shares.Share)
-	pause := &controller.Pause{Board: d.Board, Record: d.record, Slept: clock.Slept, Void: d.cluster.Void}
+	pause := &controller.Pause{Board: d.Board, Record: d.record, Slept: clock.SuspendedTime, Void: d.cluster.Void}
 	workers := &worker.Pool{Board: d.Board, Size: d.Config.Workers}
 	d.loops = []func(context.Context){d.settings.Run, pause.Run, workers.Run, d.cluster.Run}
 	if d.adapter != nil {
@@ -166,10 +166,10 @@
 	d.Board.Members.Open()
 	d.director.Placer = d.cluster.Placements
 	d.cluster.MembersOnly = true
-	d.director.Exchange = target.NewExchanger(d.adapter.Dialect)
-	paces := &controller.Paces{Board: d.Board, Exchange: d.director.Exchange, Record: d.record, Coordinates: d.cluster.Placements.Coordinates}
+	d.director.Exchanger = target.NewExchanger(d.adapter.Dialect)
+	paces := &controller.Paces{Board: d.Board, Exchange: d.director.Exchanger, Record: d.record, Coordinates: d.cluster.Placements.Coordinates}
 	lag := &controller.Lag{Board: d.Board, Record: d.record}
-	d.loops = append(d.loops, lag.Run, directory.Run, d.director.Exchange.Run, paces.Run)
+	d.loops = append(d.loops, lag.Run, directory.Run, d.director.Exchanger.Run, paces.Run)
 }
 
 // adopted takes a new revision to the targets and to the neighbours.
--- a/node/internal/coordbench/fleet.go
+++ b/node/internal/coordbench/fleet.go
@@ -189,7 +189,7 @@
 // offer is the coordinator's side of a question.
 func (f *fleet) offer(c *call) {
 	now := f.time()
-	params := requestcontrol.ParamsOf(f.pool, c.by.board.Targets.Capacity("llm", now), 1)
+	params := requestcontrol.RoutingParams(f.pool, c.by.board.Targets.Capacity("llm", now), 1)
 	id := c.name()
 	output := int64(c.events) * f.pool.Timing.StepsPerPass
 	ticket := &blackboard.Ticket{
@@ -200,8 +200,8 @@
 		},
 		Item: &admission.Item{
 			ID: id, Account: fmt.Sprint(c.id % 40), Tokens: c.prompt, Long: params.IsLong(c.prompt),
-			Arrived: f.start.Add(c.asked), PrefillSeconds: requestcontrol.ReadingWork(&params, c.prompt),
-			LatestStart: requestcontrol.LatestPlacement(&params, c.prompt, f.start.Add(c.asked), c.class.Goal.Seconds(), false),
+			Arrived: f.start.Add(c.asked), PrefillSeconds: requestcontrol.PrefillSeconds(&params, c.prompt),
+			LatestStart: requestcontrol.LatestStart(&params, c.prompt, f.start.Add(c.asked), c.class.Goal.Seconds(), false),
 		},
 	}
 	c.by.board.Queues.Push(ticket)
--- a/node/internal/policybench/policy.go
+++ b/node/internal/policybench/policy.go
@@ -87,7 +87,7 @@
 func (o *own) attempt(r *request) string { return fmt.Sprint("a", r.id) }
 
 func (o *own) offer(r *request) {
-	params := requestcontrol.ParamsOf(o.pool, o.board.Targets.Capacity("llm", time.Now()), daemons)
+	params := requestcontrol.RoutingParams(o.pool, o.board.Targets.Capacity("llm", time.Now()), daemons)
 	ticket := &blackboard.Ticket{
 		Pool: o.pool, Params: params, Attempt: o.attempt(r),
 		Holders: o.board.Prefixes.Lookup(r.prefixes),
--- a/node/onplatform/limit_fleet_test.go
+++ b/node/onplatform/limit_fleet_test.go
@@ -194,10 +194,10 @@
 	}
 	record := telemetry.Recorder{Board: d.board, Log: slog.New(slog.DiscardHandler), Metrics: d.metrics}
 	if news := record.Notice("svc", id, forward.Notice{Limit: said}, sent); said.Declared || news {
-		d.cluster.Placements.LimitSaid("svc", id, said, sent)
+		d.cluster.Placements.ReportLimit("svc", id, said, sent)
 	}
 	d.board.Targets.Finish(attempt, blackboard.CallSucceeded, time.Now())
-	d.cluster.Placements.Finished(attempt, blackboard.CallSucceeded, "", 0)
+	d.cluster.Placements.ReportFinished(attempt, blackboard.CallSucceeded, "", 0)
 	d.board.Queues.Wake("svc")
 	f.mu.Lock()
 	f.served++
--- a/node/onplatform/verdicts_test.go
+++ b/node/onplatform/verdicts_test.go
@@ -27,9 +27,9 @@
 // crashAt plays at a daemon what it does when a target ends under a call.
 func (d *spreadDaemon) crashAt(c poison.Crash) {
 	found := d.board.Poison.Crashed(c, time.Now())
-	d.cluster.Crashed(c)
+	d.cluster.NotifyCrash(c)
 	if found.Quarantined {
-		d.cluster.Spread(found.Verdict)
+		d.cluster.BroadcastVerdict(found.Verdict)
 	}
 }
 
--- a/node/requestcontrol/admit.go
+++ b/node/requestcontrol/admit.go
@@ -13,13 +13,13 @@
 // admit takes the request into its account's limits and refuses it early where
 // its deadline cannot be met. Every admitted request needs one call of done.
 func (d *Director) admit(ctx context.Context, r *Request) (done func(), err error) {
-	r.prepare()
-	if err := checkLength(r); err != nil {
+	r.preparePrompt()
+	if err := checkTokenLimits(r); err != nil {
 		return nil, err
 	}
 	rules := &r.Route.Rules
 	verdict := d.Board.Accounts.Admit(r.Account.Path, rules, r.promptTokens, r.Arrived)
-	if verdict.Limit != admission.LimitNone && d.Shares.Seek(ctx, r.Account.Path, rules, r.promptTokens) {
+	if verdict.Limit != admission.LimitNone && d.ShareRequester.RequestShare(ctx, r.Account.Path, rules, r.promptTokens) {
 		verdict = d.Board.Accounts.Admit(r.Account.Path, rules, r.promptTokens, time.Now())
 	}
 	if verdict.Limit != admission.LimitNone {
@@ -28,14 +28,14 @@
 		return nil, err
 	}
 	done = func() { d.Board.Accounts.Done(r.Account.Path) }
-	if err := d.checkEstimate(r); err != nil {
+	if err := d.checkQueueWait(r); err != nil {
 		done()
 		return nil, err
 	}
 	return done, nil
 }
 
-func checkLength(r *Request) error {
+func checkTokenLimits(r *Request) error {
 	rules := &r.Route.Rules
 	if r.promptTokens > rules.MaxPromptTokens {
 		return fault.New(fault.TooLarge,
@@ -61,7 +61,7 @@
 
 // checkEstimate refuses a request whose deadline passes before its first token
 // can be expected, or whose account already fills its part of the queue.
-func (d *Director) checkEstimate(r *Request) error {
+func (d *Director) checkQueueWait(r *Request) error {
 	pool := r.Route.Pool
 	waiting, ahead := d.Board.Queues.Waiting(pool.Name, r.Account.Path, r.Route.Rules.Level)
 	if waiting >= r.Route.Rules.MaxWaiting {
--- a/node/requestcontrol/collaborators.go
+++ b/node/requestcontrol/collaborators.go
@@ -17,7 +17,7 @@
 	// the permit ends. An earlier call's answer comes back as a Duplicate.
 	Claim(ctx context.Context, c Claim) (*Permit, error)
 	// Conclude tells how a claimed call ended, for duplicates to come.
-	Conclude(c Claim, o blackboard.Outcome)
+	RecordOutcome(c Claim, o blackboard.Outcome)
 }
 
 // Claim asks for the right to send a call.
@@ -25,9 +25,9 @@
 	// Key is scoped to the account and the route.
 	Key string
 	// Stamp is the key as the caller wrote it; a UUIDv7 carries its time.
-	Stamp   string
-	Attempt string
-	Request string
+	CallerKey string
+	Attempt   string
+	Request   string
 	// Region is the region of the call's targets.
 	Region   string
 	Deadline time.Time
@@ -37,9 +37,9 @@
 type Permit struct {
 	// Ends is on the monotonic clock; it is checked last thing before the send. What the host
 	// has slept since the claim began counts too: the witnesses did not.
-	Ends time.Time
+	ExpiresAt time.Time
 	// Slept is for how long the host had slept when the claim began.
-	Slept time.Duration
+	SuspendedAtClaim time.Duration
 	// Attempt is the claim that won, which may be a later one than asked for.
 	Attempt string
 	// Tally is how the witnesses answered.
@@ -47,25 +47,25 @@
 }
 
 // ended tells whether the permit's time is over, where the host has slept for so long so far.
-func (p *Permit) ended(now time.Time, slept time.Duration) bool {
-	return !now.Add(slept - p.Slept).Before(p.Ends)
+func (p *Permit) expired(now time.Time, slept time.Duration) bool {
+	return !now.Add(slept - p.SuspendedAtClaim).Before(p.ExpiresAt)
 }
 
-// Duplicate is the error for a key that an earlier call used; it carries that
+// DuplicateError is the error for a key that an earlier call used; it carries that
 // call's outcome.
-type Duplicate struct {
+type DuplicateError struct {
 	Outcome blackboard.Outcome
 }
 
 // Error implements error.
-func (d *Duplicate) Error() string {
+func (d *DuplicateError) Error() string {
 	return "an earlier call used this idempotency key: " + string(d.Outcome.Execution)
 }
 
-// ShareSeeker asks for a larger share of an account's limits.
-type ShareSeeker interface {
+// ShareRequester asks for a larger share of an account's limits.
+type ShareRequester interface {
 	// Seek tells whether it asked, so that another look makes sense.
-	Seek(ctx context.Context, account string, rules *settings.Rules, promptTokens int64) bool
+	RequestShare(ctx context.Context, account string, rules *settings.Rules, promptTokens int64) bool
 }
 
 // Placer asks the daemon that coordinates a pool, which knows of all daemons' calls.
@@ -76,9 +76,9 @@
 	Coordinates(pool string) bool
 	// PromptRead and Finished tell the coordinator of a call's progress; Finished also
 	// of a target that nothing should be sent to for some time.
-	PromptRead(attempt string)
-	Finished(attempt string, result blackboard.CallResult, suspect string, suspectFor time.Duration)
+	ReportPrefillDone(attempt string)
+	ReportFinished(attempt string, result blackboard.CallResult, suspect string, suspectFor time.Duration)
 	// LimitSaid tells the coordinator what a target said of its limit in the answer to a call that
 	// was sent then.
-	LimitSaid(pool, target string, said forward.Limit, sent time.Time)
+	ReportLimit(pool, target string, said forward.Limit, sent time.Time)
 }
--- a/node/requestcontrol/director.go
+++ b/node/requestcontrol/director.go
@@ -20,17 +20,17 @@
 	Board   *blackboard.Blackboard
 	Targets *target.Client
 	// Exchange sends forwarded calls; nil where none are taken.
-	Exchange *target.Exchanger
-	Record   *telemetry.Recorder
+	Exchanger *target.Exchanger
+	Recorder  *telemetry.Recorder
 	// Placer is nil where each daemon decides by itself.
-	Placer Placer
-	Claims Claimer
-	Shares ShareSeeker
+	Placer         Placer
+	Claimer        Claimer
+	ShareRequester ShareRequester
 	// Crashes is nil where no other daemon is told.
-	Crashes  CrashReporter
-	Retrying RetryPolicy
+	CrashReporter CrashReporter
+	RetryPolicy   RetryPolicy
 	// Slept is for how long the host has slept so far, which the steady clock does not count.
-	Slept func() time.Duration
+	SuspendedTime func() time.Duration
 }
 
 // RetryPolicy bounds the attempts of one request.
@@ -42,20 +42,20 @@
 // DefaultRetryPolicy gives a request four attempts.
 func DefaultRetryPolicy() RetryPolicy { return RetryPolicy{MaxAttempts: 4} }
 
-// seedOf makes daemons that see the same reports pick differently.
-func seedOf(daemon, attempt string) uint64 {
+// attemptSeed makes daemons that see the same reports pick differently.
+func attemptSeed(daemon, attempt string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(daemon))
 	_, _ = h.Write([]byte(attempt))
 	return h.Sum64()
 }
 
-// NewAttempt names a call to a target. A UUIDv7 sorts by time in engines' logs.
-func NewAttempt() string { return uuid.Must(uuid.NewV7()).String() }
+// NewAttemptID names a call to a target. A UUIDv7 sorts by time in engines' logs.
+func NewAttemptID() string { return uuid.Must(uuid.NewV7()).String() }
 
 // mayRetry decides whether a failed attempt is followed by another one.
 func (d *Director) mayRetry(ctx context.Context, r *Request, attempts int, err error) bool {
-	if ctx.Err() != nil || attempts >= d.Retrying.MaxAttempts {
+	if ctx.Err() != nil || attempts >= d.RetryPolicy.MaxAttempts {
 		return false
 	}
 	if !r.Route.Repeatable && target.ExecutionOf(err) != fault.NotRun {
@@ -64,12 +64,12 @@
 	if target.ExecutionOf(err) != fault.NotRun && !d.Board.Accounts.Retry(r.Account.Path) {
 		return false // A call that did not run costs targets nothing and is free.
 	}
-	d.Record.Metrics.Retries.WithLabelValues(r.Route.Pool.Name).Inc()
+	d.Recorder.Metrics.Retries.WithLabelValues(r.Route.Pool.Name).Inc()
 	return true
 }
 
 // callError is the caller's view of a call that failed for good.
-func (d *Director) callError(ctx context.Context, r *Request, err error) *fault.Error {
+func (d *Director) errorForCaller(ctx context.Context, r *Request, err error) *fault.Error {
 	var typed *fault.Error
 	if errors.As(err, &typed) {
 		return typed
@@ -97,10 +97,10 @@
 	rec.Route = r.Route.Name
 	rec.Pool = r.Route.Pool.Name
 	rec.Revision = r.Revision
-	d.Record.Record(rec)
+	d.Recorder.Record(rec)
 }
 
-func (d *Director) recordRoute(r *Request, ticket *blackboard.Ticket, p blackboard.Placement) {
+func (d *Director) recordPlacement(r *Request, ticket *blackboard.Ticket, p blackboard.Placement) {
 	if ticket.Waited() != nil {
 		d.recordWait(r, ticket)
 	}
--- a/node/requestcontrol/forward.go
+++ b/node/requestcontrol/forward.go
@@ -20,7 +20,7 @@
 // AnswerWriter gives a forwarded answer to its caller.
 type AnswerWriter interface {
 	// Begin sends the head; length is -1 where it is not known.
-	Begin(status int, h http.Header, length int64)
+	WriteHead(status int, h http.Header, length int64)
 	// Write sends a part of the body at once.
 	Write(p []byte) error
 }
@@ -33,28 +33,28 @@
 	out      AnswerWriter
 	progress forward.Progress
 	// lastEvent is the last event that the caller has.
-	lastEvent string
-	events    int
+	lastEventID string
+	eventCount  int
 	// first is the time to the first event, gap the longest pause between two, and
 	// lastAt when the last one was given.
-	first, gap time.Duration
-	lastAt     time.Time
-	exclude    []string
+	timeToFirstEvent, longestGap time.Duration
+	lastEventAt                  time.Time
+	excluded                     []string
 	// erred is a target's own failure, given to the caller if no other does better.
-	erred *wholeAnswer
+	errorAnswer *bufferedAnswer
 	// last is the target last sent to, for the log, and atFault the address of the
 	// helper that its answer blames.
-	last, atFault string
+	lastTarget, failedHelper string
 	// readBy is the last attempt whose target has read the prompt.
-	readBy string
+	prefilledAttempt string
 	// watched is the watch over the attempt under way.
-	watched *silence
+	silenceWatch *silenceWatch
 	// repeatTaken tells that the fleet's budget has been asked for the next send already.
-	repeatTaken atomic.Bool
+	repeatCharged atomic.Bool
 }
 
-// wholeAnswer is an answer that has been read to its end.
-type wholeAnswer struct {
+// bufferedAnswer is an answer that has been read to its end.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
@@ -65,7 +65,7 @@
 func (d *Director) Forward(ctx context.Context, r *Request, out AnswerWriter) error {
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
-	f := &forwarding{director: d, request: r, out: out, lastEvent: r.LastEvent, progress: forward.Progress{
+	f := &forwarding{director: d, request: r, out: out, lastEventID: r.LastEventID, progress: forward.Progress{
 		Rules: forward.Rules{Repeatable: r.Route.Repeatable, MaxAttempts: r.Path.MaxAttempts},
 	}}
 	err := f.run(ctx)
@@ -76,21 +76,21 @@
 func (f *forwarding) run(ctx context.Context) error {
 	d, r := f.director, f.request
 	for {
-		err := f.attempt(ctx)
+		err := f.runAttempt(ctx)
 		if err == nil {
 			return nil
 		}
-		if !f.mayTryAgain(ctx, err) {
-			return f.conclude(ctx, err)
+		if !f.mayRetry(ctx, err) {
+			return f.finishFailed(ctx, err)
 		}
-		d.Record.Metrics.Retries.WithLabelValues(r.Route.Pool.Name).Inc()
+		d.Recorder.Metrics.Retries.WithLabelValues(r.Route.Pool.Name).Inc()
 	}
 }
 
 // mayTryAgain decides whether a failed attempt is followed by another one.
-func (f *forwarding) mayTryAgain(ctx context.Context, err error) bool {
+func (f *forwarding) mayRetry(ctx context.Context, err error) bool {
 	var typed *fault.Error
-	if errors.As(err, &typed) || errors.Is(err, errSink) || errors.Is(err, errQuarantined) || ctx.Err() != nil {
+	if errors.As(err, &typed) || errors.Is(err, errCallerWrite) || errors.Is(err, errQuarantined) || ctx.Err() != nil {
 		return false
 	}
 	if !f.progress.MayRetry() {
@@ -99,7 +99,7 @@
 	if f.progress.Sends() == 0 {
 		return true // Nothing has reached a target, so nothing is repeated.
 	}
-	if f.repeatTaken.Swap(false) {
+	if f.repeatCharged.Swap(false) {
 		return true
 	}
 	d := f.director
@@ -107,9 +107,9 @@
 }
 
 // conclude ends a call that has failed for good.
-func (f *forwarding) conclude(ctx context.Context, err error) error {
-	if f.erred != nil && !f.progress.AnswerStarted && ctx.Err() == nil {
-		return f.giveWhole(f.erred)
+func (f *forwarding) finishFailed(ctx context.Context, err error) error {
+	if f.errorAnswer != nil && !f.progress.AnswerStarted && ctx.Err() == nil {
+		return f.writeBuffered(f.errorAnswer)
 	}
 	execution := f.progress.Execution()
 	var typed *fault.Error
@@ -121,81 +121,81 @@
 		return fault.New(fault.DeadlinePassed,
 			fmt.Sprintf("the answer was not whole within %v", f.request.Deadline.Sub(f.request.Arrived).Round(time.Millisecond)),
 			"allow more time, or send again later").WithExecution(execution)
-	case ctx.Err() != nil || errors.Is(err, errSink):
+	case ctx.Err() != nil || errors.Is(err, errCallerWrite):
 		return fault.New(fault.Abandoned, "the caller went away", "nothing to do").WithExecution(execution)
 	case execution == fault.NotRun:
-		return fault.New(fault.NoTarget, "no target took the call: "+err.Error(), "send again after the time in Retry-After").WithRetry(refusedRetry)
+		return fault.New(fault.NoTarget, "no target took the call: "+err.Error(), "send again after the time in Retry-After").WithRetry(rejectedRetryAfter)
 	default:
 		return fault.New(fault.TargetFailed, err.Error(), "see \"doorstack explain\" with the request id").WithExecution(execution)
 	}
 }
 
-// refusedRetry is when a call that no target took is worth another try: a target's
+// rejectedRetryAfter is when a call that no target took is worth another try: a target's
 // queue moves within some passes of its batch, each some 50 to 100 ms long.
-const refusedRetry = 200 * time.Millisecond
+const rejectedRetryAfter = 200 * time.Millisecond
 
 // attempt places the call and sends it to one target.
-func (f *forwarding) attempt(ctx context.Context) error {
+func (f *forwarding) runAttempt(ctx context.Context) error {
 	d, r := f.director, f.request
-	attempt := NewAttempt()
+	attempt := NewAttemptID()
 	again := f.progress.Sends() > 0
-	r.begun = f.progress.AnswerStarted
-	placement, err := d.place(ctx, r, attempt, again, f.exclude)
+	r.answerStarted = f.progress.AnswerStarted
+	placement, err := d.place(ctx, r, attempt, again, f.excluded)
 	if err != nil {
 		return err
 	}
 	if !again {
 		d.Board.Repeats.Call(r.Route.Pool.Name, time.Now())
 	}
-	d.Record.Reach(blackboard.StagePlaced)
-	f.last = placement.Decision.Chosen
+	d.Recorder.Reach(blackboard.StagePlaced)
+	f.lastTarget = placement.Decision.Chosen
 	err = f.send(ctx, &placement)
-	f.finish(ctx, &placement, err)
+	f.finishAttempt(ctx, &placement, err)
 	return err
 }
 
 // finish books the end of an attempt and wakes whoever waits for its room.
-func (f *forwarding) finish(ctx context.Context, p *blackboard.Placement, err error) {
+func (f *forwarding) finishAttempt(ctx context.Context, p *blackboard.Placement, err error) {
 	d := f.director
 	result := blackboard.CallSucceeded
 	switch {
 	case err == nil:
-	case ctx.Err() != nil || errors.Is(err, errSink) || errors.Is(err, errTurnedAway) || errors.Is(err, errQuarantined):
+	case ctx.Err() != nil || errors.Is(err, errCallerWrite) || errors.Is(err, errRejected) || errors.Is(err, errQuarantined):
 		result = blackboard.CallCancelled
 	default:
 		result = blackboard.CallFailed
 	}
 	suspect, suspectFor := "", time.Duration(0)
 	if err != nil {
-		culprit := f.culprit(p)
-		f.exclude = append(f.exclude, culprit)
-		if suspectFor = f.suspicion(err); suspectFor > 0 && ctx.Err() == nil {
+		culprit := f.failedTarget(p)
+		f.excluded = append(f.excluded, culprit)
+		if suspectFor = f.suspectDuration(err); suspectFor > 0 && ctx.Err() == nil {
 			suspect = culprit
 			d.Board.Targets.Suspect(suspect, time.Now().Add(suspectFor), time.Now())
 		}
-		f.recordAttempt(ctx, p.Attempt, culprit, err)
+		f.recordFailedAttempt(ctx, p.Attempt, culprit, err)
 	}
-	f.noteEnd(ctx, p, err)
+	f.recordCrashOrSuccess(ctx, p, err)
 	d.Board.Targets.Finish(p.Attempt, result, time.Now())
 	if d.Placer != nil {
-		d.Placer.Finished(p.Attempt, result, suspect, suspectFor)
+		d.Placer.ReportFinished(p.Attempt, result, suspect, suspectFor)
 	}
 	d.Board.Queues.Wake(f.request.Route.Pool.Name)
 }
 
 // noteEnd notes whether the target lived through the call. A failure that a target answers
 // itself shows that it did.
-func (f *forwarding) noteEnd(ctx context.Context, p *blackboard.Placement, err error) {
+func (f *forwarding) recordCrashOrSuccess(ctx context.Context, p *blackboard.Placement, err error) {
 	switch {
-	case err == nil || errors.Is(err, errErred):
-		f.director.noteAnswered(f.request)
-	case ctx.Err() == nil && !errors.Is(err, errSink):
-		f.director.noteFailed(f.request, p.Decision.Chosen, err)
+	case err == nil || errors.Is(err, errTargetError):
+		f.director.recordSuccess(f.request)
+	case ctx.Err() == nil && !errors.Is(err, errCallerWrite):
+		f.director.recordCrash(f.request, p.Decision.Chosen, err)
 	}
 }
 
 // recordAttempt records why an attempt led to no answer.
-func (f *forwarding) recordAttempt(ctx context.Context, attempt, culprit string, err error) {
+func (f *forwarding) recordFailedAttempt(ctx context.Context, attempt, culprit string, err error) {
 	rec := decision.Record{Kind: decision.KindAttempt, Outcome: decision.OutcomeFailed, Target: culprit, Attempt: attempt, Reason: err.Error(), CallKey: f.request.poisonKey().String()}
 	if cause := ctx.Err(); cause != nil {
 		rec.Outcome, rec.Reason = decision.OutcomeCancelled, cause.Error()
@@ -213,11 +213,11 @@
 )
 
 // suspicion is how long the culprit of a failed attempt is kept out.
-func (f *forwarding) suspicion(err error) time.Duration {
+func (f *forwarding) suspectDuration(err error) time.Duration {
 	switch {
-	case f.atFault != "":
+	case f.failedHelper != "":
 		return suspectHelper
-	case errors.Is(err, errTurnedAway):
+	case errors.Is(err, errRejected):
 		return suspectFull
 	case target.ExecutionOf(err) == fault.NotRun:
 		return suspectUnreachable
@@ -228,9 +228,9 @@
 
 // culprit is the target that the next attempt avoids: a helper that the answer names,
 // or the one that the call was sent to.
-func (f *forwarding) culprit(p *blackboard.Placement) string {
+func (f *forwarding) failedTarget(p *blackboard.Placement) string {
 	for _, h := range p.Helpers {
-		if f.atFault != "" && h.Address == f.atFault {
+		if f.failedHelper != "" && h.Address == f.failedHelper {
 			return h.ID
 		}
 	}
@@ -239,14 +239,14 @@
 
 // The ways in which a target's answer does not serve.
 var (
-	errTurnedAway = errors.New("the target turned the call away")
-	errUseless    = errors.New("the target's answer cannot be given to the caller")
-	errBroken     = errors.New("the target's answer broke off")
-	errErred      = errors.New("the target failed")
+	errRejected    = errors.New("the target turned the call away")
+	errUnusable    = errors.New("the target's answer cannot be given to the caller")
+	errTruncated   = errors.New("the target's answer broke off")
+	errTargetError = errors.New("the target failed")
 )
 
-// brokenOff says that an answer broke off, and keeps the cause.
-func brokenOff(cause error) error { return fmt.Errorf("%w: %w", errBroken, cause) }
+// truncatedError says that an answer broke off, and keeps the cause.
+func truncatedError(cause error) error { return fmt.Errorf("%w: %w", errTruncated, cause) }
 
 // send makes one send and relays its answer.
 func (f *forwarding) send(ctx context.Context, p *blackboard.Placement) error {
@@ -254,37 +254,37 @@
 	call := *r.Forward
 	header := http.Header(r.Forward.Header).Clone()
 	call.Header = header
-	call.ProbeConnection = probed(p)
-	d.Exchange.Dialect.WriteSend(header, &forward.SendParams{
-		Target: p.Decision.Chosen, Account: r.Account.Path, Timeout: time.Until(r.Deadline), LastEventID: f.lastEvent,
-		Helpers: helpersOf(p),
+	call.ProbeConnection = probesConnection(p)
+	d.Exchanger.Dialect.WriteSend(header, &forward.SendParams{
+		Target: p.Decision.Chosen, Account: r.Account.Path, Timeout: time.Until(r.Deadline), LastEventID: f.lastEventID,
+		Helpers: forwardHelpers(p),
 	})
-	f.atFault = ""
-	tickets, err := d.reserveTickets(ctx, r, p)
+	f.failedHelper = ""
+	tickets, err := d.reserveMemory(ctx, r, p)
 	if err != nil {
-		f.atFault = tickets.refusedBy
+		f.failedHelper = tickets.refusedBy
 		return err // Nothing has been sent of the call itself.
 	}
 	defer tickets.release(ctx)
-	watched, silence := f.watch(ctx, p)
+	watched, silence := f.watchSilence(ctx, p)
 	defer silence.release()
-	defer d.watchForQuarantine(r, silence.cancel)()
-	f.watched = silence
-	reply, err := d.Exchange.Send(watched, p.Address, &call)
+	defer d.cancelOnQuarantine(r, silence.cancel)()
+	f.silenceWatch = silence
+	reply, err := d.Exchanger.Send(watched, p.Address, &call)
 	if err != nil {
 		execution := target.ExecutionOf(err)
 		f.progress.RecordFailure(execution, execution != fault.NotRun)
 		if errors.Is(err, target.ErrCallerLeft) {
-			return errors.Wrap(errSink, err.Error())
+			return errors.Wrap(errCallerWrite, err.Error())
 		}
 		return silence.stop(watched, err)
 	}
-	f.hear(p.Decision.Chosen, reply)
-	err = silence.stop(watched, f.take(reply, p))
-	d.Exchange.Close(reply)
+	f.recordNotice(p.Decision.Chosen, reply)
+	err = silence.stop(watched, f.handleReply(reply, p))
+	d.Exchanger.Close(reply)
 	switch {
 	case err == nil:
-	case errors.Is(err, errTurnedAway):
+	case errors.Is(err, errRejected):
 		f.progress.RecordFailure(fault.NotRun, true)
 	default:
 		f.progress.RecordFailure(fault.Unknown, true)
@@ -293,86 +293,86 @@
 }
 
 // hear takes in what a target says of itself in an answer. Its limit concerns all daemons.
-func (f *forwarding) hear(target string, reply *target.Reply) {
+func (f *forwarding) recordNotice(target string, reply *target.Reply) {
 	d, pool, said := f.director, f.request.Route.Pool.Name, reply.TargetNotice()
-	d.Record.Unread(pool, target, reply.UnknownHeaders)
-	news := d.Record.Notice(pool, target, said, reply.Sent)
+	d.Recorder.Unread(pool, target, reply.UnknownHeaders)
+	news := d.Recorder.Notice(pool, target, said, reply.Sent)
 	if d.Placer != nil && (said.Limit.Declared || news && said.Limit.Lifted) {
-		d.Placer.LimitSaid(pool, target, said.Limit, reply.Sent)
+		d.Placer.ReportLimit(pool, target, said.Limit, reply.Sent)
 	}
 }
 
-func helpersOf(p *blackboard.Placement) []forward.Helper {
+func forwardHelpers(p *blackboard.Placement) []forward.Helper {
 	var helpers []forward.Helper
 	for _, h := range p.Helpers {
-		helpers = append(helpers, forward.Helper{Address: h.Address, ReservationID: ticketID(p, h.ID)})
+		helpers = append(helpers, forward.Helper{Address: h.Address, ReservationID: reservationID(p, h.ID)})
 	}
 	return helpers
 }
 
 // take does with an answer what its head says that it is good for.
-func (f *forwarding) take(reply *target.Reply, p *blackboard.Placement) error {
+func (f *forwarding) handleReply(reply *target.Reply, p *blackboard.Placement) error {
 	verdict := reply.Classify()
 	if f.progress.AnswerStarted && verdict == forward.TargetError {
 		verdict = forward.Unusable // The caller has the head of another run already.
 	}
 	switch verdict {
 	case forward.Rejected:
-		f.atFault = reply.FailedHelper
-		if _, err := readWhole(reply); err != nil {
-			return errors.Wrap(errTurnedAway, err.Error())
+		f.failedHelper = reply.FailedHelper
+		if _, err := bufferAnswer(reply); err != nil {
+			return errors.Wrap(errRejected, err.Error())
 		}
-		return errors.Wrap(errTurnedAway, fmt.Sprintf("status %d, at fault %q", reply.Status, reply.FailedHelper))
+		return errors.Wrap(errRejected, fmt.Sprintf("status %d, at fault %q", reply.Status, reply.FailedHelper))
 	case forward.Unusable:
-		return errors.Wrap(errUseless, fmt.Sprintf("status %d, signed %v", reply.Status, reply.Signed))
+		return errors.Wrap(errUnusable, fmt.Sprintf("status %d, signed %v", reply.Status, reply.Signed))
 	case forward.TargetError:
-		return f.takeErred(reply)
+		return f.keepErrorAnswer(reply)
 	case forward.Deliver:
 	}
 	if f.request.Path.Kind == settings.CallStreaming && reply.Status == http.StatusOK {
 		return f.relay(reply, p)
 	}
-	answer, err := readWhole(reply)
+	answer, err := bufferAnswer(reply)
 	if err != nil {
-		return brokenOff(err)
+		return truncatedError(err)
 	}
-	return f.giveWhole(answer)
+	return f.writeBuffered(answer)
 }
 
 // takeErred keeps a target's own failure, which goes to the caller unless another
 // target does better.
-func (f *forwarding) takeErred(reply *target.Reply) error {
-	answer, err := readWhole(reply)
+func (f *forwarding) keepErrorAnswer(reply *target.Reply) error {
+	answer, err := bufferAnswer(reply)
 	if err != nil {
-		return brokenOff(err)
+		return truncatedError(err)
 	}
-	f.erred = answer
-	return errors.Wrap(errErred, fmt.Sprintf("status %d", reply.Status))
+	f.errorAnswer = answer
+	return errors.Wrap(errTargetError, fmt.Sprintf("status %d", reply.Status))
 }
 
-// maxWholeAnswer bounds an answer that is held whole, so that a caller never gets
+// maxBufferedAnswer bounds an answer that is held whole, so that a caller never gets
 // half of one and a repeatable call can go to another target.
-const maxWholeAnswer = 8 << 20
+const maxBufferedAnswer = 8 << 20
 
-func readWhole(reply *target.Reply) (*wholeAnswer, error) {
-	body, err := io.ReadAll(io.LimitReader(reply.Body, maxWholeAnswer+1))
+func bufferAnswer(reply *target.Reply) (*bufferedAnswer, error) {
+	body, err := io.ReadAll(io.LimitReader(reply.Body, maxBufferedAnswer+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > maxWholeAnswer {
+	if len(body) > maxBufferedAnswer {
 		return nil, errors.New("the answer is over the bound")
 	}
-	return &wholeAnswer{status: reply.Status, header: reply.Header, body: body}, nil
+	return &bufferedAnswer{status: reply.Status, header: reply.Header, body: body}, nil
 }
 
-func (f *forwarding) giveWhole(a *wholeAnswer) error {
+func (f *forwarding) writeBuffered(a *bufferedAnswer) error {
 	f.progress.AnswerStarted = true
-	f.out.Begin(a.status, a.header, int64(len(a.body)))
+	f.out.WriteHead(a.status, a.header, int64(len(a.body)))
 	if len(a.body) == 0 {
 		return nil
 	}
 	if err := f.out.Write(a.body); err != nil {
-		return errors.Wrap(errSink, err.Error())
+		return errors.Wrap(errCallerWrite, err.Error())
 	}
 	return nil
 }
@@ -380,11 +380,11 @@
 func (f *forwarding) recordAnswer(err error) {
 	r := f.request
 	rec := decision.Record{
-		Kind: decision.KindAnswer, Outcome: decision.OutcomeComplete, Target: f.last,
-		Stream: &decision.StreamTiming{Events: f.events, FirstEvent: f.first, LongestGap: f.gap, Total: time.Since(r.Arrived), FirstEventGoal: r.goal(), LongestGapGoal: r.gapGoal()},
+		Kind: decision.KindAnswer, Outcome: decision.OutcomeComplete, Target: f.lastTarget,
+		Stream: &decision.StreamTiming{Events: f.eventCount, FirstEvent: f.timeToFirstEvent, LongestGap: f.longestGap, Total: time.Since(r.Arrived), FirstEventGoal: r.firstEventGoal(), LongestGapGoal: r.gapGoal()},
 	}
 	if err == nil {
-		f.director.Record.Reach(blackboard.StageAnswered)
+		f.director.Recorder.Reach(blackboard.StageAnswered)
 	} else {
 		rec.Outcome = decision.OutcomeFailed
 		rec.Reason = fmt.Sprintf("after %d sends: %v", f.progress.Sends(), err)
--- a/node/requestcontrol/generate.go
+++ b/node/requestcontrol/generate.go
@@ -19,71 +19,71 @@
 // generation is a model request in progress. What the caller has been given
 // lives here, across attempts, so that no token is ever given twice.
 type generation struct {
-	director *Director
-	request  *Request
-	sink     Sink
-	given    strings.Builder
-	next     int64
-	finish   string
-	first    time.Duration
-	exclude  []string
+	director         *Director
+	request          *Request
+	sink             TokenSink
+	delivered        strings.Builder
+	nextIndex        int64
+	finishReason     string
+	timeToFirstToken time.Duration
+	excluded         []string
 }
 
-// errSink marks a failure to write to the caller.
-var errSink = errors.New("the caller does not take the answer")
+// errCallerWrite marks a failure to write to the caller.
+var errCallerWrite = errors.New("the caller does not take the answer")
 
 // Generate runs a model request and gives its answer to sink, token by token.
 // It returns nil only after the whole answer; the error is a *fault.Error.
-func (d *Director) Generate(ctx context.Context, r *Request, sink Sink) (Result, error) {
+func (d *Director) Generate(ctx context.Context, r *Request, sink TokenSink) (GenerateResult, error) {
 	done, err := d.admit(ctx, r)
 	if err != nil {
-		return Result{}, err
+		return GenerateResult{}, err
 	}
 	defer done()
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
 	g := &generation{director: d, request: r, sink: sink}
 	err = g.run(ctx)
-	d.recordAnswer(r, g.next, err)
+	d.recordAnswer(r, g.nextIndex, err)
 	if err != nil {
-		return Result{}, err
+		return GenerateResult{}, err
 	}
-	return Result{Tokens: g.next, FinishReason: g.finish, FirstToken: g.first}, nil
+	return GenerateResult{Tokens: g.nextIndex, FinishReason: g.finishReason, TimeToFirstToken: g.timeToFirstToken}, nil
 }
 
 func (g *generation) run(ctx context.Context) error {
 	for attempts := 1; ; attempts++ {
-		err := g.attempt(ctx, attempts > 1)
+		err := g.runAttempt(ctx, attempts > 1)
 		if err == nil {
 			return nil
 		}
 		var typed *fault.Error
 		if errors.As(err, &typed) {
-			return g.whatRan(typed)
+			return g.correctExecution(typed)
 		}
-		if errors.Is(err, errSink) || !g.director.mayRetry(ctx, g.request, attempts, err) {
-			return g.whatRan(g.director.callError(ctx, g.request, err))
+		if errors.Is(err, errCallerWrite) || !g.director.mayRetry(ctx, g.request, attempts, err) {
+			return g.correctExecution(g.director.errorForCaller(ctx, g.request, err))
 		}
 	}
 }
 
 // whatRan corrects a failure of a later attempt: once tokens were given, an
 // engine has run.
-func (g *generation) whatRan(e *fault.Error) *fault.Error {
-	if g.next > 0 {
+func (g *generation) correctExecution(e *fault.Error) *fault.Error {
+	if g.nextIndex > 0 {
 		return e.WithExecution(fault.Ran)
 	}
-	if len(g.exclude) > 0 && e.Execution == fault.NotRun {
+	if len(g.excluded) > 0 && e.Execution == fault.NotRun {
 		return e.WithExecution(fault.Unknown)
 	}
 	return e
 }
 
 // attempt places the request and asks one target for what is still missing.
-func (g *generation) attempt(ctx context.Context, retry bool) error {
+func (g *generation) runAttempt(ctx context.Context, retry bool) error {
 	d := g.director
-	attempt := NewAttempt()
-	placement, err := d.place(ctx, g.request, attempt, retry, g.exclude)
+	attempt := NewAttemptID()
+	placement, err := d.place(ctx, g.request, attempt, retry, g.excluded)
 	if err != nil {
 		return err
 	}
@@ -96,20 +96,20 @@
 		Prompt:       g.request.Prompt,
 		MaxTokens:    g.request.MaxTokens,
 		Level:        g.request.Route.Rules.Level,
-		FirstIndex:   g.next,
-		Continuation: g.given.String(),
+		FirstIndex:   g.nextIndex,
+		Continuation: g.delivered.String(),
 	}
-	asking, cancel := untilGone(ctx, placement.Gone)
-	err = g.ask(asking, placement.Decision.Chosen, placement.Address, call)
+	asking, cancel := cancelWhenGone(ctx, placement.Gone)
+	err = g.streamAnswer(asking, placement.Decision.Chosen, placement.Address, call)
 	cancel()
 	g.finishCall(ctx, placement.Decision.Chosen, attempt, err)
 	return err
 }
 
-// untilGone returns a context that also ends when the target is taken to be gone.
+// cancelWhenGone returns a context that also ends when the target is taken to be gone.
 // A frozen engine neither answers nor closes the connection; its missing reports
 // are what tells, and the answer goes on elsewhere.
-func untilGone(ctx context.Context, gone <-chan struct{}) (context.Context, context.CancelFunc) {
+func cancelWhenGone(ctx context.Context, gone <-chan struct{}) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		select {
@@ -128,63 +128,63 @@
 	switch {
 	case err == nil:
 		d.Board.Prefixes.Stored(id, g.request.prefixes)
-		d.noteAnswered(g.request)
-	case ctx.Err() != nil || errors.Is(err, errSink):
+		d.recordSuccess(g.request)
+	case ctx.Err() != nil || errors.Is(err, errCallerWrite):
 		result = blackboard.CallCancelled
 	default:
 		result = blackboard.CallFailed
-		if !refusedBusy(err) {
-			g.exclude = append(g.exclude, id)
+		if !isBusyRefusal(err) {
+			g.excluded = append(g.excluded, id)
 		}
 		d.record(g.request, decision.Record{Kind: decision.KindAttempt, Outcome: decision.OutcomeFailed, Target: id, Attempt: attempt, Reason: err.Error()})
-		d.noteFailed(g.request, id, err)
+		d.recordCrash(g.request, id, err)
 	}
 	d.Board.Targets.Finish(attempt, result, time.Now())
 	d.Board.Queues.Wake(g.request.Route.Pool.Name)
 }
 
-// refusedBusy tells whether the target only lacked room for the moment.
-func refusedBusy(err error) bool {
+// isBusyRefusal tells whether the target only lacked room for the moment.
+func isBusyRefusal(err error) bool {
 	var call *target.CallError
 	return errors.As(err, &call) && call.Refused() && call.Code == target.CodeBusy
 }
 
 // ask streams one call's answer. Where the connection breaks but the engine
 // lives, it takes up the same stream again instead of starting another.
-func (g *generation) ask(ctx context.Context, id, address string, call *target.GenerateRequest) error {
+func (g *generation) streamAnswer(ctx context.Context, id, address string, call *target.GenerateRequest) error {
 	d := g.director
 	assembler := stream.NewAssembler(call.Attempt, call.FirstIndex)
-	give := g.give(call.Attempt)
+	give := g.tokenHandler(call.Attempt)
 	push := func(c stream.Chunk) error { return assembler.Push(c, give) }
 	err := d.Targets.Generate(ctx, address, call, push)
-	err = closeStream(assembler, err)
-	if err != nil && resumable(ctx, err, assembler) {
+	err = finishStream(assembler, err)
+	if err != nil && canResume(ctx, err, assembler) {
 		resume := target.ResumeRequest{Attempt: call.Attempt, From: assembler.Next()}
-		again := closeStream(assembler, d.Targets.Resume(ctx, address, resume, push))
+		again := finishStream(assembler, d.Targets.Resume(ctx, address, resume, push))
 		d.record(g.request, decision.Record{
 			Kind: decision.KindAttempt, Outcome: "resumed", Target: id, Attempt: call.Attempt,
 			Reason: fmt.Sprintf("%v; from token %d", err, resume.From),
 		})
-		err = lastOf(err, again)
+		err = resumeError(err, again)
 	}
 	if err != nil {
 		d.cancelCall(ctx, address, call.Attempt, err)
 		return err
 	}
-	g.finish = assembler.FinishReason()
+	g.finishReason = assembler.FinishReason()
 	return nil
 }
 
-// lastOf is how a stream ended that broke off and was taken up again. Where the engine cannot
+// resumeError is how a stream ended that broke off and was taken up again. Where the engine cannot
 // be reached any more, that it broke off is what tells of the engine.
-func lastOf(brokeOff, again error) error {
+func resumeError(brokeOff, again error) error {
 	if again != nil && target.ExecutionOf(again) == fault.NotRun {
 		return brokeOff
 	}
 	return again
 }
 
-func closeStream(a *stream.Assembler, err error) error {
+func finishStream(a *stream.Assembler, err error) error {
 	if a.Complete() {
 		return nil // Whatever broke afterwards, the answer is whole.
 	}
@@ -197,10 +197,10 @@
 	return nil
 }
 
-// resumable tells whether it is worth asking the same engine for the rest: its
+// canResume tells whether it is worth asking the same engine for the rest: its
 // stream broke off, it did not refuse, lie or fail.
-func resumable(ctx context.Context, err error, a *stream.Assembler) bool {
-	if ctx.Err() != nil || errors.Is(err, errSink) || errors.Is(err, stream.ErrConflict) {
+func canResume(ctx context.Context, err error, a *stream.Assembler) bool {
+	if ctx.Err() != nil || errors.Is(err, errCallerWrite) || errors.Is(err, stream.ErrConflict) {
 		return false
 	}
 	return target.ExecutionOf(err) == fault.Unknown && a.Next() > 0
@@ -223,30 +223,30 @@
 }
 
 // give passes a token on to the caller.
-func (g *generation) give(attempt string) func(int64, string) error {
+func (g *generation) tokenHandler(attempt string) func(int64, string) error {
 	read := false
 	return func(index int64, text string) error {
-		if g.next == 0 {
-			g.firstToken()
+		if g.nextIndex == 0 {
+			g.recordFirstToken()
 		}
 		if !read {
 			read = true
 			g.director.Board.Targets.PromptRead(attempt, time.Now())
 		}
 		if err := g.sink.Token(index, text); err != nil {
-			return errors.Wrap(errSink, err.Error())
+			return errors.Wrap(errCallerWrite, err.Error())
 		}
-		g.given.WriteString(text)
-		g.next = index + 1
-		g.director.Record.Metrics.Tokens.Inc()
+		g.delivered.WriteString(text)
+		g.nextIndex = index + 1
+		g.director.Recorder.Metrics.Tokens.Inc()
 		return nil
 	}
 }
 
-func (g *generation) firstToken() {
-	g.first = time.Since(g.request.Arrived)
+func (g *generation) recordFirstToken() {
+	g.timeToFirstToken = time.Since(g.request.Arrived)
 	class := telemetry.LengthClass(g.request.promptTokens)
-	g.director.Record.Metrics.FirstToken.WithLabelValues(class).Observe(g.first.Seconds())
+	g.director.Recorder.Metrics.FirstToken.WithLabelValues(class).Observe(g.timeToFirstToken.Seconds())
 }
 
 func (d *Director) recordAnswer(r *Request, tokens int64, err error) {
--- a/node/requestcontrol/group.go
+++ b/node/requestcontrol/group.go
@@ -35,14 +35,14 @@
 	gone        <-chan struct{} // closed if the target is taken to be gone
 }
 
-// errNoGroup means that the engines have no room for all parts at the moment.
-var errNoGroup = errors.New("the engines have no room for all parts of the prompt")
+// errNoRoom means that the engines have no room for all parts at the moment.
+var errNoRoom = errors.New("the engines have no room for all parts of the prompt")
 
 // The pause between tries to reserve a whole group. It grows and is random, so
 // that two long prompts that keep taking memory from each other come apart.
 const (
-	groupPauseFirst = 100 * time.Millisecond
-	groupPauseMax   = 2 * time.Second
+	groupBackoffInitial = 100 * time.Millisecond
+	groupBackoffMax     = 2 * time.Second
 )
 
 // reserveTimeout bounds the reservation of a part, which an engine answers at once.
@@ -55,24 +55,24 @@
 func (d *Director) generateInGroup(ctx context.Context, g *generation, attempt string) error {
 	run := &groupRun{director: d, request: g.request, attempt: attempt}
 	defer run.release(ctx)
-	if err := run.reserveWhenFree(ctx); err != nil {
+	if err := run.reserveWithBackoff(ctx); err != nil {
 		return err
 	}
 	for i := range run.parts {
 		var cancel context.CancelFunc
-		ctx, cancel = untilGone(ctx, run.parts[i].gone)
+		ctx, cancel = cancelWhenGone(ctx, run.parts[i].gone)
 		defer cancel()
 	}
 	if err := run.prefill(ctx); err != nil {
 		return err
 	}
-	return run.answer(ctx, g)
+	return run.generate(ctx, g)
 }
 
 // reserveWhenFree tries to reserve a whole group until it has one or the
 // deadline passes.
-func (run *groupRun) reserveWhenFree(ctx context.Context) error {
-	pause := group.Backoff{Initial: groupPauseFirst, Max: groupPauseMax, Seed: seedOf(run.director.Board.Self.Name, run.attempt)}
+func (run *groupRun) reserveWithBackoff(ctx context.Context) error {
+	pause := group.Backoff{Initial: groupBackoffInitial, Max: groupBackoffMax, Seed: attemptSeed(run.director.Board.Self.Name, run.attempt)}
 	for tries := 1; ; tries++ {
 		err := run.reserve(ctx)
 		if err == nil {
@@ -116,7 +116,7 @@
 	slices.SortFunc(order, func(a, b *groupPart) int { return compareNames(a.Target, b.Target) })
 	for _, p := range order {
 		if err := run.reservePart(ctx, p); err != nil {
-			return errors.Wrap(errNoGroup, p.Target+": "+err.Error())
+			return errors.Wrap(errNoRoom, p.Target+": "+err.Error())
 		}
 	}
 	return nil
@@ -169,7 +169,7 @@
 			Reservation: p.reservation,
 			Prompt:      p.text,
 			Level:       run.request.Route.Rules.Level,
-			Context:     run.context(i),
+			Context:     run.precedingParts(i),
 		})
 		if err != nil {
 			return errors.Wrap(err, fmt.Sprintf("read part %d of %d at %s", i+1, len(run.parts), p.Target))
@@ -181,7 +181,7 @@
 }
 
 // context names the parts before part i.
-func (run *groupRun) context(i int) []target.KVRef {
+func (run *groupRun) precedingParts(i int) []target.KVRef {
 	refs := make([]target.KVRef, 0, i)
 	for k := range run.parts[:i] {
 		p := &run.parts[k]
@@ -191,19 +191,19 @@
 }
 
 // answer lets the last engine read its part and generate.
-func (run *groupRun) answer(ctx context.Context, g *generation) error {
+func (run *groupRun) generate(ctx context.Context, g *generation) error {
 	last := len(run.parts) - 1
 	p := &run.parts[last]
-	return g.ask(ctx, p.Target, p.address, &target.GenerateRequest{
+	return g.streamAnswer(ctx, p.Target, p.address, &target.GenerateRequest{
 		Attempt:      run.attempt,
 		Model:        run.request.Route.Pool.Model,
 		Prompt:       p.text,
 		MaxTokens:    run.request.MaxTokens,
 		Level:        run.request.Route.Rules.Level,
-		FirstIndex:   g.next,
-		Continuation: g.given.String(),
+		FirstIndex:   g.nextIndex,
+		Continuation: g.delivered.String(),
 		Reservation:  p.reservation,
-		Context:      run.context(last),
+		Context:      run.precedingParts(last),
 	})
 }
 
--- a/node/requestcontrol/left_test.go
+++ b/node/requestcontrol/left_test.go
@@ -19,51 +19,51 @@
 	"doorstack.dev/platform"
 )
 
-// onePlace places every call at one address, and notes how calls ended.
-type onePlace struct {
-	address string
-	placed  int
-	results []blackboard.CallResult
+// singleTargetPlacer places every call at one address, and notes how calls ended.
+type singleTargetPlacer struct {
+	address    string
+	placements int
+	results    []blackboard.CallResult
 }
 
-func (p *onePlace) Place(_ context.Context, t *blackboard.Ticket) (blackboard.Placement, bool) {
-	p.placed++
+func (p *singleTargetPlacer) Place(_ context.Context, t *blackboard.Ticket) (blackboard.Placement, bool) {
+	p.placements++
 	return blackboard.Placement{Attempt: t.Attempt, Address: p.address, Decision: routing.Decision{Verdict: routing.Place, Chosen: "t"}}, true
 }
 
-func (p *onePlace) PromptRead(string) {}
+func (p *singleTargetPlacer) ReportPrefillDone(string) {}
 
-func (p *onePlace) LimitSaid(string, string, forward.Limit, time.Time) {}
+func (p *singleTargetPlacer) ReportLimit(string, string, forward.Limit, time.Time) {}
 
-func (p *onePlace) Finished(_ string, result blackboard.CallResult, _ string, _ time.Duration) {
+func (p *singleTargetPlacer) ReportFinished(_ string, result blackboard.CallResult, _ string, _ time.Duration) {
 	p.results = append(p.results, result)
 }
 
-func (p *onePlace) Coordinates(string) bool { return true }
+func (p *singleTargetPlacer) Coordinates(string) bool { return true }
 
-// noAnswer is a caller that must be given nothing.
-type noAnswer struct{ t *testing.T }
+// rejectingAnswerWriter is a caller that must be given nothing.
+type rejectingAnswerWriter struct{ t *testing.T }
 
-func (a noAnswer) Begin(int, http.Header, int64) { a.t.Error("an answer begins") }
+func (a rejectingAnswerWriter) WriteHead(int, http.Header, int64) { a.t.Error("an answer begins") }
 
-func (a noAnswer) Write([]byte) error {
+func (a rejectingAnswerWriter) Write([]byte) error {
 	a.t.Error("an answer is written")
 	return nil
 }
 
-// TestACallOfACallerThatLeftIsGivenUp: the caller's connection has ended and the call's context
+// TestForwardSendsNothingAfterCallerDisconnects: the caller's connection has ended and the call's context
 // has not. Nothing is sent, no other target is tried, and nothing is said against the target.
-func TestACallOfACallerThatLeftIsGivenUp(t *testing.T) {
+func TestForwardSendsNothingAfterCallerDisconnects(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = listener.Close() }()
 	board := blackboard.New(blackboard.Identity{Name: "d1"}, blackboard.DefaultLimits())
-	placer := &onePlace{address: listener.Addr().String()}
+	placer := &singleTargetPlacer{address: listener.Addr().String()}
 	d := &Director{
-		Board: board, Placer: placer, Exchange: target.NewExchanger(platform.Headers{}),
-		Record: &telemetry.Recorder{Board: board, Log: slog.New(slog.DiscardHandler), Metrics: telemetry.NewMetrics()},
+		Board: board, Placer: placer, Exchanger: target.NewExchanger(platform.Headers{}),
+		Recorder: &telemetry.Recorder{Board: board, Log: slog.New(slog.DiscardHandler), Metrics: telemetry.NewMetrics()},
 	}
 	r := &Request{
 		ID: "r", Account: &settings.ClientAccount{Path: "/a"}, Arrived: time.Now(), Deadline: time.Now().Add(5 * time.Second),
@@ -73,19 +73,19 @@
 			ID: "r", Method: "GET", URI: "/a/", Host: "h.example", Header: map[string][]string{}, CallerDisconnected: func() bool { return true },
 		},
 	}
-	failure := fault.From(d.Forward(context.Background(), r, noAnswer{t}))
+	failure := fault.From(d.Forward(context.Background(), r, rejectingAnswerWriter{t}))
 	if failure.Kind != fault.Abandoned || failure.Execution != fault.NotRun {
 		t.Errorf("the call ended with %+v", failure)
 	}
-	if placer.placed != 1 || len(placer.results) != 1 || placer.results[0] != blackboard.CallCancelled {
-		t.Errorf("placed %d times, %d ends were told", placer.placed, len(placer.results))
+	if placer.placements != 1 || len(placer.results) != 1 || placer.results[0] != blackboard.CallCancelled {
+		t.Errorf("placed %d times, %d ends were told", placer.placements, len(placer.results))
 	}
 	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	if got := sock.Peek(conn); got != sock.Quiet {
+	if got := sock.Peek(conn); got != sock.Idle {
 		t.Errorf("the target's connection is in state %d, want one that is kept and has received nothing", got)
 	}
 }
--- a/node/requestcontrol/place.go
+++ b/node/requestcontrol/place.go
@@ -19,40 +19,40 @@
 // place waits in the queue until the request has a target. One that is found to end its targets
 // goes to none, also where that became known while it waited.
 func (d *Director) place(ctx context.Context, r *Request, attempt string, retry bool, exclude []string) (blackboard.Placement, error) {
-	trial, err := d.refuseQuarantined(ctx, r)
+	trial, err := d.checkQuarantine(ctx, r)
 	if err != nil {
 		return blackboard.Placement{}, err
 	}
 	for {
 		if left, all := d.Board.Targets.RestLeft(r.Route.Pool.Name, exclude, time.Now()); all {
-			return blackboard.Placement{}, d.refuseResting(r, left)
+			return blackboard.Placement{}, d.refuseInBackoff(r, left)
 		}
-		placement, err := d.findPlace(ctx, r, attempt, retry, exclude)
+		placement, err := d.awaitPlacement(ctx, r, attempt, retry, exclude)
 		if err != nil {
 			return placement, err
 		}
-		if err := d.refuseIfFound(ctx, r, trial); err != nil {
-			d.giveBack(r, &placement)
+		if err := d.recheckQuarantine(ctx, r, trial); err != nil {
+			d.releasePlacement(r, &placement)
 			return blackboard.Placement{}, err
 		}
-		if d.willing(r, &placement) {
+		if d.targetsAccept(r, &placement) {
 			return placement, nil
 		}
-		d.giveBack(r, &placement) // A target spoke while the call waited; the next look leaves it out.
+		d.releasePlacement(r, &placement) // A target spoke while the call waited; the next look leaves it out.
 	}
 }
 
 // refuseIfFound looks again, for what became known while a request waited for its place.
-func (d *Director) refuseIfFound(ctx context.Context, r *Request, trial bool) error {
+func (d *Director) recheckQuarantine(ctx context.Context, r *Request, trial bool) error {
 	if trial {
 		return nil
 	}
-	_, err := d.refuseQuarantined(ctx, r)
+	_, err := d.checkQuarantine(ctx, r)
 	return err
 }
 
 // refuseResting refuses a call at once where every target has asked this daemon for rest.
-func (d *Director) refuseResting(r *Request, left time.Duration) error {
+func (d *Director) refuseInBackoff(r *Request, left time.Duration) error {
 	refusal := fault.New(fault.NoTarget, "all targets of pool "+r.Route.Pool.Name+" have asked this host for rest",
 		"send again after the time in Retry-After").WithRetry(left)
 	d.record(r, decision.Record{Kind: decision.KindRoute, Outcome: decision.OutcomeRefused, Reason: refusal.Error()})
@@ -60,7 +60,7 @@
 }
 
 // willing tells whether no target of a placement has said that it wants no call.
-func (d *Director) willing(r *Request, p *blackboard.Placement) bool {
+func (d *Director) targetsAccept(r *Request, p *blackboard.Placement) bool {
 	unwilling := d.Board.Targets.Unwilling(r.Route.Pool.Name, time.Now())
 	return !slices.ContainsFunc(unwilling, func(id string) bool {
 		return id == p.Decision.Chosen || slices.Contains(p.Decision.Helpers, id)
@@ -68,11 +68,11 @@
 }
 
 // findPlace asks the pool's coordinator for a target, or waits in this daemon's own queue.
-func (d *Director) findPlace(ctx context.Context, r *Request, attempt string, retry bool, exclude []string) (blackboard.Placement, error) {
-	ticket := d.ticket(r, attempt, retry, exclude)
+func (d *Director) awaitPlacement(ctx context.Context, r *Request, attempt string, retry bool, exclude []string) (blackboard.Placement, error) {
+	ticket := d.newTicket(r, attempt, retry, exclude)
 	if d.Placer != nil {
 		if placement, ok := d.Placer.Place(ctx, ticket); ok {
-			return placement, d.judgePlacement(r, ticket, &placement)
+			return placement, d.checkPlacement(r, ticket, &placement)
 		}
 		if ctx.Err() != nil {
 			return blackboard.Placement{}, waitError(ctx, r)
@@ -93,12 +93,12 @@
 		d.Board.Targets.Finish(attempt, blackboard.CallCancelled, time.Now())
 		return placement, waitError(ctx, r)
 	}
-	return placement, d.judgePlacement(r, ticket, &placement)
+	return placement, d.checkPlacement(r, ticket, &placement)
 }
 
 // judgePlacement records a placement and tells whether it leads to a target.
-func (d *Director) judgePlacement(r *Request, ticket *blackboard.Ticket, placement *blackboard.Placement) error {
-	d.recordRoute(r, ticket, *placement)
+func (d *Director) checkPlacement(r *Request, ticket *blackboard.Ticket, placement *blackboard.Placement) error {
+	d.recordPlacement(r, ticket, *placement)
 	if placement.Decision.Verdict == routing.Refuse {
 		left := time.Until(r.Deadline)
 		retry := admission.BusyRetryAfter(r.promptTokens >= r.Route.Pool.Policy.LongPromptTokens, left)
@@ -116,11 +116,11 @@
 	return nil
 }
 
-func (d *Director) ticket(r *Request, attempt string, retry bool, exclude []string) *blackboard.Ticket {
+func (d *Director) newTicket(r *Request, attempt string, retry bool, exclude []string) *blackboard.Ticket {
 	pool := r.Route.Pool
 	unwilling := d.Board.Targets.Unwilling(pool.Name, time.Now())
 	capacity := d.Board.Targets.Capacity(pool.Name, time.Now())
-	params := ParamsOf(pool, capacity, d.Board.Members.Sharers())
+	params := RoutingParams(pool, capacity, d.Board.Members.Sharers())
 	return &blackboard.Ticket{
 		Pool:     pool,
 		Attempt:  attempt,
@@ -133,11 +133,11 @@
 			OutputTokens:  r.MaxTokens,
 			DataCentre:    d.Board.Self.DataCentre,
 			Exclude:       slices.Concat(exclude, unwilling),
-			Seed:          seedOf(d.Board.Self.Name, attempt),
-			Goal:          r.goal().Seconds(),
+			Seed:          attemptSeed(d.Board.Self.Name, attempt),
+			Goal:          r.firstEventGoal().Seconds(),
 			GapGoal:       r.gapGoal().Seconds(),
 			Retry:         retry,
-			AnswerStarted: r.begun,
+			AnswerStarted: r.answerStarted,
 		},
 		Item: &admission.Item{
 			ID:             r.ID,
@@ -147,16 +147,16 @@
 			Long:           params.IsLong(r.promptTokens),
 			Retry:          retry,
 			Arrived:        r.Arrived,
-			PrefillSeconds: ReadingWork(&params, r.promptTokens),
-			LatestStart:    LatestPlacement(&params, r.promptTokens, r.Arrived, r.goal().Seconds(), retry),
+			PrefillSeconds: PrefillSeconds(&params, r.promptTokens),
+			LatestStart:    LatestStart(&params, r.promptTokens, r.Arrived, r.firstEventGoal().Seconds(), retry),
 		},
 	}
 }
 
-// ParamsOf turns a pool's policy into routing parameters, when so many daemons
+// RoutingParams turns a pool's policy into routing parameters, when so many daemons
 // share the pool. Long prompts may take LongShare of the targets, or more while
 // short ones need less than what is left.
-func ParamsOf(pool *settings.ResolvedPool, c blackboard.Capacity, sharers int) routing.Params {
+func RoutingParams(pool *settings.ResolvedPool, c blackboard.Capacity, sharers int) routing.Params {
 	policy := &pool.Policy
 	live := float64(c.Live)
 	needed := 0.0
@@ -175,18 +175,18 @@
 	}
 }
 
-// ReadingWork is the reading time of a prompt, in seconds, or zero where engines'
+// PrefillSeconds is the reading time of a prompt, in seconds, or zero where engines'
 // timing is not known.
-func ReadingWork(p *routing.Params, promptTokens int64) float64 {
+func PrefillSeconds(p *routing.Params, promptTokens int64) float64 {
 	if p.Timing == nil || promptTokens <= 0 {
 		return 0
 	}
 	return p.Timing.PrefillTime(promptTokens)
 }
 
-// LatestPlacement is when a prompt has to be placed to be answered within a goal in seconds; zero
+// LatestStart is when a prompt has to be placed to be answered within a goal in seconds; zero
 // where engines' timing is not known, or no goal, and for one that has been placed before.
-func LatestPlacement(p *routing.Params, promptTokens int64, arrived time.Time, goal float64, retry bool) time.Time {
+func LatestStart(p *routing.Params, promptTokens int64, arrived time.Time, goal float64, retry bool) time.Time {
 	if p.Timing == nil || promptTokens <= 0 || goal <= 0 || retry {
 		return time.Time{}
 	}
--- a/node/requestcontrol/relay.go
+++ b/node/requestcontrol/relay.go
@@ -11,19 +11,19 @@
 	"github.com/go-faster/errors"
 )
 
-// maxEvent bounds an event of a stream; relayBuffer is what is read at once.
+// maxEventSize bounds an event of a stream; relayBufferSize is what is read at once.
 const (
-	maxEvent    = 1 << 20
-	relayBuffer = 4 << 10
+	maxEventSize    = 1 << 20
+	relayBufferSize = 4 << 10
 )
 
 // relay gives a stream's events to the caller as they come, whole ones only. It
 // returns nil when the stream has come to its end.
 func (f *forwarding) relay(reply *target.Reply, p *blackboard.Placement) error {
-	splitter := eventstream.Splitter{MaxEvent: maxEvent}
-	splitter.ResumeAfter(f.lastEvent)
-	give := func(e eventstream.Event) error { return f.giveEvent(e, reply, p) }
-	buffer := make([]byte, relayBuffer)
+	splitter := eventstream.Splitter{MaxEvent: maxEventSize}
+	splitter.ResumeAfter(f.lastEventID)
+	give := func(e eventstream.Event) error { return f.deliverEvent(e, reply, p) }
+	buffer := make([]byte, relayBufferSize)
 	for {
 		n, err := reply.Body.Read(buffer)
 		if pushErr := splitter.Push(buffer[:n], give); pushErr != nil {
@@ -33,61 +33,61 @@
 			continue
 		}
 		if !errors.Is(err, io.EOF) {
-			return brokenOff(err)
+			return truncatedError(err)
 		}
 		if splitter.Partial() {
-			return brokenOff(errors.Wrap(io.ErrUnexpectedEOF, "in the middle of an event"))
+			return truncatedError(errors.Wrap(io.ErrUnexpectedEOF, "in the middle of an event"))
 		}
-		f.begin(reply)
+		f.startAnswer(reply)
 		return nil
 	}
 }
 
 // begin sends the head of the first run's answer, once.
-func (f *forwarding) begin(reply *target.Reply) {
+func (f *forwarding) startAnswer(reply *target.Reply) {
 	if f.progress.AnswerStarted {
 		return
 	}
 	f.progress.AnswerStarted = true
-	f.out.Begin(reply.Status, reply.Header, -1)
+	f.out.WriteHead(reply.Status, reply.Header, -1)
 }
 
-func (f *forwarding) giveEvent(e eventstream.Event, reply *target.Reply, p *blackboard.Placement) error {
-	f.watched.heard()
-	f.clock(time.Now())
-	f.promptRead(p)
-	f.begin(reply)
+func (f *forwarding) deliverEvent(e eventstream.Event, reply *target.Reply, p *blackboard.Placement) error {
+	f.silenceWatch.eventReceived()
+	f.recordEventTime(time.Now())
+	f.recordPrefillDone(p)
+	f.startAnswer(reply)
 	if err := f.out.Write(e.Raw); err != nil {
-		return errors.Wrap(errSink, err.Error())
+		return errors.Wrap(errCallerWrite, err.Error())
 	}
-	f.events++
+	f.eventCount++
 	if e.ID != "" {
-		f.lastEvent = e.ID
+		f.lastEventID = e.ID
 	}
 	return nil
 }
 
 // clock takes the time of an event.
-func (f *forwarding) clock(now time.Time) {
-	if f.events == 0 {
+func (f *forwarding) recordEventTime(now time.Time) {
+	if f.eventCount == 0 {
 		r := f.request
-		f.first = now.Sub(r.Arrived)
-		f.director.Record.Metrics.FirstToken.WithLabelValues(telemetry.LengthClass(r.promptTokens)).Observe(f.first.Seconds())
+		f.timeToFirstEvent = now.Sub(r.Arrived)
+		f.director.Recorder.Metrics.FirstToken.WithLabelValues(telemetry.LengthClass(r.promptTokens)).Observe(f.timeToFirstEvent.Seconds())
 	} else {
-		f.gap = max(f.gap, now.Sub(f.lastAt))
+		f.longestGap = max(f.longestGap, now.Sub(f.lastEventAt))
 	}
-	f.lastAt = now
+	f.lastEventAt = now
 }
 
 // promptRead books, once for each attempt, that the target has read the prompt.
-func (f *forwarding) promptRead(p *blackboard.Placement) {
-	if f.readBy == p.Attempt {
+func (f *forwarding) recordPrefillDone(p *blackboard.Placement) {
+	if f.prefilledAttempt == p.Attempt {
 		return
 	}
-	f.readBy = p.Attempt
+	f.prefilledAttempt = p.Attempt
 	f.director.Board.Targets.PromptRead(p.Attempt, time.Now())
 	f.director.Board.Queues.Wake(f.request.Route.Pool.Name)
 	if f.director.Placer != nil {
-		f.director.Placer.PromptRead(p.Attempt)
+		f.director.Placer.ReportPrefillDone(p.Attempt)
 	}
 }
--- a/node/requestcontrol/request.go
+++ b/node/requestcontrol/request.go
@@ -30,52 +30,52 @@
 	Prompt    string
 	MaxTokens int64
 	// Call is for plain services.
-	Call *target.ServiceCall
+	ServiceCall *target.ServiceCall
 	// Forward is for calls that are passed on unchanged; Path is their route.
 	Forward *forward.Message
 	Path    *settings.ResolvedPath
 	// LastEvent is the last event of the stream that the caller has already.
-	LastEvent string
+	LastEventID string
 
-	promptTokens int64
-	prefixes     []uint64
-	key          *poison.Key
+	promptTokens    int64
+	prefixes        []uint64
+	cachedPoisonKey *poison.Key
 	// suspected means that a target had ended under the request when it was last sent.
 	suspected bool
 	// begun means that the caller has a part of the answer.
-	begun bool
+	answerStarted bool
 }
 
 // poisonKey names what the request asks for. It is worked out when it is first needed: a
 // prompt of a million tokens takes some milliseconds.
 func (r *Request) poisonKey() poison.Key {
-	if r.key == nil {
-		k := r.makePoisonKey()
-		r.key = &k
+	if r.cachedPoisonKey == nil {
+		k := r.computePoisonKey()
+		r.cachedPoisonKey = &k
 	}
-	return *r.key
+	return *r.cachedPoisonKey
 }
 
 // size is the length of the request's body or prompt, in bytes.
-func (r *Request) size() int {
+func (r *Request) payloadSize() int {
 	switch {
 	case r.Forward != nil:
 		return len(r.Forward.Body)
-	case r.Call != nil:
-		return len(r.Call.Body)
+	case r.ServiceCall != nil:
+		return len(r.ServiceCall.Body)
 	default:
 		return len(r.Prompt)
 	}
 }
 
-func (r *Request) makePoisonKey() poison.Key {
+func (r *Request) computePoisonKey() poison.Key {
 	account := r.Account.Path
 	switch {
 	case r.Forward != nil:
 		m := r.Forward
 		return poison.KeyOf(account, []byte(m.Method), []byte(m.Host), []byte(m.URI), m.Body)
-	case r.Call != nil:
-		return poison.KeyOf(account, []byte(r.Route.Name), []byte(r.Call.Method), []byte(r.Call.Path), r.Call.Body)
+	case r.ServiceCall != nil:
+		return poison.KeyOf(account, []byte(r.Route.Name), []byte(r.ServiceCall.Method), []byte(r.ServiceCall.Path), r.ServiceCall.Body)
 	default:
 		return poison.KeyOf(account, []byte(r.Route.Name), []byte(r.Prompt))
 	}
@@ -88,7 +88,7 @@
 func (r *Request) PromptTokens() int64 { return r.promptTokens }
 
 // goal is the time to the first event that the route asks for, or zero.
-func (r *Request) goal() time.Duration {
+func (r *Request) firstEventGoal() time.Duration {
 	if r.Path == nil {
 		return 0
 	}
@@ -104,33 +104,33 @@
 }
 
 // patience is how long a target may say nothing.
-func (r *Request) patience() forward.SilenceTimeouts {
+func (r *Request) silenceTimeouts() forward.SilenceTimeouts {
 	if r.Path != nil && r.Path.Kind == settings.CallStreaming {
-		return forward.StreamTimeouts(r.goal(), r.gapGoal())
+		return forward.StreamTimeouts(r.firstEventGoal(), r.gapGoal())
 	}
-	return forward.PlainTimeouts(r.goal())
+	return forward.PlainTimeouts(r.firstEventGoal())
 }
 
 // prepare works out what routing needs from the prompt, once.
-func (r *Request) prepare() {
-	if r.Call != nil || r.Forward != nil {
+func (r *Request) preparePrompt() {
+	if r.ServiceCall != nil || r.Forward != nil {
 		return
 	}
 	r.promptTokens = target.EstimateTokens(len(r.Prompt))
 	r.prefixes = target.PrefixHashes(r.Prompt)
 }
 
-// Sink receives an answer's tokens in order, each exactly once.
-type Sink interface {
+// TokenSink receives an answer's tokens in order, each exactly once.
+type TokenSink interface {
 	Token(index int64, text string) error
 }
 
-// Result is the end of a whole answer.
-type Result struct {
+// GenerateResult is the end of a whole answer.
+type GenerateResult struct {
 	// Tokens is the number of tokens given.
 	Tokens int64
 	// FinishReason is the engine's.
 	FinishReason string
 	// FirstToken is the time from arrival to the first token.
-	FirstToken time.Duration
+	TimeToFirstToken time.Duration
 }
--- a/node/requestcontrol/service.go
+++ b/node/requestcontrol/service.go
@@ -15,52 +15,52 @@
 // Service runs a call of a plain service and returns its whole answer. A call
 // that may not be repeated is sent once; with an idempotency key it is claimed
 // first, so that no other daemon sends it either.
-func (d *Director) Service(ctx context.Context, r *Request) (*target.ServiceAnswer, error) {
+func (d *Director) CallService(ctx context.Context, r *Request) (*target.ServiceAnswer, error) {
 	done, err := d.admit(ctx, r)
 	if err != nil {
-		return nil, r.beforeClaim(err)
+		return nil, r.errorBeforeClaim(err)
 	}
 	defer done()
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
-	answer, err := d.service(ctx, r)
+	answer, err := d.claimAndCall(ctx, r)
 	d.recordAnswer(r, 0, err)
 	return answer, err
 }
 
-func (d *Director) service(ctx context.Context, r *Request) (*target.ServiceAnswer, error) {
+func (d *Director) claimAndCall(ctx context.Context, r *Request) (*target.ServiceAnswer, error) {
 	if r.Route.Repeatable || r.IdempotencyKey == "" {
-		return d.callService(ctx, r, nil)
+		return d.callWithRetries(ctx, r, nil)
 	}
 	claim := Claim{
-		Key:      r.Account.Path + "|" + r.Route.Name + "|" + r.IdempotencyKey,
-		Stamp:    r.IdempotencyKey,
-		Attempt:  NewAttempt(),
-		Request:  r.ID,
-		Region:   d.Board.Self.Region,
-		Deadline: r.Deadline,
-	}
-	slept := d.Slept()
-	permit, err := d.Claims.Claim(ctx, claim)
+		Key:       r.Account.Path + "|" + r.Route.Name + "|" + r.IdempotencyKey,
+		CallerKey: r.IdempotencyKey,
+		Attempt:   NewAttemptID(),
+		Request:   r.ID,
+		Region:    d.Board.Self.Region,
+		Deadline:  r.Deadline,
+	}
+	slept := d.SuspendedTime()
+	permit, err := d.Claimer.Claim(ctx, claim)
 	d.recordClaim(r, claim, permit, err)
 	if err != nil {
-		return answerOfDuplicate(err)
+		return duplicateAnswer(err)
 	}
 	claim.Attempt = permit.Attempt
-	permit.Slept = slept
-	answer, err := d.callService(ctx, r, permit)
+	permit.SuspendedAtClaim = slept
+	answer, err := d.callWithRetries(ctx, r, permit)
 	outcome := blackboard.Outcome{Execution: fault.Ran, Answer: answer}
 	if err != nil {
 		outcome.Execution = fault.From(err).Execution
 	}
-	d.Claims.Conclude(claim, outcome)
+	d.Claimer.RecordOutcome(claim, outcome)
 	return answer, err
 }
 
 // beforeClaim corrects a refusal of a call whose key has not been claimed: this
 // call was not sent, but an earlier one with the same key may have been, and the
 // caller would take "not run" to be said of both.
-func (r *Request) beforeClaim(err error) error {
+func (r *Request) errorBeforeClaim(err error) error {
 	e := fault.From(err)
 	if r.IdempotencyKey == "" || r.Route.Repeatable || e.Execution != fault.NotRun {
 		return err
@@ -68,9 +68,9 @@
 	return e.WithExecution(fault.Unknown)
 }
 
-// answerOfDuplicate turns an earlier call's outcome into this call's answer.
-func answerOfDuplicate(err error) (*target.ServiceAnswer, error) {
-	var duplicate *Duplicate
+// duplicateAnswer turns an earlier call's outcome into this call's answer.
+func duplicateAnswer(err error) (*target.ServiceAnswer, error) {
+	var duplicate *DuplicateError
 	if !errors.As(err, &duplicate) {
 		return nil, err
 	}
@@ -83,30 +83,30 @@
 		WithExecution(duplicate.Outcome.Execution)
 }
 
-func (d *Director) callService(ctx context.Context, r *Request, permit *Permit) (*target.ServiceAnswer, error) {
+func (d *Director) callWithRetries(ctx context.Context, r *Request, permit *Permit) (*target.ServiceAnswer, error) {
 	var exclude []string
 	sent := false
 	for attempts := 1; ; attempts++ {
-		attempt := NewAttempt()
+		attempt := NewAttemptID()
 		placement, err := d.place(ctx, r, attempt, attempts > 1, exclude)
 		if err != nil {
-			return nil, executionAfter(fault.From(err), sent)
+			return nil, executionAfterSend(fault.From(err), sent)
 		}
-		answer, err := d.sendService(ctx, r, permit, placement)
-		d.finishService(ctx, r, placement, err)
+		answer, err := d.sendServiceCall(ctx, r, permit, placement)
+		d.finishServiceCall(ctx, r, placement, err)
 		if err == nil {
 			return answer, nil
 		}
 		sent = sent || target.ExecutionOf(err) != fault.NotRun
 		if !d.mayRetry(ctx, r, attempts, err) {
-			return nil, executionAfter(d.callError(ctx, r, err), sent)
+			return nil, executionAfterSend(d.errorForCaller(ctx, r, err), sent)
 		}
 		exclude = append(exclude, placement.Decision.Chosen)
 	}
 }
 
-// executionAfter keeps a later attempt from claiming that nothing ran.
-func executionAfter(e *fault.Error, sent bool) *fault.Error {
+// executionAfterSend keeps a later attempt from claiming that nothing ran.
+func executionAfterSend(e *fault.Error, sent bool) *fault.Error {
 	if sent && e.Execution == fault.NotRun {
 		return e.WithExecution(fault.Unknown)
 	}
@@ -115,13 +115,13 @@
 
 // sendService sends the call. The permit is looked at last thing before: a process that was
 // paused, or whose host slept, since it got the permit must not act on it.
-func (d *Director) sendService(ctx context.Context, r *Request, permit *Permit, p blackboard.Placement) (*target.ServiceAnswer, error) {
-	call := *r.Call
-	call.Header = r.Call.Header.Clone()
+func (d *Director) sendServiceCall(ctx context.Context, r *Request, permit *Permit, p blackboard.Placement) (*target.ServiceAnswer, error) {
+	call := *r.ServiceCall
+	call.Header = r.ServiceCall.Header.Clone()
 	if r.IdempotencyKey != "" {
 		call.Header.Set("Idempotency-Key", r.IdempotencyKey)
 	}
-	if permit != nil && permit.ended(time.Now(), d.Slept()) {
+	if permit != nil && permit.expired(time.Now(), d.SuspendedTime()) {
 		return nil, fault.New(fault.NoQuorum,
 			"the permit to send this call ended before it could be sent",
 			"send again with the same key").WithRetry(0)
@@ -129,7 +129,7 @@
 	return d.Targets.Service(ctx, p.Address, &call)
 }
 
-func (d *Director) finishService(ctx context.Context, r *Request, p blackboard.Placement, err error) {
+func (d *Director) finishServiceCall(ctx context.Context, r *Request, p blackboard.Placement, err error) {
 	result := blackboard.CallSucceeded
 	if err != nil {
 		result = blackboard.CallFailed
@@ -143,9 +143,9 @@
 	}
 	switch {
 	case err == nil:
-		d.noteAnswered(r)
+		d.recordSuccess(r)
 	case ctx.Err() == nil:
-		d.noteFailed(r, p.Decision.Chosen, err)
+		d.recordCrash(r, p.Decision.Chosen, err)
 	}
 	d.Board.Targets.Finish(p.Attempt, result, time.Now())
 	d.Board.Queues.Wake(r.Route.Pool.Name)
@@ -161,5 +161,5 @@
 		rec.Reason = err.Error()
 	}
 	d.record(r, rec)
-	d.Record.Metrics.Claims.WithLabelValues(rec.Outcome).Inc()
+	d.Recorder.Metrics.Claims.WithLabelValues(rec.Outcome).Inc()
 }
--- a/node/requestcontrol/silence_test.go
+++ b/node/requestcontrol/silence_test.go
@@ -17,12 +17,12 @@
 	"github.com/go-faster/errors"
 )
 
-// attemptOf is a call with the goals of a chat, under way at its first target.
-func attemptOf(rules forward.Rules, budget float64) *forwarding {
+// newTestForwarding is a call with the goals of a chat, under way at its first target.
+func newTestForwarding(rules forward.Rules, budget float64) *forwarding {
 	board := blackboard.New(blackboard.Identity{Name: "d1"}, blackboard.Limits{})
 	board.Repeats.SetLimit(admission.RepeatLimit{Slack: budget, Window: 10 * time.Second})
 	return &forwarding{
-		director: &Director{Board: board, Record: &telemetry.Recorder{Metrics: telemetry.NewMetrics()}},
+		director: &Director{Board: board, Recorder: &telemetry.Recorder{Metrics: telemetry.NewMetrics()}},
 		request: &Request{
 			Path:  &settings.ResolvedPath{Kind: settings.CallStreaming, Goal: 300 * time.Millisecond, GapGoal: 250 * time.Millisecond},
 			Route: &settings.ResolvedRoute{Pool: &settings.ResolvedPool{Name: "p"}},
@@ -31,15 +31,15 @@
 	}
 }
 
-var twice = forward.Rules{Repeatable: true, MaxAttempts: 2}
+var twoAttempts = forward.Rules{Repeatable: true, MaxAttempts: 2}
 
-// untilSilent is the time until an attempt is ended for its target's silence; it is the
+// timeToSilence is the time until an attempt is ended for its target's silence; it is the
 // limit where that does not happen.
-func untilSilent(f *forwarding, p *blackboard.Placement, limit time.Duration, play func(*silence)) time.Duration {
+func timeToSilence(f *forwarding, p *blackboard.Placement, limit time.Duration, play func(*silenceWatch)) time.Duration {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	watched, s := f.watch(ctx, p)
+	watched, s := f.watchSilence(ctx, p)
 	go play(s)
 	<-watched.Done()
 	took := time.Since(began)
@@ -47,9 +47,9 @@
 	return took
 }
 
-func nothing(*silence) {}
+func noEvents(*silenceWatch) {}
 
-func TestASilentTargetIsLeft(t *testing.T) {
+func TestSilentTargetEndsAttempt(t *testing.T) {
 	const never = 10 * time.Second
 	first := forward.StreamTimeouts(300*time.Millisecond, 250*time.Millisecond).FirstEvent
 	pause := forward.StreamTimeouts(300*time.Millisecond, 250*time.Millisecond).BetweenEvents
@@ -58,20 +58,20 @@
 		rules   forward.Rules
 		budget  float64
 		reading float64
-		play    func(*silence)
+		play    func(*silenceWatch)
 		want    time.Duration
 	}{
-		"no first event":       {twice, 100, 0.03, nothing, first},
-		"a pause":              {twice, 100, 0.03, func(s *silence) { <-time.After(event); s.heard() }, event + pause},
-		"no other send":        {forward.Rules{Repeatable: true, MaxAttempts: 1}, 100, 0.03, nothing, never},
-		"may not be repeated":  {forward.Rules{MaxAttempts: 2}, 100, 0.03, nothing, never},
-		"no budget of repeats": {twice, 0, 0.03, nothing, never},
-		"dear to read again":   {twice, 100, 3, nothing, never},
+		"no first event":       {twoAttempts, 100, 0.03, noEvents, first},
+		"a pause":              {twoAttempts, 100, 0.03, func(s *silenceWatch) { <-time.After(event); s.eventReceived() }, event + pause},
+		"no other send":        {forward.Rules{Repeatable: true, MaxAttempts: 1}, 100, 0.03, noEvents, never},
+		"may not be repeated":  {forward.Rules{MaxAttempts: 2}, 100, 0.03, noEvents, never},
+		"no budget of repeats": {twoAttempts, 0, 0.03, noEvents, never},
+		"dear to read again":   {twoAttempts, 100, 3, noEvents, never},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := &blackboard.Placement{Decision: routing.Decision{PrefillTime: c.reading}}
-				if took := untilSilent(attemptOf(c.rules, c.budget), p, never, c.play); took != c.want {
+				if took := timeToSilence(newTestForwarding(c.rules, c.budget), p, never, c.play); took != c.want {
 					t.Errorf("ended after %v, want %v", took, c.want)
 				}
 			})
@@ -79,73 +79,73 @@
 	}
 }
 
-// TestUnusedMemoryEndsTheAttempt: memory that helpers set aside for a call whose target
+// TestUnusedReservationEndsAttempt: memory that helpers set aside for a call whose target
 // hangs is given back within the users' bound, also where the call may not go elsewhere.
-func TestUnusedMemoryEndsTheAttempt(t *testing.T) {
+func TestUnusedReservationEndsAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := attemptOf(forward.Rules{Repeatable: true, MaxAttempts: 1}, 0)
+		f := newTestForwarding(forward.Rules{Repeatable: true, MaxAttempts: 1}, 0)
 		f.request.Path.Goal = 30 * time.Second
 		p := &blackboard.Placement{Decision: routing.Decision{Reservations: []routing.MemoryReservation{{Target: "h", Tokens: 1}}}}
-		if took := untilSilent(f, p, 15*time.Second, nothing); took != unusedTickets {
-			t.Errorf("ended after %v, want %v", took, unusedTickets)
+		if took := timeToSilence(f, p, 15*time.Second, noEvents); took != unusedReservationTimeout {
+			t.Errorf("ended after %v, want %v", took, unusedReservationTimeout)
 		}
 	})
 }
 
-// TestSilenceIsPaidOnce: the budget of repeated sends is asked when the silent target is
+// TestSilenceChargesRepeatBudgetOnce: the budget of repeated sends is asked when the silent target is
 // left, and not a second time before the next send.
-func TestSilenceIsPaidOnce(t *testing.T) {
+func TestSilenceChargesRepeatBudgetOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := attemptOf(twice, 2) // One repeat: 0.6 of 2.
-		watched, s := f.watch(context.Background(), &blackboard.Placement{})
+		f := newTestForwarding(twoAttempts, 2) // One repeat: 0.6 of 2.
+		watched, s := f.watchSilence(context.Background(), &blackboard.Placement{})
 		<-watched.Done()
 		err := s.stop(watched, io.ErrUnexpectedEOF)
 		if !errors.Is(err, errSilent) {
 			t.Fatal(err)
 		}
 		f.progress.RecordFailure(fault.Unknown, true)
-		if !f.mayTryAgain(context.Background(), err) {
+		if !f.mayRetry(context.Background(), err) {
 			t.Error("the repeat that was paid for is not made")
 		}
-		if f.mayTryAgain(context.Background(), err) {
+		if f.mayRetry(context.Background(), err) {
 			t.Error("a second repeat is made for one payment")
 		}
 	})
 }
 
-// TestAnEndedWatchStaysSilent: nothing is booked for an attempt that has ended.
-func TestAnEndedWatchStaysSilent(t *testing.T) {
+// TestStoppedSilenceWatchDoesNothing: nothing is booked for an attempt that has ended.
+func TestStoppedSilenceWatchDoesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := attemptOf(twice, 100)
-		watched, s := f.watch(context.Background(), &blackboard.Placement{})
+		f := newTestForwarding(twoAttempts, 100)
+		watched, s := f.watchSilence(context.Background(), &blackboard.Placement{})
 		if err := s.stop(watched, nil); err != nil {
 			t.Fatal(err)
 		}
-		s.heard()
+		s.eventReceived()
 		<-time.After(time.Minute)
-		if f.repeatTaken.Load() || errors.Is(context.Cause(watched), errSilent) {
+		if f.repeatCharged.Load() || errors.Is(context.Cause(watched), errSilent) {
 			t.Error("the watch goes on after its attempt")
 		}
 	})
 }
 
-// TestATargetThatStartedAnewIsLeft: the connection to a process that ended with its host's power
+// TestRestartedTargetEndsRepeatableAttempt: the connection to a process that ended with its host's power
 // stays open. A call that may go elsewhere does so at once; one that may not waits on, since the
 // clocks of two hosts do not prove that its answer cannot come.
-func TestATargetThatStartedAnewIsLeft(t *testing.T) {
+func TestRestartedTargetEndsRepeatableAttempt(t *testing.T) {
 	const limit = 10 * time.Second
 	for name, c := range map[string]struct {
 		rules forward.Rules
 		left  bool
 	}{
-		"repeatable":     {twice, true},
+		"repeatable":     {twoAttempts, true},
 		"not repeatable": {forward.Rules{MaxAttempts: 2}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				gone := make(chan struct{})
 				close(gone)
-				took := untilSilent(attemptOf(c.rules, 10), &blackboard.Placement{Gone: gone}, limit, nothing)
+				took := timeToSilence(newTestForwarding(c.rules, 10), &blackboard.Placement{Gone: gone}, limit, noEvents)
 				if left := took < 100*time.Millisecond; left != c.left {
 					t.Errorf("it was left after %v", took)
 				}
@@ -154,18 +154,18 @@
 	}
 }
 
-// TestWhoIsProbed: a call that holds memory at other targets must learn of its target's death
+// TestProbesConnection: a call that holds memory at other targets must learn of its target's death
 // from the connection; others are left in silence, or wait at little cost.
-func TestWhoIsProbed(t *testing.T) {
+func TestProbesConnection(t *testing.T) {
 	for name, c := range map[string]struct {
 		in   routing.Decision
 		want bool
 	}{
 		"short prompt":     {routing.Decision{PrefillTime: 0.03}, false},
-		"long prompt":      {routing.Decision{PrefillTime: 2 * readAgain}, false},
+		"long prompt":      {routing.Decision{PrefillTime: 2 * maxRepeatPrefillSeconds}, false},
 		"memory elsewhere": {routing.Decision{PrefillTime: 0.03, Reservations: []routing.MemoryReservation{{Target: "h", Tokens: 1}}}, true},
 	} {
-		if got := probed(&blackboard.Placement{Decision: c.in}); got != c.want {
+		if got := probesConnection(&blackboard.Placement{Decision: c.in}); got != c.want {
 			t.Errorf("%s: probed %v", name, got)
 		}
 	}
--- a/node/sock/sock.go
+++ b/node/sock/sock.go
@@ -12,12 +12,12 @@
 // The states of a connection.
 const (
 	// Quiet connections are open, and nothing waits to be read.
-	Quiet State = iota
+	Idle State = iota
 	// Readable connections have bytes that wait.
 	Readable
 	// Ended connections were closed or reset by the other side, and all that it sent before
 	// a close has been read.
-	Ended
+	Closed
 )
 
 // Peek looks at a connection at once, also while another goroutine reads from it. What cannot
@@ -29,31 +29,31 @@
 	}
 	raw, err := c.SyscallConn()
 	if err != nil {
-		return Ended
+		return Closed
 	}
 	state := Readable
 	// Control, not Read: a Read waits for the reader that net/http keeps on a connection.
-	err = raw.Control(func(fd uintptr) { state = peek(int(fd)) })
+	err = raw.Control(func(fd uintptr) { state = peekFD(int(fd)) })
 	if err != nil {
-		return Ended // It is closed on this side.
+		return Closed // It is closed on this side.
 	}
 	return state
 }
 
-func peek(fd int) State {
+func peekFD(fd int) State {
 	var buffer [1]byte
 	n, _, err := syscall.Recvfrom(fd, buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	switch err {
 	case nil:
 		if n == 0 {
-			return Ended
+			return Closed
 		}
 		return Readable
 	case syscall.EAGAIN:
-		return Quiet
+		return Idle
 	case syscall.EINTR:
 		return Readable
 	default:
-		return Ended
+		return Closed
 	}
 }
--- a/node/sock/sock_test.go
+++ b/node/sock/sock_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// pair opens a connection over loopback and returns both of its ends.
-func pair(t *testing.T) (near, far *net.TCPConn) {
+// tcpPair opens a connection over loopback and returns both of its ends.
+func tcpPair(t *testing.T) (near, far *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -27,8 +27,8 @@
 	return accepted.(*net.TCPConn), dialled.(*net.TCPConn)
 }
 
-// becomes waits until a connection is in a state.
-func becomes(t *testing.T, conn net.Conn, want State) {
+// waitForState waits until a connection is in a state.
+func waitForState(t *testing.T, conn net.Conn, want State) {
 	t.Helper()
 	deadline := time.After(10 * time.Second)
 	tick := time.NewTicker(time.Millisecond)
@@ -45,14 +45,14 @@
 // TestPeek: each state is seen, also while another goroutine reads, and nothing is taken from
 // whoever reads.
 func TestPeek(t *testing.T) {
-	near, far := pair(t)
-	if got := Peek(near); got != Quiet {
+	near, far := tcpPair(t)
+	if got := Peek(near); got != Idle {
 		t.Errorf("an open connection is %d", got)
 	}
 	if _, err := io.WriteString(far, "ab"); err != nil {
 		t.Fatal(err)
 	}
-	becomes(t, near, Readable)
+	waitForState(t, near, Readable)
 	buffer := make([]byte, 8)
 	if n, err := near.Read(buffer); err != nil || string(buffer[:n]) != "ab" {
 		t.Errorf("%q %v", buffer[:n], err)
@@ -62,32 +62,32 @@
 		_, err := near.Read(buffer)
 		read <- err
 	}()
-	becomes(t, near, Quiet)
+	waitForState(t, near, Idle)
 	if err := far.Close(); err != nil {
 		t.Fatal(err)
 	}
-	becomes(t, near, Ended)
+	waitForState(t, near, Closed)
 	if err := <-read; err != io.EOF {
 		t.Errorf("the reader got %v", err)
 	}
 }
 
-// TestPeekAtAReset: a connection that the other side resets has ended, and so has one that
+// TestPeekAfterResetAndClose: a connection that the other side resets has ended, and so has one that
 // is closed on this side.
-func TestPeekAtAReset(t *testing.T) {
-	near, far := pair(t)
+func TestPeekAfterResetAndClose(t *testing.T) {
+	near, far := tcpPair(t)
 	if err := far.SetLinger(0); err != nil {
 		t.Fatal(err)
 	}
 	if err := far.Close(); err != nil {
 		t.Fatal(err)
 	}
-	becomes(t, near, Ended)
-	other, _ := pair(t)
+	waitForState(t, near, Closed)
+	other, _ := tcpPair(t)
 	if err := other.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if got := Peek(other); got != Ended {
+	if got := Peek(other); got != Closed {
 		t.Errorf("a closed connection is %d", got)
 	}
 }
--- a/node/target/channel.go
+++ b/node/target/channel.go
@@ -105,7 +105,7 @@
 }
 
 // quiet looks without waiting whether the connection is open and empty.
-func (ch *channel) quiet() bool { return sock.Peek(ch.conn) == sock.Quiet }
+func (ch *channel) quiet() bool { return sock.Peek(ch.conn) == sock.Idle }
 
 func (ch *channel) close() { _ = ch.conn.Close() }
 
--- a/node/worker/worker.go
+++ b/node/worker/worker.go
@@ -18,17 +18,17 @@
 	Size int
 }
 
-// tick is how often queues are looked at without any event, because reports age
+// wakeInterval is how often queues are looked at without any event, because reports age
 // and waiting requests move up.
-const tick = 50 * time.Millisecond
+const wakeInterval = 50 * time.Millisecond
 
 // Run works until ctx ends.
 func (p *Pool) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for range p.Size {
-		wg.Go(func() { p.work(ctx) })
+		wg.Go(func() { p.dispatch(ctx) })
 	}
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(wakeInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -41,7 +41,7 @@
 	}
 }
 
-func (p *Pool) work(ctx context.Context) {
+func (p *Pool) dispatch(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
