--- a/node/requestcontrol/admit.go
+++ b/node/requestcontrol/admit.go
@@ -10,8 +10,8 @@
 	"doorstack.dev/core/fault"
 )
 
-// admit takes the request into its account's limits and refuses it early where
-// its deadline cannot be met. Every admitted request needs one call of done.
+// admit checks the request against its account's limits and refuses it early if
+// its deadline cannot be met. The caller must call done once the request has ended.
 func (d *Director) admit(ctx context.Context, r *Request) (done func(), err error) {
 	r.preparePrompt()
 	if err := checkTokenLimits(r); err != nil {
@@ -35,6 +35,7 @@
 	return done, nil
 }
 
+// checkTokenLimits refuses a request that exceeds the account's token limits.
 func checkTokenLimits(r *Request) error {
 	rules := &r.Route.Rules
 	if r.promptTokens > rules.MaxPromptTokens {
@@ -50,24 +51,25 @@
 	return nil
 }
 
+// limitError returns the caller's error for a rate or concurrency limit.
 func limitError(v admission.Verdict) *fault.Error {
-	message := fmt.Sprintf("the account's limit %s is reached at this daemon", v.Limit)
+	message := fmt.Sprintf("the account has reached its limit %s at this daemon", v.Limit)
 	if v.Limit == admission.LimitConcurrent {
-		message = fmt.Sprintf("%d requests of the account run here and its share is %d", v.Running, v.Allowed)
+		message = fmt.Sprintf("%d requests of the account are running at this daemon and its share is %d", v.Running, v.Allowed)
 	}
-	return fault.New(fault.RateLimited, message, "send again after the time in Retry-After, or have the limit raised").
+	return fault.New(fault.RateLimited, message, "retry after the time in Retry-After, or have the limit raised").
 		WithRetry(v.RetryAfter)
 }
 
-// checkEstimate refuses a request whose deadline passes before its first token
-// can be expected, or whose account already fills its part of the queue.
+// checkQueueWait refuses a request whose deadline is before the expected time of its
+// first token, or whose account already has max_waiting requests in the queue.
 func (d *Director) checkQueueWait(r *Request) error {
 	pool := r.Route.Pool
 	waiting, ahead := d.Board.Queues.Waiting(pool.Name, r.Account.Path, r.Route.Rules.Level)
 	if waiting >= r.Route.Rules.MaxWaiting {
 		return fault.New(fault.QueueFull,
-			fmt.Sprintf("%d requests of the account wait here already", waiting),
-			"send again later, or have max_waiting raised").WithRetry(time.Second)
+			fmt.Sprintf("%d requests of the account are already waiting at this daemon", waiting),
+			"retry later, or have max_waiting raised").WithRetry(time.Second)
 	}
 	capacity := d.Board.Targets.Capacity(pool.Name, time.Now())
 	rate := capacity.Rate / float64(max(1, d.Board.Members.Sharers()))
@@ -80,6 +82,6 @@
 	rec.Outcome = decision.OutcomeRefused
 	rec.Reason = fmt.Sprintf("the first token is expected after %v and the deadline is in %v", (estimate.Wait + estimate.Prefill).Round(time.Millisecond), estimate.UntilDeadline.Round(time.Millisecond))
 	d.record(r, rec)
-	return fault.New(fault.DeadlineTooShort, rec.Reason, "send again later, or allow more time").
+	return fault.New(fault.DeadlineTooShort, rec.Reason, "retry later, or allow more time").
 		WithRetry(estimate.RetryAfter())
 }
--- a/node/requestcontrol/left_test.go
+++ b/node/requestcontrol/caller_disconnect_test.go
@@ -19,7 +19,7 @@
 	"doorstack.dev/platform"
 )
 
-// singleTargetPlacer places every call at one address, and notes how calls ended.
+// singleTargetPlacer places every call at one address and records how calls ended.
 type singleTargetPlacer struct {
 	address    string
 	placements int
@@ -41,18 +41,19 @@
 
 func (p *singleTargetPlacer) Coordinates(string) bool { return true }
 
-// rejectingAnswerWriter is a caller that must be given nothing.
+// rejectingAnswerWriter fails the test if an answer is written.
 type rejectingAnswerWriter struct{ t *testing.T }
 
-func (a rejectingAnswerWriter) WriteHead(int, http.Header, int64) { a.t.Error("an answer begins") }
+func (a rejectingAnswerWriter) WriteHead(int, http.Header, int64) { a.t.Error("WriteHead was called") }
 
 func (a rejectingAnswerWriter) Write([]byte) error {
-	a.t.Error("an answer is written")
+	a.t.Error("Write was called")
 	return nil
 }
 
-// TestForwardSendsNothingAfterCallerDisconnects: the caller's connection has ended and the call's context
-// has not. Nothing is sent, no other target is tried, and nothing is said against the target.
+// TestForwardSendsNothingAfterCallerDisconnects covers a caller whose connection has closed before
+// the call's context ends. Nothing may be sent, no other target tried and no failure held against
+// the target.
 func TestForwardSendsNothingAfterCallerDisconnects(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -75,10 +76,10 @@
 	}
 	failure := fault.From(d.Forward(context.Background(), r, rejectingAnswerWriter{t}))
 	if failure.Kind != fault.Abandoned || failure.Execution != fault.NotRun {
-		t.Errorf("the call ended with %+v", failure)
+		t.Errorf("Forward() = %+v, want kind %v with execution %v", failure, fault.Abandoned, fault.NotRun)
 	}
 	if placer.placements != 1 || len(placer.results) != 1 || placer.results[0] != blackboard.CallCancelled {
-		t.Errorf("placed %d times, %d ends were told", placer.placements, len(placer.results))
+		t.Errorf("%d placements with results %v, want 1 with result %v", placer.placements, placer.results, blackboard.CallCancelled)
 	}
 	conn, err := listener.Accept()
 	if err != nil {
@@ -86,6 +87,6 @@
 	}
 	defer func() { _ = conn.Close() }()
 	if got := sock.Peek(conn); got != sock.Idle {
-		t.Errorf("the target's connection is in state %d, want one that is kept and has received nothing", got)
+		t.Errorf("Peek() of the target's connection = %d, want %d: open, with nothing received", got, sock.Idle)
 	}
 }
--- a/node/requestcontrol/collaborators.go
+++ b/node/requestcontrol/collaborators.go
@@ -10,21 +10,21 @@
 	"doorstack.dev/node/blackboard"
 )
 
-// Claimer makes sure that a call with an idempotency key runs at most once in
-// the whole fleet.
+// Claimer ensures that a call with an idempotency key is sent at most once by the
+// whole fleet.
 type Claimer interface {
-	// Claim returns nil when this daemon, and no other, may send the call until
-	// the permit ends. An earlier call's answer comes back as a Duplicate.
+	// Claim returns a nil error if this daemon, and no other, may send the call until
+	// the permit expires. If an earlier call used the key, the error is a *DuplicateError.
 	Claim(ctx context.Context, c Claim) (*Permit, error)
-	// Conclude tells how a claimed call ended, for duplicates to come.
+	// RecordOutcome stores how a claimed call ended, to answer later duplicates.
 	RecordOutcome(c Claim, o blackboard.Outcome)
 }
 
-// Claim asks for the right to send a call.
+// Claim is a request for permission to send a call.
 type Claim struct {
-	// Key is scoped to the account and the route.
+	// Key is the idempotency key, scoped to the account and the route.
 	Key string
-	// Stamp is the key as the caller wrote it; a UUIDv7 carries its time.
+	// CallerKey is the key as the caller sent it; a UUIDv7 contains its creation time.
 	CallerKey string
 	Attempt   string
 	Request   string
@@ -33,26 +33,26 @@
 	Deadline time.Time
 }
 
-// Permit is the right to send a call once, before it ends.
+// Permit allows a claimed call to be sent once, before the permit expires.
 type Permit struct {
-	// Ends is on the monotonic clock; it is checked last thing before the send. What the host
-	// has slept since the claim began counts too: the witnesses did not.
+	// ExpiresAt is on the monotonic clock and is checked immediately before the send. Time that
+	// the host was suspended since the claim began also counts: the witnesses' clocks kept running.
 	ExpiresAt time.Time
-	// Slept is for how long the host had slept when the claim began.
+	// SuspendedAtClaim is the host's total suspended time when the claim began.
 	SuspendedAtClaim time.Duration
-	// Attempt is the claim that won, which may be a later one than asked for.
+	// Attempt is the id of the successful claim, which may be a retry of the one requested.
 	Attempt string
-	// Tally is how the witnesses answered.
+	// Tally counts the witnesses' answers.
 	Tally decision.ClaimTally
 }
 
-// ended tells whether the permit's time is over, where the host has slept for so long so far.
-func (p *Permit) expired(now time.Time, slept time.Duration) bool {
-	return !now.Add(slept - p.SuspendedAtClaim).Before(p.ExpiresAt)
+// expired reports whether the permit has expired, given the host's total suspended time now.
+func (p *Permit) expired(now time.Time, suspended time.Duration) bool {
+	return !now.Add(suspended - p.SuspendedAtClaim).Before(p.ExpiresAt)
 }
 
-// DuplicateError is the error for a key that an earlier call used; it carries that
-// call's outcome.
+// DuplicateError is returned for an idempotency key that an earlier call used. Outcome is
+// that call's outcome.
 type DuplicateError struct {
 	Outcome blackboard.Outcome
 }
@@ -62,23 +62,25 @@
 	return "an earlier call used this idempotency key: " + string(d.Outcome.Execution)
 }
 
-// ShareRequester asks for a larger share of an account's limits.
+// ShareRequester requests a larger share of an account's limits for this daemon.
 type ShareRequester interface {
-	// Seek tells whether it asked, so that another look makes sense.
+	// RequestShare reports whether a share was requested, so that checking the limits again
+	// may give another result.
 	RequestShare(ctx context.Context, account string, rules *settings.Rules, promptTokens int64) bool
 }
 
-// Placer asks the daemon that coordinates a pool, which knows of all daemons' calls.
+// Placer requests placements from a pool's coordinator, the daemon that knows the calls of
+// all daemons.
 type Placer interface {
-	// Place returns the coordinator's placement, or false where this daemon decides.
+	// Place returns the coordinator's placement, or false if this daemon must decide itself.
 	Place(ctx context.Context, t *blackboard.Ticket) (blackboard.Placement, bool)
-	// Coordinates tells whether this daemon places a pool's calls for all.
+	// Coordinates reports whether this daemon coordinates a pool.
 	Coordinates(pool string) bool
-	// PromptRead and Finished tell the coordinator of a call's progress; Finished also
-	// of a target that nothing should be sent to for some time.
+	// ReportPrefillDone and ReportFinished inform the coordinator of a call's progress.
+	// ReportFinished also names a target that must receive no calls for suspectFor, if any.
 	ReportPrefillDone(attempt string)
 	ReportFinished(attempt string, result blackboard.CallResult, suspect string, suspectFor time.Duration)
-	// LimitSaid tells the coordinator what a target said of its limit in the answer to a call that
-	// was sent then.
-	ReportLimit(pool, target string, said forward.Limit, sent time.Time)
+	// ReportLimit informs the coordinator of the rate limit that a target stated in its answer to
+	// a call sent at the given time.
+	ReportLimit(pool, target string, limit forward.Limit, sent time.Time)
 }
--- a/node/requestcontrol/director.go
+++ b/node/requestcontrol/director.go
@@ -15,34 +15,36 @@
 	"github.com/google/uuid"
 )
 
-// Director runs requests.
+// Director runs requests through admission, claiming, placement and retries until
+// they are answered or fail.
 type Director struct {
 	Board   *blackboard.Blackboard
 	Targets *target.Client
-	// Exchange sends forwarded calls; nil where none are taken.
+	// Exchanger sends forwarded calls. It is nil if the daemon accepts none.
 	Exchanger *target.Exchanger
 	Recorder  *telemetry.Recorder
-	// Placer is nil where each daemon decides by itself.
+	// Placer is nil if each daemon places its calls itself.
 	Placer         Placer
 	Claimer        Claimer
 	ShareRequester ShareRequester
-	// Crashes is nil where no other daemon is told.
+	// CrashReporter is nil if crashes are not reported to other daemons.
 	CrashReporter CrashReporter
 	RetryPolicy   RetryPolicy
-	// Slept is for how long the host has slept so far, which the steady clock does not count.
+	// SuspendedTime returns the host's total suspended time, which the monotonic clock omits.
 	SuspendedTime func() time.Duration
 }
 
 // RetryPolicy bounds the attempts of one request.
 type RetryPolicy struct {
-	// MaxAttempts includes the first.
+	// MaxAttempts includes the first attempt.
 	MaxAttempts int
 }
 
-// DefaultRetryPolicy gives a request four attempts.
+// DefaultRetryPolicy returns a policy of at most four attempts per request.
 func DefaultRetryPolicy() RetryPolicy { return RetryPolicy{MaxAttempts: 4} }
 
-// attemptSeed makes daemons that see the same reports pick differently.
+// attemptSeed returns a random seed for an attempt. It includes the daemon's name, so that
+// daemons with the same load reports choose different targets.
 func attemptSeed(daemon, attempt string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(daemon))
@@ -50,10 +52,11 @@
 	return h.Sum64()
 }
 
-// NewAttemptID names a call to a target. A UUIDv7 sorts by time in engines' logs.
+// NewAttemptID returns a new id for a call to a target: a UUIDv7, which sorts by time in the
+// engines' logs.
 func NewAttemptID() string { return uuid.Must(uuid.NewV7()).String() }
 
-// mayRetry decides whether a failed attempt is followed by another one.
+// mayRetry reports whether the request may be attempted again after an attempt failed with err.
 func (d *Director) mayRetry(ctx context.Context, r *Request, attempts int, err error) bool {
 	if ctx.Err() != nil || attempts >= d.RetryPolicy.MaxAttempts {
 		return false
@@ -62,13 +65,13 @@
 		return false
 	}
 	if target.ExecutionOf(err) != fault.NotRun && !d.Board.Accounts.Retry(r.Account.Path) {
-		return false // A call that did not run costs targets nothing and is free.
+		return false // Only calls that may have run count: others cost the targets nothing.
 	}
 	d.Recorder.Metrics.Retries.WithLabelValues(r.Route.Pool.Name).Inc()
 	return true
 }
 
-// callError is the caller's view of a call that failed for good.
+// errorForCaller returns the error that the caller receives for a call that is not retried.
 func (d *Director) errorForCaller(ctx context.Context, r *Request, err error) *fault.Error {
 	var typed *fault.Error
 	if errors.As(err, &typed) {
@@ -77,11 +80,11 @@
 	execution := target.ExecutionOf(err)
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return fault.New(fault.DeadlinePassed,
-			fmt.Sprintf("the answer was not whole within %v", r.Deadline.Sub(r.Arrived).Round(time.Millisecond)),
+			fmt.Sprintf("the answer was not complete within %v", r.Deadline.Sub(r.Arrived).Round(time.Millisecond)),
 			"allow more time, or shorten the prompt").WithExecution(execution)
 	}
 	if ctx.Err() != nil {
-		return fault.New(fault.Abandoned, "the caller went away", "nothing to do").WithExecution(execution)
+		return fault.New(fault.Abandoned, "the caller disconnected", "nothing to do").WithExecution(execution)
 	}
 	failure := fault.New(fault.TargetFailed, err.Error(), "see \"doorstack explain\" with the request id").WithExecution(execution)
 	if r.Route.Repeatable || execution == fault.NotRun {
@@ -90,7 +93,7 @@
 	return failure
 }
 
-// record fills in what all records of a request share.
+// record adds the request's fields to a decision record and stores it.
 func (d *Director) record(r *Request, rec decision.Record) {
 	rec.Request = r.ID
 	rec.Account = r.Account.Path
@@ -100,6 +103,7 @@
 	d.Recorder.Record(rec)
 }
 
+// recordPlacement records a routing decision, preceded by the latest one without room, if any.
 func (d *Director) recordPlacement(r *Request, ticket *blackboard.Ticket, p blackboard.Placement) {
 	if ticket.Waited() != nil {
 		d.recordWait(r, ticket)
@@ -111,7 +115,7 @@
 	})
 }
 
-// recordWait records the last look at the targets that found no room.
+// recordWait records the latest routing decision that found no target with room.
 func (d *Director) recordWait(r *Request, ticket *blackboard.Ticket) {
 	waited := ticket.Waited()
 	if waited == nil {
@@ -119,6 +123,6 @@
 	}
 	d.record(r, decision.Record{
 		Kind: decision.KindRoute, Outcome: string(waited.Verdict), Attempt: ticket.Attempt, Routing: waited,
-		Reason: fmt.Sprintf("looked %d times without finding room", ticket.Looks()),
+		Reason: fmt.Sprintf("%d routing decisions found no room", ticket.Looks()),
 	})
 }
--- a/node/requestcontrol/forward.go
+++ b/node/requestcontrol/forward.go
@@ -17,51 +17,52 @@
 	"github.com/go-faster/errors"
 )
 
-// AnswerWriter gives a forwarded answer to its caller.
+// AnswerWriter writes a forwarded answer to its caller.
 type AnswerWriter interface {
-	// Begin sends the head; length is -1 where it is not known.
+	// WriteHead sends the status and header; length is -1 if it is unknown.
 	WriteHead(status int, h http.Header, length int64)
-	// Write sends a part of the body at once.
+	// Write sends a part of the body immediately.
 	Write(p []byte) error
 }
 
-// forwarding is a forwarded call in progress. What the caller has been given lives
-// here, across attempts, so that no event of a stream is ever given twice.
+// forwarding is the state of a forwarded call in progress. It spans all attempts and
+// keeps what the caller has received, so that no event of a stream is delivered twice.
 type forwarding struct {
 	director *Director
 	request  *Request
 	out      AnswerWriter
 	progress forward.Progress
-	// lastEvent is the last event that the caller has.
+	// lastEventID is the id of the last event delivered to the caller.
 	lastEventID string
 	eventCount  int
-	// first is the time to the first event, gap the longest pause between two, and
-	// lastAt when the last one was given.
+	// longestGap is the longest time between two events, and lastEventAt the time of
+	// the latest event.
 	timeToFirstEvent, longestGap time.Duration
 	lastEventAt                  time.Time
 	excluded                     []string
-	// erred is a target's own failure, given to the caller if no other does better.
+	// errorAnswer is a target's own error answer. The caller receives it if no other
+	// target answers.
 	errorAnswer *bufferedAnswer
-	// last is the target last sent to, for the log, and atFault the address of the
-	// helper that its answer blames.
+	// lastTarget is the latest target, for the log, and failedHelper the address of the
+	// helper for which it failed the call, if any.
 	lastTarget, failedHelper string
-	// readBy is the last attempt whose target has read the prompt.
+	// prefilledAttempt is the latest attempt whose target has prefilled the prompt.
 	prefilledAttempt string
-	// watched is the watch over the attempt under way.
+	// silenceWatch watches the current attempt.
 	silenceWatch *silenceWatch
-	// repeatTaken tells that the fleet's budget has been asked for the next send already.
+	// repeatCharged reports that the fleet's repeat budget is already charged for the next send.
 	repeatCharged atomic.Bool
 }
 
-// bufferedAnswer is an answer that has been read to its end.
+// bufferedAnswer is a complete answer held in memory.
 type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// Forward passes a call on to a target and gives its answer to out. The error is a
-// *fault.Error; when the answer had begun, the caller's connection must be cut.
+// Forward sends a call unchanged to a target and writes the answer to out. The error is
+// a *fault.Error. If the answer had started, the caller's connection must be closed.
 func (d *Director) Forward(ctx context.Context, r *Request, out AnswerWriter) error {
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
@@ -87,7 +88,8 @@
 	}
 }
 
-// mayTryAgain decides whether a failed attempt is followed by another one.
+// mayRetry reports whether the call may be sent again after an attempt failed with err. It
+// charges the fleet's repeat budget.
 func (f *forwarding) mayRetry(ctx context.Context, err error) bool {
 	var typed *fault.Error
 	if errors.As(err, &typed) || errors.Is(err, errCallerWrite) || errors.Is(err, errQuarantined) || ctx.Err() != nil {
@@ -97,7 +99,7 @@
 		return false
 	}
 	if f.progress.Sends() == 0 {
-		return true // Nothing has reached a target, so nothing is repeated.
+		return true // No send has reached a target, so this is not a repeat.
 	}
 	if f.repeatCharged.Swap(false) {
 		return true
@@ -106,7 +108,8 @@
 	return d.Board.Repeats.Take(f.request.Route.Pool.Name, d.Board.Members.Sharers(), time.Now())
 }
 
-// conclude ends a call that has failed for good.
+// finishFailed ends a call that is not retried: with a target's own error answer if there is
+// one, and otherwise with the error for the caller.
 func (f *forwarding) finishFailed(ctx context.Context, err error) error {
 	if f.errorAnswer != nil && !f.progress.AnswerStarted && ctx.Err() == nil {
 		return f.writeBuffered(f.errorAnswer)
@@ -119,32 +122,32 @@
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return fault.New(fault.DeadlinePassed,
-			fmt.Sprintf("the answer was not whole within %v", f.request.Deadline.Sub(f.request.Arrived).Round(time.Millisecond)),
-			"allow more time, or send again later").WithExecution(execution)
+			fmt.Sprintf("the answer was not complete within %v", f.request.Deadline.Sub(f.request.Arrived).Round(time.Millisecond)),
+			"allow more time, or retry later").WithExecution(execution)
 	case ctx.Err() != nil || errors.Is(err, errCallerWrite):
-		return fault.New(fault.Abandoned, "the caller went away", "nothing to do").WithExecution(execution)
+		return fault.New(fault.Abandoned, "the caller disconnected", "nothing to do").WithExecution(execution)
 	case execution == fault.NotRun:
-		return fault.New(fault.NoTarget, "no target took the call: "+err.Error(), "send again after the time in Retry-After").WithRetry(rejectedRetryAfter)
+		return fault.New(fault.NoTarget, "no target accepted the call: "+err.Error(), "retry after the time in Retry-After").WithRetry(rejectedRetryAfter)
 	default:
 		return fault.New(fault.TargetFailed, err.Error(), "see \"doorstack explain\" with the request id").WithExecution(execution)
 	}
 }
 
-// rejectedRetryAfter is when a call that no target took is worth another try: a target's
-// queue moves within some passes of its batch, each some 50 to 100 ms long.
+// rejectedRetryAfter is the Retry-After of a call that no target accepted: a target's queue
+// advances within a few passes of its batch, each about 50 to 100 ms long.
 const rejectedRetryAfter = 200 * time.Millisecond
 
-// attempt places the call and sends it to one target.
+// runAttempt places the call and sends it to one target.
 func (f *forwarding) runAttempt(ctx context.Context) error {
 	d, r := f.director, f.request
 	attempt := NewAttemptID()
-	again := f.progress.Sends() > 0
+	retry := f.progress.Sends() > 0
 	r.answerStarted = f.progress.AnswerStarted
-	placement, err := d.place(ctx, r, attempt, again, f.excluded)
+	placement, err := d.place(ctx, r, attempt, retry, f.excluded)
 	if err != nil {
 		return err
 	}
-	if !again {
+	if !retry {
 		d.Board.Repeats.Call(r.Route.Pool.Name, time.Now())
 	}
 	d.Recorder.Reach(blackboard.StagePlaced)
@@ -154,7 +157,7 @@
 	return err
 }
 
-// finish books the end of an attempt and wakes whoever waits for its room.
+// finishAttempt records the end of an attempt and wakes the pool's queue for the freed room.
 func (f *forwarding) finishAttempt(ctx context.Context, p *blackboard.Placement, err error) {
 	d := f.director
 	result := blackboard.CallSucceeded
@@ -167,13 +170,13 @@
 	}
 	suspect, suspectFor := "", time.Duration(0)
 	if err != nil {
-		culprit := f.failedTarget(p)
-		f.excluded = append(f.excluded, culprit)
+		failed := f.failedTarget(p)
+		f.excluded = append(f.excluded, failed)
 		if suspectFor = f.suspectDuration(err); suspectFor > 0 && ctx.Err() == nil {
-			suspect = culprit
+			suspect = failed
 			d.Board.Targets.Suspect(suspect, time.Now().Add(suspectFor), time.Now())
 		}
-		f.recordFailedAttempt(ctx, p.Attempt, culprit, err)
+		f.recordFailedAttempt(ctx, p.Attempt, failed, err)
 	}
 	f.recordCrashOrSuccess(ctx, p, err)
 	d.Board.Targets.Finish(p.Attempt, result, time.Now())
@@ -183,8 +186,8 @@
 	d.Board.Queues.Wake(f.request.Route.Pool.Name)
 }
 
-// noteEnd notes whether the target lived through the call. A failure that a target answers
-// itself shows that it did.
+// recordCrashOrSuccess records whether the target survived the call. An error answer from the
+// target itself shows that it did.
 func (f *forwarding) recordCrashOrSuccess(ctx context.Context, p *blackboard.Placement, err error) {
 	switch {
 	case err == nil || errors.Is(err, errTargetError):
@@ -194,25 +197,25 @@
 	}
 }
 
-// recordAttempt records why an attempt led to no answer.
-func (f *forwarding) recordFailedAttempt(ctx context.Context, attempt, culprit string, err error) {
-	rec := decision.Record{Kind: decision.KindAttempt, Outcome: decision.OutcomeFailed, Target: culprit, Attempt: attempt, Reason: err.Error(), CallKey: f.request.poisonKey().String()}
+// recordFailedAttempt records why an attempt gave no answer.
+func (f *forwarding) recordFailedAttempt(ctx context.Context, attempt, failed string, err error) {
+	rec := decision.Record{Kind: decision.KindAttempt, Outcome: decision.OutcomeFailed, Target: failed, Attempt: attempt, Reason: err.Error(), CallKey: f.request.poisonKey().String()}
 	if cause := ctx.Err(); cause != nil {
 		rec.Outcome, rec.Reason = decision.OutcomeCancelled, cause.Error()
 	}
 	f.director.record(f.request, rec)
 }
 
-// How long nothing is sent to a target that turned a call away: one that is full for
-// about a pass of its batch; a helper that an answer blames is dead, leaving or cut
-// off; one that cannot be connected to most likely stays so for a while.
+// How long no calls are sent to a target after it failed one: a full target has room
+// after about one pass of its batch; a helper named in a rejection is dead, draining or
+// unreachable; a target that refuses connections most likely does so for a while.
 const (
 	suspectFull        = 100 * time.Millisecond
 	suspectHelper      = 2 * time.Second
 	suspectUnreachable = time.Second
 )
 
-// suspicion is how long the culprit of a failed attempt is kept out.
+// suspectDuration returns how long the failed target of an attempt receives no calls.
 func (f *forwarding) suspectDuration(err error) time.Duration {
 	switch {
 	case f.failedHelper != "":
@@ -226,8 +229,8 @@
 	}
 }
 
-// culprit is the target that the next attempt avoids: a helper that the answer names,
-// or the one that the call was sent to.
+// failedTarget returns the target that the next attempt excludes: the helper named in the
+// answer, or the target that the call was sent to.
 func (f *forwarding) failedTarget(p *blackboard.Placement) string {
 	for _, h := range p.Helpers {
 		if f.failedHelper != "" && h.Address == f.failedHelper {
@@ -237,18 +240,18 @@
 	return p.Decision.Chosen
 }
 
-// The ways in which a target's answer does not serve.
+// The reasons why a target's answer is not delivered to the caller.
 var (
-	errRejected    = errors.New("the target turned the call away")
-	errUnusable    = errors.New("the target's answer cannot be given to the caller")
-	errTruncated   = errors.New("the target's answer broke off")
-	errTargetError = errors.New("the target failed")
+	errRejected    = errors.New("the target rejected the call")
+	errUnusable    = errors.New("the target's answer must not be delivered to the caller")
+	errTruncated   = errors.New("the target's answer was truncated")
+	errTargetError = errors.New("the target answered with an error")
 )
 
-// truncatedError says that an answer broke off, and keeps the cause.
+// truncatedError wraps errTruncated and the cause.
 func truncatedError(cause error) error { return fmt.Errorf("%w: %w", errTruncated, cause) }
 
-// send makes one send and relays its answer.
+// send sends the call to the placement's target, once, and relays the answer.
 func (f *forwarding) send(ctx context.Context, p *blackboard.Placement) error {
 	d, r := f.director, f.request
 	call := *r.Forward
@@ -260,27 +263,27 @@
 		Helpers: forwardHelpers(p),
 	})
 	f.failedHelper = ""
-	tickets, err := d.reserveMemory(ctx, r, p)
+	reservations, err := d.reserveMemory(ctx, r, p)
 	if err != nil {
-		f.failedHelper = tickets.refusedBy
-		return err // Nothing has been sent of the call itself.
-	}
-	defer tickets.release(ctx)
-	watched, silence := f.watchSilence(ctx, p)
-	defer silence.release()
-	defer d.cancelOnQuarantine(r, silence.cancel)()
-	f.silenceWatch = silence
-	reply, err := d.Exchanger.Send(watched, p.Address, &call)
+		f.failedHelper = reservations.refusedBy
+		return err // The call itself has not been sent.
+	}
+	defer reservations.release(ctx)
+	attemptCtx, watch := f.watchSilence(ctx, p)
+	defer watch.release()
+	defer d.cancelOnQuarantine(r, watch.cancel)()
+	f.silenceWatch = watch
+	reply, err := d.Exchanger.Send(attemptCtx, p.Address, &call)
 	if err != nil {
 		execution := target.ExecutionOf(err)
 		f.progress.RecordFailure(execution, execution != fault.NotRun)
 		if errors.Is(err, target.ErrCallerLeft) {
 			return errors.Wrap(errCallerWrite, err.Error())
 		}
-		return silence.stop(watched, err)
+		return watch.stop(attemptCtx, err)
 	}
 	f.recordNotice(p.Decision.Chosen, reply)
-	err = silence.stop(watched, f.handleReply(reply, p))
+	err = watch.stop(attemptCtx, f.handleReply(reply, p))
 	d.Exchanger.Close(reply)
 	switch {
 	case err == nil:
@@ -292,16 +295,18 @@
 	return err
 }
 
-// hear takes in what a target says of itself in an answer. Its limit concerns all daemons.
+// recordNotice records the notice that a target sent about itself with an answer. A new rate
+// limit, or the lifting of one, is also reported to the coordinator, as it applies to all daemons.
 func (f *forwarding) recordNotice(target string, reply *target.Reply) {
-	d, pool, said := f.director, f.request.Route.Pool.Name, reply.TargetNotice()
+	d, pool, notice := f.director, f.request.Route.Pool.Name, reply.TargetNotice()
 	d.Recorder.Unread(pool, target, reply.UnknownHeaders)
-	news := d.Recorder.Notice(pool, target, said, reply.Sent)
-	if d.Placer != nil && (said.Limit.Declared || news && said.Limit.Lifted) {
-		d.Placer.ReportLimit(pool, target, said.Limit, reply.Sent)
+	news := d.Recorder.Notice(pool, target, notice, reply.Sent)
+	if d.Placer != nil && (notice.Limit.Declared || news && notice.Limit.Lifted) {
+		d.Placer.ReportLimit(pool, target, notice.Limit, reply.Sent)
 	}
 }
 
+// forwardHelpers lists a placement's helpers, with the memory reserved at each.
 func forwardHelpers(p *blackboard.Placement) []forward.Helper {
 	var helpers []forward.Helper
 	for _, h := range p.Helpers {
@@ -310,11 +315,11 @@
 	return helpers
 }
 
-// take does with an answer what its head says that it is good for.
+// handleReply delivers, keeps or rejects an answer, depending on its head.
 func (f *forwarding) handleReply(reply *target.Reply, p *blackboard.Placement) error {
 	verdict := reply.Classify()
 	if f.progress.AnswerStarted && verdict == forward.TargetError {
-		verdict = forward.Unusable // The caller has the head of another run already.
+		verdict = forward.Unusable // The caller already has the head of an earlier answer.
 	}
 	switch verdict {
 	case forward.Rejected:
@@ -322,7 +327,7 @@
 		if _, err := bufferAnswer(reply); err != nil {
 			return errors.Wrap(errRejected, err.Error())
 		}
-		return errors.Wrap(errRejected, fmt.Sprintf("status %d, at fault %q", reply.Status, reply.FailedHelper))
+		return errors.Wrap(errRejected, fmt.Sprintf("status %d, failed helper %q", reply.Status, reply.FailedHelper))
 	case forward.Unusable:
 		return errors.Wrap(errUnusable, fmt.Sprintf("status %d, signed %v", reply.Status, reply.Signed))
 	case forward.TargetError:
@@ -339,8 +344,8 @@
 	return f.writeBuffered(answer)
 }
 
-// takeErred keeps a target's own failure, which goes to the caller unless another
-// target does better.
+// keepErrorAnswer keeps a target's own error answer, which the caller receives unless
+// another target answers.
 func (f *forwarding) keepErrorAnswer(reply *target.Reply) error {
 	answer, err := bufferAnswer(reply)
 	if err != nil {
@@ -350,17 +355,18 @@
 	return errors.Wrap(errTargetError, fmt.Sprintf("status %d", reply.Status))
 }
 
-// maxBufferedAnswer bounds an answer that is held whole, so that a caller never gets
-// half of one and a repeatable call can go to another target.
+// maxBufferedAnswer bounds, in bytes, an answer that is buffered before delivery, so that a
+// caller never receives half of one and a repeatable call can go to another target.
 const maxBufferedAnswer = 8 << 20
 
+// bufferAnswer reads an answer to its end.
 func bufferAnswer(reply *target.Reply) (*bufferedAnswer, error) {
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxBufferedAnswer+1))
 	if err != nil {
 		return nil, err
 	}
 	if len(body) > maxBufferedAnswer {
-		return nil, errors.New("the answer is over the bound")
+		return nil, errors.New("the answer exceeds the size limit")
 	}
 	return &bufferedAnswer{status: reply.Status, header: reply.Header, body: body}, nil
 }
--- a/node/requestcontrol/generate.go
+++ b/node/requestcontrol/generate.go
@@ -16,8 +16,8 @@
 	"github.com/go-faster/errors"
 )
 
-// generation is a model request in progress. What the caller has been given
-// lives here, across attempts, so that no token is ever given twice.
+// generation is the state of a model request in progress. It spans all attempts and
+// keeps what the caller has received, so that no token is delivered twice.
 type generation struct {
 	director         *Director
 	request          *Request
@@ -29,11 +29,11 @@
 	excluded         []string
 }
 
-// errCallerWrite marks a failure to write to the caller.
-var errCallerWrite = errors.New("the caller does not take the answer")
+// errCallerWrite is wrapped by the error of a failed write to the caller.
+var errCallerWrite = errors.New("writing the answer to the caller failed")
 
-// Generate runs a model request and gives its answer to sink, token by token.
-// It returns nil only after the whole answer; the error is a *fault.Error.
+// Generate runs a model request and writes its answer to sink, token by token.
+// The error is nil only after the complete answer, and otherwise a *fault.Error.
 func (d *Director) Generate(ctx context.Context, r *Request, sink TokenSink) (GenerateResult, error) {
 	done, err := d.admit(ctx, r)
 	if err != nil {
@@ -67,8 +67,9 @@
 	}
 }
 
-// whatRan corrects a failure of a later attempt: once tokens were given, an
-// engine has run.
+// correctExecution corrects the execution state of a failure for earlier attempts: an
+// engine has run the request if tokens were delivered, and may have run it after any
+// failed call.
 func (g *generation) correctExecution(e *fault.Error) *fault.Error {
 	if g.nextIndex > 0 {
 		return e.WithExecution(fault.Ran)
@@ -79,7 +80,7 @@
 	return e
 }
 
-// attempt places the request and asks one target for what is still missing.
+// runAttempt places the request and obtains the rest of the answer from one target.
 func (g *generation) runAttempt(ctx context.Context, retry bool) error {
 	d := g.director
 	attempt := NewAttemptID()
@@ -99,16 +100,16 @@
 		FirstIndex:   g.nextIndex,
 		Continuation: g.delivered.String(),
 	}
-	asking, cancel := cancelWhenGone(ctx, placement.Gone)
-	err = g.streamAnswer(asking, placement.Decision.Chosen, placement.Address, call)
+	callCtx, cancel := cancelWhenGone(ctx, placement.Gone)
+	err = g.streamAnswer(callCtx, placement.Decision.Chosen, placement.Address, call)
 	cancel()
 	g.finishCall(ctx, placement.Decision.Chosen, attempt, err)
 	return err
 }
 
-// cancelWhenGone returns a context that also ends when the target is taken to be gone.
-// A frozen engine neither answers nor closes the connection; its missing reports
-// are what tells, and the answer goes on elsewhere.
+// cancelWhenGone returns a context that also ends when the target is considered gone.
+// A frozen engine neither answers nor closes the connection and is detected only by its
+// missing load reports. The answer then continues at another target.
 func cancelWhenGone(ctx context.Context, gone <-chan struct{}) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
@@ -121,7 +122,7 @@
 	return ctx, cancel
 }
 
-// finishCall books the end of a call and wakes whoever waits for its room.
+// finishCall records the end of a call and wakes the pool's queue for the freed room.
 func (g *generation) finishCall(ctx context.Context, id, attempt string, err error) {
 	d := g.director
 	result := blackboard.CallSucceeded
@@ -143,29 +144,29 @@
 	d.Board.Queues.Wake(g.request.Route.Pool.Name)
 }
 
-// isBusyRefusal tells whether the target only lacked room for the moment.
+// isBusyRefusal reports whether the target refused the call only for a temporary lack of room.
 func isBusyRefusal(err error) bool {
 	var call *target.CallError
 	return errors.As(err, &call) && call.Refused() && call.Code == target.CodeBusy
 }
 
-// ask streams one call's answer. Where the connection breaks but the engine
-// lives, it takes up the same stream again instead of starting another.
+// streamAnswer streams one call's answer. If the connection breaks while the engine
+// is alive, it resumes the same stream instead of starting another.
 func (g *generation) streamAnswer(ctx context.Context, id, address string, call *target.GenerateRequest) error {
 	d := g.director
 	assembler := stream.NewAssembler(call.Attempt, call.FirstIndex)
-	give := g.tokenHandler(call.Attempt)
-	push := func(c stream.Chunk) error { return assembler.Push(c, give) }
+	deliver := g.tokenHandler(call.Attempt)
+	push := func(c stream.Chunk) error { return assembler.Push(c, deliver) }
 	err := d.Targets.Generate(ctx, address, call, push)
 	err = finishStream(assembler, err)
 	if err != nil && canResume(ctx, err, assembler) {
 		resume := target.ResumeRequest{Attempt: call.Attempt, From: assembler.Next()}
-		again := finishStream(assembler, d.Targets.Resume(ctx, address, resume, push))
+		resumeErr := finishStream(assembler, d.Targets.Resume(ctx, address, resume, push))
 		d.record(g.request, decision.Record{
 			Kind: decision.KindAttempt, Outcome: "resumed", Target: id, Attempt: call.Attempt,
 			Reason: fmt.Sprintf("%v; from token %d", err, resume.From),
 		})
-		err = resumeError(err, again)
+		err = resumeError(err, resumeErr)
 	}
 	if err != nil {
 		d.cancelCall(ctx, address, call.Attempt, err)
@@ -175,18 +176,19 @@
 	return nil
 }
 
-// resumeError is how a stream ended that broke off and was taken up again. Where the engine cannot
-// be reached any more, that it broke off is what tells of the engine.
-func resumeError(brokeOff, again error) error {
-	if again != nil && target.ExecutionOf(again) == fault.NotRun {
-		return brokeOff
+// resumeError returns the error of a stream that was resumed after streamErr. If the engine
+// could not be reached to resume, streamErr is returned, as it says more about the engine.
+func resumeError(streamErr, resumeErr error) error {
+	if resumeErr != nil && target.ExecutionOf(resumeErr) == fault.NotRun {
+		return streamErr
 	}
-	return again
+	return resumeErr
 }
 
+// finishStream returns nil if the answer is complete, and otherwise err or the assembler's error.
 func finishStream(a *stream.Assembler, err error) error {
 	if a.Complete() {
-		return nil // Whatever broke afterwards, the answer is whole.
+		return nil // Errors after the complete answer do not matter.
 	}
 	if err != nil {
 		return err
@@ -197,8 +199,8 @@
 	return nil
 }
 
-// canResume tells whether it is worth asking the same engine for the rest: its
-// stream broke off, it did not refuse, lie or fail.
+// canResume reports whether the same engine can be asked for the rest of the answer: its
+// stream broke off after some tokens, without a refusal, failure or conflicting data.
 func canResume(ctx context.Context, err error, a *stream.Assembler) bool {
 	if ctx.Err() != nil || errors.Is(err, errCallerWrite) || errors.Is(err, stream.ErrConflict) {
 		return false
@@ -206,11 +208,11 @@
 	return target.ExecutionOf(err) == fault.Unknown && a.Next() > 0
 }
 
-// cancelTimeout bounds the call that frees an engine of an abandoned stream.
+// cancelTimeout bounds the call that cancels an abandoned stream at its engine.
 const cancelTimeout = 2 * time.Second
 
-// cancelCall frees the engine of a stream that nobody will read to its end. It
-// works after the caller has gone, and does not hold up the answer.
+// cancelCall cancels an abandoned stream at its engine. It runs in the background, so
+// that it does not delay the answer, and also after the caller has disconnected.
 func (d *Director) cancelCall(ctx context.Context, address, attempt string, err error) {
 	if target.ExecutionOf(err) == fault.NotRun {
 		return
@@ -222,15 +224,15 @@
 	}()
 }
 
-// give passes a token on to the caller.
+// tokenHandler returns a function that delivers an attempt's tokens to the caller.
 func (g *generation) tokenHandler(attempt string) func(int64, string) error {
-	read := false
+	prefillDone := false
 	return func(index int64, text string) error {
 		if g.nextIndex == 0 {
 			g.recordFirstToken()
 		}
-		if !read {
-			read = true
+		if !prefillDone {
+			prefillDone = true
 			g.director.Board.Targets.PromptRead(attempt, time.Now())
 		}
 		if err := g.sink.Token(index, text); err != nil {
--- a/node/requestcontrol/group.go
+++ b/node/requestcontrol/group.go
@@ -16,10 +16,10 @@
 	"github.com/go-faster/errors"
 )
 
-// groupRun is a prompt larger than one engine, served by several: memory for
-// every part is reserved first, all or nothing; the parts are read in turn, each
-// engine importing the KV cache of the parts before; the last one answers.
-// Whatever way it ends, all that was reserved is released.
+// groupRun serves a prompt that exceeds one engine's memory by several engines.
+// Memory for every part is reserved first, all or nothing. The parts are prefilled
+// in turn, each engine importing the KV cache of the preceding parts, and the last
+// engine answers. However the run ends, all its reservations are released.
 type groupRun struct {
 	director *Director
 	request  *Request
@@ -27,31 +27,33 @@
 	parts    []groupPart
 }
 
+// groupPart is one engine's part of the prompt.
 type groupPart struct {
 	group.Part
 	reservation string
 	address     string
 	text        string
-	gone        <-chan struct{} // closed if the target is taken to be gone
+	gone        <-chan struct{} // closed when the target is considered gone
 }
 
-// errNoRoom means that the engines have no room for all parts at the moment.
+// errNoRoom means that the engines currently lack memory for all parts of the prompt.
 var errNoRoom = errors.New("the engines have no room for all parts of the prompt")
 
-// The pause between tries to reserve a whole group. It grows and is random, so
-// that two long prompts that keep taking memory from each other come apart.
+// The backoff between attempts to reserve a group. It grows and is randomized, so
+// that two long prompts do not keep taking memory from each other.
 const (
 	groupBackoffInitial = 100 * time.Millisecond
 	groupBackoffMax     = 2 * time.Second
 )
 
-// reserveTimeout bounds the reservation of a part, which an engine answers at once.
+// reserveTimeout bounds the reservation of a part, which engines answer immediately.
 const reserveTimeout = 3 * time.Second
 
-// releaseTimeout bounds the release of a part; what it misses is found and
-// released by the sweep of reservations without a living owner.
+// releaseTimeout bounds the release of a part. Parts that are not released in time are
+// found by the sweep for reservations without a live owner.
 const releaseTimeout = 3 * time.Second
 
+// generateInGroup runs one attempt of a generation on a group of engines.
 func (d *Director) generateInGroup(ctx context.Context, g *generation, attempt string) error {
 	run := &groupRun{director: d, request: g.request, attempt: attempt}
 	defer run.release(ctx)
@@ -69,25 +71,25 @@
 	return run.generate(ctx, g)
 }
 
-// reserveWhenFree tries to reserve a whole group until it has one or the
+// reserveWithBackoff reserves the memory of a group, retrying until it succeeds or the
 // deadline passes.
 func (run *groupRun) reserveWithBackoff(ctx context.Context) error {
-	pause := group.Backoff{Initial: groupBackoffInitial, Max: groupBackoffMax, Seed: attemptSeed(run.director.Board.Self.Name, run.attempt)}
-	for tries := 1; ; tries++ {
+	backoff := group.Backoff{Initial: groupBackoffInitial, Max: groupBackoffMax, Seed: attemptSeed(run.director.Board.Self.Name, run.attempt)}
+	for attempts := 1; ; attempts++ {
 		err := run.reserve(ctx)
 		if err == nil {
 			kv := run.request.promptTokens * run.request.Route.Pool.Kind.BytesPerToken
-			run.record("reserved", fmt.Sprintf("%d parts after %d tries, %d MB of KV cache in all", len(run.parts), tries, kv>>20))
+			run.record("reserved", fmt.Sprintf("%d parts after %d attempts, %d MB of KV cache in total", len(run.parts), attempts, kv>>20))
 			return nil
 		}
 		run.release(ctx)
-		if tries == 1 {
+		if attempts == 1 {
 			run.record("waiting", err.Error())
 		}
 		if errors.Is(err, group.ErrTooLarge) {
 			return fault.New(fault.TooLarge, err.Error(), "shorten the prompt, or add engines to the pool")
 		}
-		timer := time.NewTimer(pause.Next())
+		timer := time.NewTimer(backoff.Next())
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -97,9 +99,9 @@
 	}
 }
 
-// reserve plans a group on what is believed to be free and reserves its parts in
-// the order of the engines' names, so that two groups never wait for each other
-// in a circle. An engine that has no room makes the whole group give way.
+// reserve plans a group from the memory reported free and reserves its parts in the
+// order of the engines' names, so that two groups cannot deadlock. If one engine has no
+// room, it returns errNoRoom and the caller must release the parts reserved so far.
 func (run *groupRun) reserve(ctx context.Context) error {
 	d, r := run.director, run.request
 	pool := r.Route.Pool
@@ -122,6 +124,7 @@
 	return nil
 }
 
+// compareNames orders the engines of a group, whose names differ.
 func compareNames(a, b string) int {
 	if a < b {
 		return -1
@@ -160,7 +163,7 @@
 	return err
 }
 
-// prefill reads all parts but the last, in turn.
+// prefill runs the prefill of all parts but the last, in order.
 func (run *groupRun) prefill(ctx context.Context) error {
 	last := len(run.parts) - 1
 	for i := range run.parts[:last] {
@@ -172,7 +175,7 @@
 			Context:     run.precedingParts(i),
 		})
 		if err != nil {
-			return errors.Wrap(err, fmt.Sprintf("read part %d of %d at %s", i+1, len(run.parts), p.Target))
+			return errors.Wrap(err, fmt.Sprintf("prefill of part %d of %d at %s", i+1, len(run.parts), p.Target))
 		}
 		run.director.Board.Targets.PromptRead(p.reservation, time.Now())
 		run.record("read", fmt.Sprintf("part %d of %d at %s, %d tokens", i+1, len(run.parts), p.Target, p.PromptTokens))
@@ -180,7 +183,7 @@
 	return nil
 }
 
-// context names the parts before part i.
+// precedingParts refers to the KV cache of the parts before part i.
 func (run *groupRun) precedingParts(i int) []target.KVRef {
 	refs := make([]target.KVRef, 0, i)
 	for k := range run.parts[:i] {
@@ -190,7 +193,7 @@
 	return refs
 }
 
-// answer lets the last engine read its part and generate.
+// generate prefills the last part at its engine and streams the answer from there.
 func (run *groupRun) generate(ctx context.Context, g *generation) error {
 	last := len(run.parts) - 1
 	p := &run.parts[last]
@@ -207,9 +210,9 @@
 	})
 }
 
-// release gives every part back, on every way out, also after the caller has
-// gone or the deadline has passed. Each engine is told by itself, so that one that
-// does not answer keeps no other's memory. Releasing twice is harmless.
+// release releases every part, also after the caller has disconnected or the deadline
+// has passed. The engines are called concurrently, so that one that does not answer
+// does not delay the others. Releasing twice is harmless.
 func (run *groupRun) release(ctx context.Context) {
 	d := run.director
 	var wg sync.WaitGroup
--- a/node/requestcontrol/permit_test.go
+++ b/node/requestcontrol/permit_expiry_test.go
@@ -14,26 +14,26 @@
 	"doorstack.dev/node/target"
 )
 
-// TestPermitExpiresWhileHostIsSuspended: the witnesses of a claim give its key to another daemon when
-// the permit has ended by their clocks. A host that slept meanwhile has a clock that stood still,
-// and must not send the call as well.
+// TestPermitExpiresWhileHostIsSuspended: the monotonic clock stops while a host is suspended. The
+// witnesses grant the key to another daemon once the permit has expired by their own clocks, so the
+// suspended host must not send the call after it resumes.
 func TestPermitExpiresWhileHostIsSuspended(t *testing.T) {
 	var calls atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { calls.Add(1) }))
 	defer server.Close()
 	placement := blackboard.Placement{Address: strings.TrimPrefix(server.URL, "http://")}
 	request := &Request{IdempotencyKey: "k", ServiceCall: &target.ServiceCall{Method: http.MethodPost, Path: "/", Header: http.Header{}}}
-	const sleptBefore, left = time.Hour, time.Minute
-	for slept, want := range map[time.Duration]int64{sleptBefore: 1, sleptBefore + left/2: 1, sleptBefore + left: 0, sleptBefore + 2*left: 0} {
+	const atClaim, validity = time.Hour, time.Minute
+	for suspended, want := range map[time.Duration]int64{atClaim: 1, atClaim + validity/2: 1, atClaim + validity: 0, atClaim + 2*validity: 0} {
 		calls.Store(0)
-		d := &Director{Targets: target.NewClient(), SuspendedTime: func() time.Duration { return slept }}
-		permit := &Permit{ExpiresAt: time.Now().Add(left), SuspendedAtClaim: sleptBefore}
+		d := &Director{Targets: target.NewClient(), SuspendedTime: func() time.Duration { return suspended }}
+		permit := &Permit{ExpiresAt: time.Now().Add(validity), SuspendedAtClaim: atClaim}
 		_, err := d.sendServiceCall(context.Background(), request, permit, placement)
 		if calls.Load() != want {
-			t.Errorf("%v asleep: %d calls, want %d", slept-sleptBefore, calls.Load(), want)
+			t.Errorf("suspended for %v: %d calls sent, want %d", suspended-atClaim, calls.Load(), want)
 		}
 		if want == 0 && fault.From(err).Kind != fault.NoQuorum {
-			t.Errorf("%v asleep: %v", slept-sleptBefore, err)
+			t.Errorf("suspended for %v: sendServiceCall() = %v, want kind %v", suspended-atClaim, err, fault.NoQuorum)
 		}
 	}
 }
--- a/node/requestcontrol/place.go
+++ b/node/requestcontrol/place.go
@@ -16,16 +16,16 @@
 	"github.com/go-faster/errors"
 )
 
-// place waits in the queue until the request has a target. One that is found to end its targets
-// goes to none, also where that became known while it waited.
+// place waits until the request has a target and returns the placement. A quarantined request
+// is refused, also if it was quarantined while it waited.
 func (d *Director) place(ctx context.Context, r *Request, attempt string, retry bool, exclude []string) (blackboard.Placement, error) {
 	trial, err := d.checkQuarantine(ctx, r)
 	if err != nil {
 		return blackboard.Placement{}, err
 	}
 	for {
-		if left, all := d.Board.Targets.RestLeft(r.Route.Pool.Name, exclude, time.Now()); all {
-			return blackboard.Placement{}, d.refuseInBackoff(r, left)
+		if backoff, all := d.Board.Targets.RestLeft(r.Route.Pool.Name, exclude, time.Now()); all {
+			return blackboard.Placement{}, d.refuseInBackoff(r, backoff)
 		}
 		placement, err := d.awaitPlacement(ctx, r, attempt, retry, exclude)
 		if err != nil {
@@ -38,11 +38,12 @@
 		if d.targetsAccept(r, &placement) {
 			return placement, nil
 		}
-		d.releasePlacement(r, &placement) // A target spoke while the call waited; the next look leaves it out.
+		d.releasePlacement(r, &placement) // A target sent a notice while the call waited; the next placement excludes it.
 	}
 }
 
-// refuseIfFound looks again, for what became known while a request waited for its place.
+// recheckQuarantine repeats the quarantine check after the request waited for its placement.
+// An admitted trial is not checked again.
 func (d *Director) recheckQuarantine(ctx context.Context, r *Request, trial bool) error {
 	if trial {
 		return nil
@@ -51,15 +52,16 @@
 	return err
 }
 
-// refuseResting refuses a call at once where every target has asked this daemon for rest.
-func (d *Director) refuseInBackoff(r *Request, left time.Duration) error {
-	refusal := fault.New(fault.NoTarget, "all targets of pool "+r.Route.Pool.Name+" have asked this host for rest",
-		"send again after the time in Retry-After").WithRetry(left)
+// refuseInBackoff returns the error for a call that is refused because all targets have asked
+// this daemon to back off, and records it.
+func (d *Director) refuseInBackoff(r *Request, backoff time.Duration) error {
+	refusal := fault.New(fault.NoTarget, "all targets of pool "+r.Route.Pool.Name+" have asked this host to back off",
+		"retry after the time in Retry-After").WithRetry(backoff)
 	d.record(r, decision.Record{Kind: decision.KindRoute, Outcome: decision.OutcomeRefused, Reason: refusal.Error()})
 	return refusal
 }
 
-// willing tells whether no target of a placement has said that it wants no call.
+// targetsAccept reports whether all targets of a placement accept calls at present.
 func (d *Director) targetsAccept(r *Request, p *blackboard.Placement) bool {
 	unwilling := d.Board.Targets.Unwilling(r.Route.Pool.Name, time.Now())
 	return !slices.ContainsFunc(unwilling, func(id string) bool {
@@ -67,7 +69,8 @@
 	})
 }
 
-// findPlace asks the pool's coordinator for a target, or waits in this daemon's own queue.
+// awaitPlacement obtains a placement from the pool's coordinator, or else from this daemon's
+// own queue.
 func (d *Director) awaitPlacement(ctx context.Context, r *Request, attempt string, retry bool, exclude []string) (blackboard.Placement, error) {
 	ticket := d.newTicket(r, attempt, retry, exclude)
 	if d.Placer != nil {
@@ -96,22 +99,22 @@
 	return placement, d.checkPlacement(r, ticket, &placement)
 }
 
-// judgePlacement records a placement and tells whether it leads to a target.
+// checkPlacement records a placement and returns an error if it has no target.
 func (d *Director) checkPlacement(r *Request, ticket *blackboard.Ticket, placement *blackboard.Placement) error {
 	d.recordPlacement(r, ticket, *placement)
 	if placement.Decision.Verdict == routing.Refuse {
-		left := time.Until(r.Deadline)
-		retry := admission.BusyRetryAfter(r.promptTokens >= r.Route.Pool.Policy.LongPromptTokens, left)
-		if turn := placement.Decision.RetryAfter; turn > 0 {
-			retry = admission.QueueRetryAfter(engine.Duration(turn), left)
+		timeout := time.Until(r.Deadline)
+		retry := admission.BusyRetryAfter(r.promptTokens >= r.Route.Pool.Policy.LongPromptTokens, timeout)
+		if queueTime := placement.Decision.RetryAfter; queueTime > 0 {
+			retry = admission.QueueRetryAfter(engine.Duration(queueTime), timeout)
 		}
-		return fault.New(fault.DeadlineTooShort, "the targets are too busy to answer in the time that the route asks for", "send again after the time in Retry-After").
+		return fault.New(fault.DeadlineTooShort, "the targets are too busy to answer within the route's goal", "retry after the time in Retry-After").
 			WithRetry(retry)
 	}
 	if placement.Decision.Verdict == routing.None {
 		return fault.New(fault.NoTarget,
 			fmt.Sprintf("none of the %d targets of pool %s can serve the request", placement.Decision.Considered, r.Route.Pool.Name),
-			"see \"doorstack explain\" for what each target lacks; send again later").WithRetry(time.Second)
+			"see \"doorstack explain\" for what each target lacks; retry later").WithRetry(time.Second)
 	}
 	return nil
 }
@@ -153,15 +156,15 @@
 	}
 }
 
-// RoutingParams turns a pool's policy into routing parameters, when so many daemons
-// share the pool. Long prompts may take LongShare of the targets, or more while
-// short ones need less than what is left.
-func RoutingParams(pool *settings.ResolvedPool, c blackboard.Capacity, sharers int) routing.Params {
+// RoutingParams returns the routing parameters of a pool that daemonCount daemons
+// share. Long prompts may occupy LongShare of the targets, or more while short
+// prompts need fewer than the rest.
+func RoutingParams(pool *settings.ResolvedPool, c blackboard.Capacity, daemonCount int) routing.Params {
 	policy := &pool.Policy
 	live := float64(c.Live)
 	needed := 0.0
 	if c.Rate > 0 {
-		needed = live * c.ShortRate * float64(sharers) / c.Rate
+		needed = live * c.ShortRate * float64(daemonCount) / c.Rate
 	}
 	return routing.Params{
 		LongPromptTokens: policy.LongPromptTokens,
@@ -175,8 +178,8 @@
 	}
 }
 
-// PrefillSeconds is the reading time of a prompt, in seconds, or zero where engines'
-// timing is not known.
+// PrefillSeconds returns the prefill time of a prompt in seconds, or zero if the
+// engines' timing is unknown.
 func PrefillSeconds(p *routing.Params, promptTokens int64) float64 {
 	if p.Timing == nil || promptTokens <= 0 {
 		return 0
@@ -184,8 +187,9 @@
 	return p.Timing.PrefillTime(promptTokens)
 }
 
-// LatestStart is when a prompt has to be placed to be answered within a goal in seconds; zero
-// where engines' timing is not known, or no goal, and for one that has been placed before.
+// LatestStart returns the latest time at which a prompt can be placed and still meet a goal,
+// given in seconds, for its first event. It is zero if the engines' timing is unknown, if there
+// is no goal, and for a retry.
 func LatestStart(p *routing.Params, promptTokens int64, arrived time.Time, goal float64, retry bool) time.Time {
 	if p.Timing == nil || promptTokens <= 0 || goal <= 0 || retry {
 		return time.Time{}
@@ -193,11 +197,12 @@
 	return arrived.Add(engine.Duration(routing.LongestWait(p, promptTokens, goal)))
 }
 
+// waitError returns the error for a request whose context ended while it waited for a target.
 func waitError(ctx context.Context, r *Request) *fault.Error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return fault.New(fault.DeadlinePassed,
 			fmt.Sprintf("no target had room for the request within %v", r.Deadline.Sub(r.Arrived).Round(time.Millisecond)),
-			"send again later, or allow more time").WithRetry(0)
+			"retry later, or allow more time").WithRetry(0)
 	}
-	return fault.New(fault.Abandoned, "the caller went away while the request waited", "nothing to do")
+	return fault.New(fault.Abandoned, "the caller disconnected while the request waited", "nothing to do")
 }
--- a/node/requestcontrol/poison.go
+++ b/node/requestcontrol/poison.go
@@ -13,47 +13,47 @@
 	"github.com/go-faster/errors"
 )
 
-// A request under which target after target ends is not sent to another one, whoever sends it
-// and by whichever daemon: see core/poison. Director tells the table how each send ended, and
-// asks it before each.
+// A request that crashes several targets is quarantined: no daemon sends it to another target,
+// whichever caller it comes from (see core/poison). Director checks the quarantine before each
+// send and records how each send ended.
 
-// CrashReporter tells the other daemons of requests that end their targets.
+// CrashReporter informs the other daemons of requests that crash their targets.
 type CrashReporter interface {
-	// Crashed reports that a target has ended under a request.
+	// NotifyCrash reports that a target crashed while it had a request.
 	NotifyCrash(c poison.Crash)
-	// Spread tells all daemons a verdict that this one has come to.
+	// BroadcastVerdict sends all daemons a verdict that this daemon reached.
 	BroadcastVerdict(v poison.Verdict)
-	// MayTry asks the daemon that decides whether a quarantined request is sent this once.
+	// RequestTrial asks the deciding daemon whether a quarantined request may be sent once.
 	RequestTrial(ctx context.Context, request poison.Key) bool
 }
 
-// refuseQuarantined returns a failure for a request that would end one more target. One that is
-// let through as a trial is not asked about again before it is sent.
+// checkQuarantine returns an error for a quarantined request, unless the request is admitted
+// as a trial. A trial must not be checked again before it is sent.
 func (d *Director) checkQuarantine(ctx context.Context, r *Request) (trial bool, err error) {
 	r.suspected = false
 	if d.Board.Poison.Empty() {
 		return false, nil
 	}
-	standing := d.Board.Poison.Ask(r.poisonKey(), time.Now())
-	r.suspected = standing.Suspected
-	if !standing.Quarantined {
+	status := d.Board.Poison.Ask(r.poisonKey(), time.Now())
+	r.suspected = status.Suspected
+	if !status.Quarantined {
 		return false, nil
 	}
-	if standing.TrialDue && d.requestTrial(ctx, r.poisonKey()) {
+	if status.TrialDue && d.requestTrial(ctx, r.poisonKey()) {
 		d.record(r, decision.Record{
 			Kind: decision.KindAdmit, Outcome: decision.OutcomeAdmitted, CallKey: r.poisonKey().String(), Reason: "a quarantined call is tried once more",
 		})
 		return true, nil
 	}
-	refusal := fault.New(fault.CrashesTargets, "target after target has ended under this request, so it is sent to no other one",
-		"do not send it again as it is; operators find the targets in the log by the field call").WithRetry(standing.RetryAfter)
+	refusal := fault.New(fault.CrashesTargets, "several targets crashed while running this request, so it is not sent to another one",
+		"do not send it again unchanged; operators find the targets in the log by the field call").WithRetry(status.RetryAfter)
 	d.record(r, decision.Record{
 		Kind: decision.KindAdmit, Outcome: decision.OutcomeRefused, CallKey: r.poisonKey().String(), Reason: refusal.Error(),
 	})
 	return false, refusal
 }
 
-// mayTry asks for the one trial of a request that is due.
+// requestTrial reports whether this daemon may send a quarantined request as a trial.
 func (d *Director) requestTrial(ctx context.Context, k poison.Key) bool {
 	if d.CrashReporter == nil {
 		return d.Board.Poison.Try(k, time.Now())
@@ -61,7 +61,7 @@
 	return d.CrashReporter.RequestTrial(ctx, k)
 }
 
-// giveBack returns a placement that is not used.
+// releasePlacement releases a placement that is not used.
 func (d *Director) releasePlacement(r *Request, p *blackboard.Placement) {
 	d.Board.Targets.Finish(p.Attempt, blackboard.CallCancelled, time.Now())
 	if d.Placer != nil {
@@ -70,16 +70,16 @@
 	d.Board.Queues.Wake(r.Route.Pool.Name)
 }
 
-// smallRequestSize is the size, in bytes, up to which the key of each answered request is worked
-// out. Larger ones are prompts that no two callers share, and hashing them costs milliseconds.
+// smallRequestSize is the size, in bytes, up to which the poison key of every answered request is
+// computed. Larger requests are prompts, which callers do not share, and hashing them takes milliseconds.
 const smallRequestSize = 64 << 10
 
-// errQuarantined ends a send whose request has been quarantined meanwhile: it may still wait at
-// its target, which drops it when the connection closes.
-var errQuarantined = errors.New("the call was found to end its targets")
+// errQuarantined cancels a send whose request was quarantined after it was sent. The request may
+// still be queued at its target, which drops it when the connection closes.
+var errQuarantined = errors.New("the call was quarantined because it crashed its targets")
 
-// watchForQuarantine ends a send under way if its request is quarantined. The function that it
-// returns ends the watch.
+// cancelOnQuarantine calls cancel if the request is quarantined while its send is in progress. The
+// returned function must be called when the send has ended.
 func (d *Director) cancelOnQuarantine(r *Request, cancel context.CancelCauseFunc) func() {
 	if r.payloadSize() > smallRequestSize && d.Board.Poison.Empty() {
 		return func() {}
@@ -87,7 +87,7 @@
 	return d.Board.Poison.Sent(r.poisonKey(), func() { cancel(errQuarantined) })
 }
 
-// noteAnswered notes that a target has lived through a request.
+// recordSuccess records that a target survived a request.
 func (d *Director) recordSuccess(r *Request) {
 	if r.payloadSize() > smallRequestSize && d.Board.Poison.Empty() {
 		return
@@ -97,21 +97,21 @@
 	}
 }
 
-// noteFailed notes a target's end if that is how a send failed.
+// recordCrash records a crash of the target if the send failed because its connection ended.
 func (d *Director) recordCrash(r *Request, id string, err error) {
 	if !target.ConnectionEnded(err) {
 		return
 	}
 	d.Recorder.Metrics.Crashes.WithLabelValues(r.Route.Pool.Name).Inc()
 	crash := poison.Crash{Request: r.poisonKey(), Target: id, Suspected: r.suspected}
-	found := d.Board.Poison.Crashed(crash, time.Now())
-	if d.CrashReporter == nil || !found.Counted {
+	result := d.Board.Poison.Crashed(crash, time.Now())
+	if d.CrashReporter == nil || !result.Counted {
 		return
 	}
 	d.CrashReporter.NotifyCrash(crash)
-	if found.Quarantined {
+	if result.Quarantined {
 		d.Recorder.Log.Warn("a call is quarantined", "request", r.ID, "call", r.poisonKey().String(), "pool", r.Route.Pool.Name,
-			"target", id, "count", found.Verdict.Count, "reason", fmt.Sprintf("the last of several targets ended under it: %v", err))
-		d.CrashReporter.BroadcastVerdict(found.Verdict)
+			"target", id, "count", result.Verdict.Count, "reason", fmt.Sprintf("the last of several targets crashed while running it: %v", err))
+		d.CrashReporter.BroadcastVerdict(result.Verdict)
 	}
 }
--- a/node/requestcontrol/relay.go
+++ b/node/requestcontrol/relay.go
@@ -11,22 +11,22 @@
 	"github.com/go-faster/errors"
 )
 
-// maxEventSize bounds an event of a stream; relayBufferSize is what is read at once.
+// maxEventSize bounds an event of a stream, and relayBufferSize one read, in bytes.
 const (
 	maxEventSize    = 1 << 20
 	relayBufferSize = 4 << 10
 )
 
-// relay gives a stream's events to the caller as they come, whole ones only. It
-// returns nil when the stream has come to its end.
+// relay delivers a stream's events to the caller as they arrive, complete ones only.
+// It returns nil at the end of the stream.
 func (f *forwarding) relay(reply *target.Reply, p *blackboard.Placement) error {
 	splitter := eventstream.Splitter{MaxEvent: maxEventSize}
 	splitter.ResumeAfter(f.lastEventID)
-	give := func(e eventstream.Event) error { return f.deliverEvent(e, reply, p) }
+	deliver := func(e eventstream.Event) error { return f.deliverEvent(e, reply, p) }
 	buffer := make([]byte, relayBufferSize)
 	for {
 		n, err := reply.Body.Read(buffer)
-		if pushErr := splitter.Push(buffer[:n], give); pushErr != nil {
+		if pushErr := splitter.Push(buffer[:n], deliver); pushErr != nil {
 			return pushErr
 		}
 		if err == nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-// begin sends the head of the first run's answer, once.
+// startAnswer sends the answer's head to the caller, unless an earlier attempt has sent one.
 func (f *forwarding) startAnswer(reply *target.Reply) {
 	if f.progress.AnswerStarted {
 		return
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// clock takes the time of an event.
+// recordEventTime updates the time to the first event or the longest gap.
 func (f *forwarding) recordEventTime(now time.Time) {
 	if f.eventCount == 0 {
 		r := f.request
@@ -79,7 +79,7 @@
 	f.lastEventAt = now
 }
 
-// promptRead books, once for each attempt, that the target has read the prompt.
+// recordPrefillDone records, once per attempt, that the target has prefilled the prompt.
 func (f *forwarding) recordPrefillDone(p *blackboard.Placement) {
 	if f.prefilledAttempt == p.Attempt {
 		return
--- a/node/requestcontrol/request.go
+++ b/node/requestcontrol/request.go
@@ -1,6 +1,7 @@
-// Package requestcontrol takes a request from admission to its answer: limits,
-// estimate, claim, queue, target, stream, retry. Director reads top to bottom in
-// that order.
+// Package requestcontrol takes a request from admission to its answer: account
+// limits, queue estimate, idempotency claim, placement on a target, answer stream,
+// retries. Its inputs are the request, the settings that apply to it and the daemon's
+// shared state; the API servers call it through Director.
 package requestcontrol
 
 import (
@@ -12,42 +13,42 @@
 	"doorstack.dev/node/target"
 )
 
-// Request is a request of a caller, resolved against one settings revision that
-// it keeps to its end.
+// Request is a caller's request. It is resolved against one settings revision and
+// keeps that revision until it ends.
 type Request struct {
-	// ID is the request id that callers and operators know it by.
+	// ID is the request id shown to callers and operators.
 	ID string
-	// Account and Route say who asks for what.
+	// Account is the caller's account, Route the requested route.
 	Account *settings.ClientAccount
 	Route   *settings.ResolvedRoute
 	// Revision is the settings revision.
 	Revision int64
-	// Arrived and Deadline bound its life.
+	// Arrived is the arrival time; the request ends by Deadline.
 	Arrived, Deadline time.Time
 	// IdempotencyKey is the caller's key, or empty.
 	IdempotencyKey string
-	// Prompt and MaxTokens are for model engines.
+	// Prompt and MaxTokens are set for model engines.
 	Prompt    string
 	MaxTokens int64
-	// Call is for plain services.
+	// ServiceCall is set for plain services.
 	ServiceCall *target.ServiceCall
-	// Forward is for calls that are passed on unchanged; Path is their route.
+	// Forward is set for calls that are forwarded unchanged; Path is their path settings.
 	Forward *forward.Message
 	Path    *settings.ResolvedPath
-	// LastEvent is the last event of the stream that the caller has already.
+	// LastEventID is the id of the last event that the caller received from the stream.
 	LastEventID string
 
 	promptTokens    int64
 	prefixes        []uint64
 	cachedPoisonKey *poison.Key
-	// suspected means that a target had ended under the request when it was last sent.
+	// suspected reports that a target had already crashed under this request when it was last sent.
 	suspected bool
-	// begun means that the caller has a part of the answer.
+	// answerStarted reports that the caller has received a part of the answer.
 	answerStarted bool
 }
 
-// poisonKey names what the request asks for. It is worked out when it is first needed: a
-// prompt of a million tokens takes some milliseconds.
+// poisonKey identifies the request's content. It is computed on first use only: hashing a
+// prompt of a million tokens takes a few milliseconds.
 func (r *Request) poisonKey() poison.Key {
 	if r.cachedPoisonKey == nil {
 		k := r.computePoisonKey()
@@ -56,7 +57,7 @@
 	return *r.cachedPoisonKey
 }
 
-// size is the length of the request's body or prompt, in bytes.
+// payloadSize returns the length of the request's body or prompt in bytes.
 func (r *Request) payloadSize() int {
 	switch {
 	case r.Forward != nil:
@@ -81,13 +82,14 @@
 	}
 }
 
-// SetPromptTokens sets the length that the caller states.
+// SetPromptTokens sets the prompt length stated by the caller.
 func (r *Request) SetPromptTokens(n int64) { r.promptTokens = n }
 
-// PromptTokens is the estimated length of the prompt; zero for plain services.
+// PromptTokens returns the prompt length, estimated unless the caller stated it. It is zero
+// for plain services.
 func (r *Request) PromptTokens() int64 { return r.promptTokens }
 
-// goal is the time to the first event that the route asks for, or zero.
+// firstEventGoal returns the route's goal for the time to the first event, or zero.
 func (r *Request) firstEventGoal() time.Duration {
 	if r.Path == nil {
 		return 0
@@ -95,7 +97,7 @@
 	return r.Path.Goal
 }
 
-// gapGoal is the longest pause between two events that the route asks for, or zero.
+// gapGoal returns the route's goal for the longest gap between two events, or zero.
 func (r *Request) gapGoal() time.Duration {
 	if r.Path == nil {
 		return 0
@@ -103,7 +105,7 @@
 	return r.Path.GapGoal
 }
 
-// patience is how long a target may say nothing.
+// silenceTimeouts returns how long a target may send nothing.
 func (r *Request) silenceTimeouts() forward.SilenceTimeouts {
 	if r.Path != nil && r.Path.Kind == settings.CallStreaming {
 		return forward.StreamTimeouts(r.firstEventGoal(), r.gapGoal())
@@ -111,7 +113,7 @@
 	return forward.PlainTimeouts(r.firstEventGoal())
 }
 
-// prepare works out what routing needs from the prompt, once.
+// preparePrompt computes the prompt's token estimate and prefix hashes for routing.
 func (r *Request) preparePrompt() {
 	if r.ServiceCall != nil || r.Forward != nil {
 		return
@@ -125,12 +127,12 @@
 	Token(index int64, text string) error
 }
 
-// GenerateResult is the end of a whole answer.
+// GenerateResult describes a complete answer of a model engine.
 type GenerateResult struct {
-	// Tokens is the number of tokens given.
+	// Tokens is the number of tokens delivered.
 	Tokens int64
-	// FinishReason is the engine's.
+	// FinishReason is the finish reason given by the engine.
 	FinishReason string
-	// FirstToken is the time from arrival to the first token.
+	// TimeToFirstToken is the time from the request's arrival to its first token.
 	TimeToFirstToken time.Duration
 }
--- /dev/null
+++ b/node/requestcontrol/reservations.go
@@ -0,0 +1,169 @@
+package requestcontrol
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"sync"
+	"time"
+
+	"doorstack.dev/core/decision"
+	"doorstack.dev/core/fault"
+	"doorstack.dev/core/forward"
+	"doorstack.dev/node/blackboard"
+	"doorstack.dev/node/target"
+	"github.com/go-faster/errors"
+)
+
+// Memory is reserved at helpers for a prompt that exceeds one target's memory. It is
+// reserved before the call is sent, all or nothing, renewed while the call runs, and
+// released however the call ends. The reservations of a daemon that died expire soon
+// after: a target may hold unused memory for at most 4 s.
+const (
+	reservationTTL           = 2500 * time.Millisecond
+	reservationRenewInterval = 800 * time.Millisecond
+	// reservationCallTimeout bounds a reserve or release message, which targets answer immediately.
+	reservationCallTimeout = 500 * time.Millisecond
+	// maxReleaseAttempts bounds how often an unsuccessful release is sent.
+	maxReleaseAttempts = 3
+)
+
+// heldReservations is the memory reserved at helpers for one attempt.
+type heldReservations struct {
+	director     *Director
+	request      *Request
+	reservations []heldReservation
+	stop         context.CancelFunc
+	renewing     sync.WaitGroup
+	// refusedBy is the address of the target that did not reserve its memory, if any.
+	refusedBy string
+}
+
+// heldReservation is the memory reserved at one helper.
+type heldReservation struct {
+	id, target, address string
+	tokens              int64
+}
+
+// reservationID returns the id of the memory that an attempt reserves at a helper, or an empty
+// string if it reserves none there.
+func reservationID(p *blackboard.Placement, helper string) string {
+	for _, reservation := range p.Decision.Reservations {
+		if reservation.Target == helper {
+			return p.Attempt
+		}
+	}
+	return ""
+}
+
+// reserveMemory reserves the memory that the placement requires, all or nothing, and keeps it
+// renewed until release. The result is never nil; after an error it names the refusing target.
+func (d *Director) reserveMemory(ctx context.Context, r *Request, p *blackboard.Placement) (*heldReservations, error) {
+	held := &heldReservations{director: d, request: r, stop: func() {}}
+	for _, planned := range p.Decision.Reservations {
+		reservation := heldReservation{id: p.Attempt, target: planned.Target, address: helperAddress(p, planned.Target), tokens: planned.Tokens}
+		held.reservations = append(held.reservations, reservation)
+		if err := held.reserve(ctx, &reservation); err != nil {
+			held.release(ctx)
+			held.record("refused", fmt.Sprintf("%d tokens at %s: %v", planned.Tokens, planned.Target, err), p.Attempt)
+			held.refusedBy = reservation.address
+			return held, &target.CallError{Execution: fault.NotRun, Err: errors.Wrap(err, "reserve memory at "+planned.Target)}
+		}
+	}
+	if len(held.reservations) == 0 {
+		return held, nil
+	}
+	held.record("reserved", fmt.Sprintf("%d reservations for a prompt of %d tokens", len(held.reservations), r.promptTokens), p.Attempt)
+	renewing, stop := context.WithCancel(ctx)
+	held.stop = stop
+	held.renewing.Go(func() { held.renew(renewing) })
+	return held, nil
+}
+
+// helperAddress returns the address of a placement's helper, or an empty string.
+func helperAddress(p *blackboard.Placement, id string) string {
+	for _, h := range p.Helpers {
+		if h.ID == id {
+			return h.Address
+		}
+	}
+	return ""
+}
+
+func (h *heldReservations) record(outcome, reason, attempt string) {
+	h.director.record(h.request, decision.Record{Kind: decision.KindGroup, Outcome: outcome, Attempt: attempt, Reason: reason})
+}
+
+func (h *heldReservations) reserve(ctx context.Context, r *heldReservation) error {
+	return h.send(ctx, r, h.director.Exchanger.Dialect.Reserve(r.target, r.id, r.tokens, reservationTTL))
+}
+
+// renew renews the reservations until the call has ended. A failed renewal is only
+// logged: the target aborts the call if a reservation expires.
+func (h *heldReservations) renew(ctx context.Context) {
+	ticker := time.NewTicker(reservationRenewInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		for i := range h.reservations {
+			if err := h.reserve(ctx, &h.reservations[i]); err != nil && ctx.Err() == nil {
+				h.director.Recorder.Log.Warn("memory reservation could not be renewed", "request", h.request.ID,
+					"target", h.reservations[i].target, "error", err.Error())
+			}
+		}
+	}
+}
+
+// release releases all memory, also after the caller has disconnected. It runs in the
+// background, so that it does not delay the answer.
+func (h *heldReservations) release(ctx context.Context) {
+	h.stop()
+	if len(h.reservations) == 0 {
+		return
+	}
+	ctx = context.WithoutCancel(ctx)
+	go func() {
+		h.renewing.Wait() // A renewal in progress must not follow the release.
+		for i := range h.reservations {
+			h.releaseOne(ctx, &h.reservations[i])
+		}
+	}()
+}
+
+func (h *heldReservations) releaseOne(ctx context.Context, r *heldReservation) {
+	var err error
+	for range maxReleaseAttempts {
+		if err = h.send(ctx, r, h.director.Exchanger.Dialect.Release(r.target, r.id)); err == nil {
+			return
+		}
+	}
+	h.director.Recorder.Log.Warn("memory reservation could not be released and will expire", "request", h.request.ID,
+		"target", r.target, "after", reservationTTL.String(), "error", err.Error())
+}
+
+// send sends a reserve or release message to a helper and returns an error unless the helper
+// carried it out.
+func (h *heldReservations) send(ctx context.Context, r *heldReservation, message forward.Message) error {
+	ctx, cancel := context.WithTimeout(ctx, reservationCallTimeout)
+	defer cancel()
+	exchanger := h.director.Exchanger
+	reply, err := exchanger.Send(ctx, r.address, &message)
+	if err != nil {
+		return err
+	}
+	h.director.Recorder.Notice(h.request.Route.Pool.Name, r.target, reply.TargetNotice(), reply.Sent)
+	_, err = bufferAnswer(reply)
+	exchanger.Close(reply)
+	if err != nil {
+		return err
+	}
+	h.director.Recorder.Metrics.Orders.WithLabelValues(fmt.Sprint(reply.Status)).Inc()
+	if reply.Status != http.StatusOK {
+		return errors.New(fmt.Sprintf("the target answered %d", reply.Status))
+	}
+	return nil
+}
--- a/node/requestcontrol/service.go
+++ b/node/requestcontrol/service.go
@@ -12,8 +12,8 @@
 	"github.com/go-faster/errors"
 )
 
-// Service runs a call of a plain service and returns its whole answer. A call
-// that may not be repeated is sent once; with an idempotency key it is claimed
+// CallService runs a call of a plain service and returns its complete answer. A call
+// that may not be repeated is sent once; if it has an idempotency key it is claimed
 // first, so that no other daemon sends it either.
 func (d *Director) CallService(ctx context.Context, r *Request) (*target.ServiceAnswer, error) {
 	done, err := d.admit(ctx, r)
@@ -28,6 +28,7 @@
 	return answer, err
 }
 
+// claimAndCall claims the call if that is required, sends it and records the outcome of the claim.
 func (d *Director) claimAndCall(ctx context.Context, r *Request) (*target.ServiceAnswer, error) {
 	if r.Route.Repeatable || r.IdempotencyKey == "" {
 		return d.callWithRetries(ctx, r, nil)
@@ -40,14 +41,14 @@
 		Region:    d.Board.Self.Region,
 		Deadline:  r.Deadline,
 	}
-	slept := d.SuspendedTime()
+	suspended := d.SuspendedTime()
 	permit, err := d.Claimer.Claim(ctx, claim)
 	d.recordClaim(r, claim, permit, err)
 	if err != nil {
 		return duplicateAnswer(err)
 	}
 	claim.Attempt = permit.Attempt
-	permit.SuspendedAtClaim = slept
+	permit.SuspendedAtClaim = suspended
 	answer, err := d.callWithRetries(ctx, r, permit)
 	outcome := blackboard.Outcome{Execution: fault.Ran, Answer: answer}
 	if err != nil {
@@ -57,9 +58,9 @@
 	return answer, err
 }
 
-// beforeClaim corrects a refusal of a call whose key has not been claimed: this
-// call was not sent, but an earlier one with the same key may have been, and the
-// caller would take "not run" to be said of both.
+// errorBeforeClaim corrects the execution state of a call that was refused before its
+// key was claimed. This call was not sent, but an earlier call with the same key may
+// have been, and the caller would take "not run" to apply to both.
 func (r *Request) errorBeforeClaim(err error) error {
 	e := fault.From(err)
 	if r.IdempotencyKey == "" || r.Route.Repeatable || e.Execution != fault.NotRun {
@@ -68,7 +69,8 @@
 	return e.WithExecution(fault.Unknown)
 }
 
-// duplicateAnswer turns an earlier call's outcome into this call's answer.
+// duplicateAnswer returns the answer of the earlier call if err is a *DuplicateError that has
+// one, and otherwise an error.
 func duplicateAnswer(err error) (*target.ServiceAnswer, error) {
 	var duplicate *DuplicateError
 	if !errors.As(err, &duplicate) {
@@ -79,16 +81,18 @@
 	}
 	return nil, fault.New(fault.DuplicateKey,
 		"an earlier call used this idempotency key and its answer is not known",
-		"find out at the service whether it ran; use a new key only if it did not").
+		"check at the service whether it ran; use a new key only if it did not").
 		WithExecution(duplicate.Outcome.Execution)
 }
 
+// callWithRetries places and sends the call, and retries it as far as that is allowed. permit is
+// nil for a call that is not claimed.
 func (d *Director) callWithRetries(ctx context.Context, r *Request, permit *Permit) (*target.ServiceAnswer, error) {
-	var exclude []string
+	var excluded []string
 	sent := false
 	for attempts := 1; ; attempts++ {
 		attempt := NewAttemptID()
-		placement, err := d.place(ctx, r, attempt, attempts > 1, exclude)
+		placement, err := d.place(ctx, r, attempt, attempts > 1, excluded)
 		if err != nil {
 			return nil, executionAfterSend(fault.From(err), sent)
 		}
@@ -101,11 +105,12 @@
 		if !d.mayRetry(ctx, r, attempts, err) {
 			return nil, executionAfterSend(d.errorForCaller(ctx, r, err), sent)
 		}
-		exclude = append(exclude, placement.Decision.Chosen)
+		excluded = append(excluded, placement.Decision.Chosen)
 	}
 }
 
-// executionAfterSend keeps a later attempt from claiming that nothing ran.
+// executionAfterSend replaces the execution state "not run" of a later attempt by "unknown" if an
+// earlier attempt was sent.
 func executionAfterSend(e *fault.Error, sent bool) *fault.Error {
 	if sent && e.Execution == fault.NotRun {
 		return e.WithExecution(fault.Unknown)
@@ -113,8 +118,8 @@
 	return e
 }
 
-// sendService sends the call. The permit is looked at last thing before: a process that was
-// paused, or whose host slept, since it got the permit must not act on it.
+// sendServiceCall sends the call. It checks the permit immediately before, since the process may
+// have been paused, or its host suspended, until after the permit had expired.
 func (d *Director) sendServiceCall(ctx context.Context, r *Request, permit *Permit, p blackboard.Placement) (*target.ServiceAnswer, error) {
 	call := *r.ServiceCall
 	call.Header = r.ServiceCall.Header.Clone()
@@ -123,8 +128,8 @@
 	}
 	if permit != nil && permit.expired(time.Now(), d.SuspendedTime()) {
 		return nil, fault.New(fault.NoQuorum,
-			"the permit to send this call ended before it could be sent",
-			"send again with the same key").WithRetry(0)
+			"the permit to send this call expired before it was sent",
+			"retry with the same key").WithRetry(0)
 	}
 	return d.Targets.Service(ctx, p.Address, &call)
 }
--- a/node/requestcontrol/silence.go
+++ b/node/requestcontrol/silence.go
@@ -11,45 +11,45 @@
 	"github.com/go-faster/errors"
 )
 
-// errSilent ends an attempt whose target has said nothing for too long.
-var errSilent = errors.New("the target fell silent")
+// errSilent cancels an attempt whose target sent nothing for too long.
+var errSilent = errors.New("the target sent nothing for too long")
 
-// unusedReservationTimeout is how long a call may wait for the first event of an answer that uses
-// memory set aside at helpers. Such memory keeps others out, and the users' bound for
-// memory that nobody uses is 9 s; setting it aside and releasing it take up to 1 s each.
+// unusedReservationTimeout bounds the wait for the first event of an answer that uses memory
+// reserved at helpers. Reserved memory is unavailable to other calls, and users require that it
+// is held unused for at most 9 s; reserving and releasing it take up to 1 s each.
 const unusedReservationTimeout = 7 * time.Second
 
-// maxRepeatPrefillSeconds is the reading time, in seconds, up to which a prompt is read a second time
-// because a target is silent. A longer one takes from others more than its caller gains,
-// whose answer would be late.
+// maxRepeatPrefillSeconds is the prefill time up to which a prompt is sent to a second target
+// because the first is silent. A longer prefill costs other callers more than this caller gains,
+// whose answer would be late anyway.
 const maxRepeatPrefillSeconds = 1.0
 
-// probesConnection tells whether an attempt's connection is probed while its target is silent: one that
-// has memory set aside at helpers renews it for as long as it waits, and nothing else tells it
-// that its target has lost power. Without such memory no one suffers from the wait but the
-// caller, and a second reading of the prompt would take from others.
+// probesConnection reports whether an attempt's connection is probed while its target is silent.
+// An attempt with memory reserved at helpers renews the reservations for as long as it waits, and
+// only a probe can detect that its target's host lost power. Without reservations the wait affects
+// the caller alone, and a second prefill would cost other callers.
 func probesConnection(p *blackboard.Placement) bool {
 	return len(p.Decision.Reservations) > 0
 }
 
-// silenceWatch watches one attempt and cancels it when its target has been silent for longer
-// than the route's goals explain, if the call may then go to another target. Where it may
-// not, the target's silence ends nothing: the answer may still come.
+// silenceWatch cancels an attempt whose target has been silent for longer than the timeouts that
+// follow from the route's goals, if the call may be sent to another target or holds memory at
+// helpers. Any other attempt continues, as the answer may still arrive.
 type silenceWatch struct {
 	forwarding *forwarding
 	timeouts   forward.SilenceTimeouts
 	cancel     context.CancelCauseFunc
-	// mu guards the timer against a run of tooLong that ends after the attempt.
+	// mu guards the timer against an onTimeout that runs after the end of the attempt.
 	mu    sync.Mutex
-	timer *time.Timer // nil where nothing is watched, or no longer
-	// mustEnd ends the attempt also where the call may not go elsewhere.
+	timer *time.Timer // nil if the attempt is not watched, or has ended
+	// mustEnd cancels the attempt even if the call may not be sent to another target.
 	mustEnd bool
-	// another tells whether the rules allow one more send after this one.
+	// mayRepeat reports whether the rules allow another send after this one.
 	mayRepeat bool
 }
 
-// watch begins to watch an attempt. The context that it returns ends when the target has
-// been silent for too long.
+// watchSilence starts watching an attempt. The returned context is cancelled when the target
+// has been silent for too long.
 func (f *forwarding) watchSilence(ctx context.Context, p *blackboard.Placement) (context.Context, *silenceWatch) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	s := &silenceWatch{
@@ -72,8 +72,8 @@
 	return ctx, s
 }
 
-// cancelWhenGone ends the patience with a target whose process has ended and started anew: its
-// connection may stay open, and nothing comes over it.
+// endWhenGone handles a target whose process ended or restarted like a timeout: its connection
+// may stay open without delivering anything.
 func (s *silenceWatch) endWhenGone(ctx context.Context, gone <-chan struct{}) {
 	select {
 	case <-gone:
@@ -82,7 +82,7 @@
 	}
 }
 
-// heard notes an event of the answer.
+// eventReceived restarts the timeout after an event of the answer.
 func (s *silenceWatch) eventReceived() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,12 +96,12 @@
 	s.timer.Reset(s.timeouts.BetweenEvents)
 }
 
-// tooLong runs when the patience with the target is at its end.
+// onTimeout runs when the target has been silent for too long.
 func (s *silenceWatch) onTimeout() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.timer == nil {
-		return // The attempt has ended meanwhile.
+		return // The attempt has ended.
 	}
 	f := s.forwarding
 	d := f.director
@@ -114,18 +114,18 @@
 		s.cancelAttempt()
 		return
 	}
-	s.timer.Reset(s.timeouts.FirstEvent) // The fleet's budget may have room later.
+	s.timer.Reset(s.timeouts.FirstEvent) // The fleet's repeat budget may allow a send later.
 }
 
-// end cancels the attempt.
+// cancelAttempt cancels the attempt and counts it.
 func (s *silenceWatch) cancelAttempt() {
 	f := s.forwarding
 	f.director.Recorder.Metrics.Silent.WithLabelValues(f.request.Route.Pool.Name).Inc()
 	s.cancel(errSilent)
 }
 
-// stop ends the watch; err is how the attempt ended. It returns errSilent or errQuarantined in
-// its place where that was the cause. The attempt's context goes on until release.
+// stop ends the watch of an attempt that ended with err. It returns err, wrapped as errSilent or
+// errQuarantined if that was the cause. The attempt's context remains valid until release.
 func (s *silenceWatch) stop(ctx context.Context, err error) error {
 	s.mu.Lock()
 	if s.timer != nil {
@@ -138,11 +138,11 @@
 	case errors.Is(cause, errQuarantined):
 		err = errors.Wrap(errQuarantined, err.Error())
 	case errors.Is(cause, errSilent):
-		err = errors.Wrap(errSilent, fmt.Sprintf("%v; bounds %v to the first event, %v between two", err, s.timeouts.FirstEvent, s.timeouts.BetweenEvents))
+		err = errors.Wrap(errSilent, fmt.Sprintf("%v; timeouts %v to the first event, %v between events", err, s.timeouts.FirstEvent, s.timeouts.BetweenEvents))
 	}
 	return err
 }
 
-// release ends the attempt's context. It comes after the answer was closed: a connection
-// whose context has ended is not kept.
+// release cancels the attempt's context. It must be called after the answer was closed, since a
+// connection whose context has ended is not reused.
 func (s *silenceWatch) release() { s.cancel(nil) }
--- a/node/requestcontrol/silence_test.go
+++ b/node/requestcontrol/silence_test.go
@@ -17,7 +17,7 @@
 	"github.com/go-faster/errors"
 )
 
-// newTestForwarding is a call with the goals of a chat, under way at its first target.
+// newTestForwarding returns a streaming call in progress at its first target, with the goals of a chat.
 func newTestForwarding(rules forward.Rules, budget float64) *forwarding {
 	board := blackboard.New(blackboard.Identity{Name: "d1"}, blackboard.Limits{})
 	board.Repeats.SetLimit(admission.RepeatLimit{Slack: budget, Window: 10 * time.Second})
@@ -33,110 +33,112 @@
 
 var twoAttempts = forward.Rules{Repeatable: true, MaxAttempts: 2}
 
-// timeToSilence is the time until an attempt is ended for its target's silence; it is the
-// limit where that does not happen.
-func timeToSilence(f *forwarding, p *blackboard.Placement, limit time.Duration, play func(*silenceWatch)) time.Duration {
-	began := time.Now()
+// timeToSilence returns the time until a watched attempt is cancelled, at most limit. It runs
+// events concurrently.
+func timeToSilence(f *forwarding, p *blackboard.Placement, limit time.Duration, events func(*silenceWatch)) time.Duration {
+	start := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	watched, s := f.watchSilence(ctx, p)
-	go play(s)
-	<-watched.Done()
-	took := time.Since(began)
-	_ = s.stop(watched, io.ErrUnexpectedEOF)
+	attemptCtx, watch := f.watchSilence(ctx, p)
+	go events(watch)
+	<-attemptCtx.Done()
+	took := time.Since(start)
+	_ = watch.stop(attemptCtx, io.ErrUnexpectedEOF)
 	return took
 }
 
 func noEvents(*silenceWatch) {}
 
+// TestSilentTargetEndsAttempt: an attempt is cancelled after its target's silence only if the call
+// may be sent again, the repeat budget allows it and the prompt is short enough.
 func TestSilentTargetEndsAttempt(t *testing.T) {
 	const never = 10 * time.Second
 	first := forward.StreamTimeouts(300*time.Millisecond, 250*time.Millisecond).FirstEvent
-	pause := forward.StreamTimeouts(300*time.Millisecond, 250*time.Millisecond).BetweenEvents
+	gap := forward.StreamTimeouts(300*time.Millisecond, 250*time.Millisecond).BetweenEvents
 	event := 100 * time.Millisecond
 	for name, c := range map[string]struct {
 		rules   forward.Rules
 		budget  float64
-		reading float64
-		play    func(*silenceWatch)
+		prefill float64
+		events  func(*silenceWatch)
 		want    time.Duration
 	}{
-		"no first event":       {twoAttempts, 100, 0.03, noEvents, first},
-		"a pause":              {twoAttempts, 100, 0.03, func(s *silenceWatch) { <-time.After(event); s.eventReceived() }, event + pause},
-		"no other send":        {forward.Rules{Repeatable: true, MaxAttempts: 1}, 100, 0.03, noEvents, never},
-		"may not be repeated":  {forward.Rules{MaxAttempts: 2}, 100, 0.03, noEvents, never},
-		"no budget of repeats": {twoAttempts, 0, 0.03, noEvents, never},
-		"dear to read again":   {twoAttempts, 100, 3, noEvents, never},
+		"no first event":     {twoAttempts, 100, 0.03, noEvents, first},
+		"gap after an event": {twoAttempts, 100, 0.03, func(s *silenceWatch) { <-time.After(event); s.eventReceived() }, event + gap},
+		"attempts used up":   {forward.Rules{Repeatable: true, MaxAttempts: 1}, 100, 0.03, noEvents, never},
+		"not repeatable":     {forward.Rules{MaxAttempts: 2}, 100, 0.03, noEvents, never},
+		"no repeat budget":   {twoAttempts, 0, 0.03, noEvents, never},
+		"long prefill":       {twoAttempts, 100, 3, noEvents, never},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := &blackboard.Placement{Decision: routing.Decision{PrefillTime: c.reading}}
-				if took := timeToSilence(newTestForwarding(c.rules, c.budget), p, never, c.play); took != c.want {
-					t.Errorf("ended after %v, want %v", took, c.want)
+				p := &blackboard.Placement{Decision: routing.Decision{PrefillTime: c.prefill}}
+				if took := timeToSilence(newTestForwarding(c.rules, c.budget), p, never, c.events); took != c.want {
+					t.Errorf("attempt cancelled after %v, want %v", took, c.want)
 				}
 			})
 		})
 	}
 }
 
-// TestUnusedReservationEndsAttempt: memory that helpers set aside for a call whose target
-// hangs is given back within the users' bound, also where the call may not go elsewhere.
+// TestUnusedReservationEndsAttempt: memory reserved at helpers for a call whose target hangs must
+// be released in time, even if the call may not be sent to another target.
 func TestUnusedReservationEndsAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestForwarding(forward.Rules{Repeatable: true, MaxAttempts: 1}, 0)
 		f.request.Path.Goal = 30 * time.Second
 		p := &blackboard.Placement{Decision: routing.Decision{Reservations: []routing.MemoryReservation{{Target: "h", Tokens: 1}}}}
 		if took := timeToSilence(f, p, 15*time.Second, noEvents); took != unusedReservationTimeout {
-			t.Errorf("ended after %v, want %v", took, unusedReservationTimeout)
+			t.Errorf("attempt cancelled after %v, want %v", took, unusedReservationTimeout)
 		}
 	})
 }
 
-// TestSilenceChargesRepeatBudgetOnce: the budget of repeated sends is asked when the silent target is
-// left, and not a second time before the next send.
+// TestSilenceChargesRepeatBudgetOnce: the repeat budget is charged when the silent target's attempt
+// is cancelled, and must not be charged again before the next send.
 func TestSilenceChargesRepeatBudgetOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestForwarding(twoAttempts, 2) // One repeat: 0.6 of 2.
-		watched, s := f.watchSilence(context.Background(), &blackboard.Placement{})
-		<-watched.Done()
-		err := s.stop(watched, io.ErrUnexpectedEOF)
+		attemptCtx, watch := f.watchSilence(context.Background(), &blackboard.Placement{})
+		<-attemptCtx.Done()
+		err := watch.stop(attemptCtx, io.ErrUnexpectedEOF)
 		if !errors.Is(err, errSilent) {
-			t.Fatal(err)
+			t.Fatalf("stop() = %v, want errSilent", err)
 		}
 		f.progress.RecordFailure(fault.Unknown, true)
 		if !f.mayRetry(context.Background(), err) {
-			t.Error("the repeat that was paid for is not made")
+			t.Error("first mayRetry() = false, want true: the repeat is already charged")
 		}
 		if f.mayRetry(context.Background(), err) {
-			t.Error("a second repeat is made for one payment")
+			t.Error("second mayRetry() = true, want false: the budget is used up")
 		}
 	})
 }
 
-// TestStoppedSilenceWatchDoesNothing: nothing is booked for an attempt that has ended.
+// TestStoppedSilenceWatchDoesNothing: an attempt that has ended must not charge the repeat budget.
 func TestStoppedSilenceWatchDoesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestForwarding(twoAttempts, 100)
-		watched, s := f.watchSilence(context.Background(), &blackboard.Placement{})
-		if err := s.stop(watched, nil); err != nil {
+		attemptCtx, watch := f.watchSilence(context.Background(), &blackboard.Placement{})
+		if err := watch.stop(attemptCtx, nil); err != nil {
 			t.Fatal(err)
 		}
-		s.eventReceived()
+		watch.eventReceived()
 		<-time.After(time.Minute)
-		if f.repeatCharged.Load() || errors.Is(context.Cause(watched), errSilent) {
-			t.Error("the watch goes on after its attempt")
+		if f.repeatCharged.Load() || errors.Is(context.Cause(attemptCtx), errSilent) {
+			t.Error("the silence watch fired after the end of its attempt")
 		}
 	})
 }
 
-// TestRestartedTargetEndsRepeatableAttempt: the connection to a process that ended with its host's power
-// stays open. A call that may go elsewhere does so at once; one that may not waits on, since the
-// clocks of two hosts do not prove that its answer cannot come.
+// TestRestartedTargetEndsRepeatableAttempt: the connection to a process stays open when its host loses
+// power. Once the target has restarted, a repeatable call must be cancelled immediately. Any other call
+// keeps waiting, since comparing two hosts' clocks does not prove that its answer cannot arrive.
 func TestRestartedTargetEndsRepeatableAttempt(t *testing.T) {
 	const limit = 10 * time.Second
 	for name, c := range map[string]struct {
-		rules forward.Rules
-		left  bool
+		rules     forward.Rules
+		cancelled bool
 	}{
 		"repeatable":     {twoAttempts, true},
 		"not repeatable": {forward.Rules{MaxAttempts: 2}, false},
@@ -146,16 +148,16 @@
 				gone := make(chan struct{})
 				close(gone)
 				took := timeToSilence(newTestForwarding(c.rules, 10), &blackboard.Placement{Gone: gone}, limit, noEvents)
-				if left := took < 100*time.Millisecond; left != c.left {
-					t.Errorf("it was left after %v", took)
+				if cancelled := took < 100*time.Millisecond; cancelled != c.cancelled {
+					t.Errorf("attempt ended after %v, want it cancelled immediately: %v", took, c.cancelled)
 				}
 			})
 		})
 	}
 }
 
-// TestProbesConnection: a call that holds memory at other targets must learn of its target's death
-// from the connection; others are left in silence, or wait at little cost.
+// TestProbesConnection: only a call that holds memory at helpers must detect its target's death from
+// the connection. Other calls are ended by the silence timeout, or wait at little cost.
 func TestProbesConnection(t *testing.T) {
 	for name, c := range map[string]struct {
 		in   routing.Decision
@@ -163,10 +165,10 @@
 	}{
 		"short prompt":     {routing.Decision{PrefillTime: 0.03}, false},
 		"long prompt":      {routing.Decision{PrefillTime: 2 * maxRepeatPrefillSeconds}, false},
-		"memory elsewhere": {routing.Decision{PrefillTime: 0.03, Reservations: []routing.MemoryReservation{{Target: "h", Tokens: 1}}}, true},
+		"memory at helper": {routing.Decision{PrefillTime: 0.03, Reservations: []routing.MemoryReservation{{Target: "h", Tokens: 1}}}, true},
 	} {
 		if got := probesConnection(&blackboard.Placement{Decision: c.in}); got != c.want {
-			t.Errorf("%s: probed %v", name, got)
+			t.Errorf("%s: probesConnection() = %v, want %v", name, got, c.want)
 		}
 	}
 }
