--- a/node/worker/worker.go
+++ b/node/worker/worker.go
@@ -1,6 +1,6 @@
-// Package worker is the pool of goroutines that place waiting requests. Each
-// takes the name of a pool of targets whose queue may have work, and offers the
-// queue's requests to the targets.
+// Package worker runs the goroutines that place queued requests on targets. Each
+// worker repeatedly takes the name of a target pool that was marked for dispatch,
+// and dispatches the requests in that pool's queue.
 package worker
 
 import (
@@ -11,18 +11,18 @@
 	"doorstack.dev/node/blackboard"
 )
 
-// Pool is a number of workers over one blackboard.
+// Pool is a fixed number of workers that share one blackboard.
 type Pool struct {
 	Board *blackboard.Blackboard
 	// Size is the number of workers.
 	Size int
 }
 
-// wakeInterval is how often queues are looked at without any event, because reports age
-// and waiting requests move up.
+// wakeInterval is how often all queues are dispatched even without an event, since load
+// reports age and the priority of waiting requests rises.
 const wakeInterval = 50 * time.Millisecond
 
-// Run works until ctx ends.
+// Run runs the workers until ctx ends.
 func (p *Pool) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for range p.Size {
