--- a/node/clock/clock.go
+++ b/node/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock tells how long the host has slept. The steady clock that time.Now carries stands
-// still while a host is suspended, so what counts on ages of a few seconds (leases, permits,
-// reports) has to add that time.
+// Package clock measures how long the host has been suspended. The monotonic clock in time.Now
+// stops while the host is suspended, so code that relies on ages of a few seconds (leases, permits,
+// load reports) has to add that time.
 package clock
 
 import (
@@ -9,20 +9,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// SuspendedTime is for how long the host has slept since it booted. It never falls. A kernel that does
-// not tell counts as one that never sleeps.
+// SuspendedTime returns the total time that the host was suspended since it booted, or zero if the
+// kernel does not report it. It never decreases by more than the time between its two clock reads.
 func SuspendedTime() time.Duration {
-	// The steady clock is read first: a pause between the two reads makes the sleep seem longer,
-	// which ends a belief too soon, not too late.
-	steady, err := readClock(unix.CLOCK_MONOTONIC)
+	// The monotonic clock is read first: a delay between the two reads then makes the suspended
+	// time appear longer, so that leases and permits expire too early rather than too late.
+	monotonic, err := readClock(unix.CLOCK_MONOTONIC)
 	if err != nil {
 		return 0
 	}
-	all, err := readClock(unix.CLOCK_BOOTTIME)
+	sinceBoot, err := readClock(unix.CLOCK_BOOTTIME)
 	if err != nil {
 		return 0
 	}
-	return max(0, all-steady)
+	return max(0, sinceBoot-monotonic)
 }
 
 func readClock(id int32) (time.Duration, error) {
--- a/node/clock/clock_test.go
+++ b/node/clock/clock_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// TestSuspendedTimeIsConstantWhileAwake: two reads while the test runs differ by the time between
-// the reads of the two clocks at most.
+// TestSuspendedTimeIsConstantWhileAwake: while the host is awake, two results may differ at most by
+// the time between the reads of the two clocks.
 func TestSuspendedTimeIsConstantWhileAwake(t *testing.T) {
-	began := time.Now()
+	start := time.Now()
 	before := SuspendedTime()
 	after := SuspendedTime()
-	if took := time.Since(began); after-before > took || before-after > took {
-		t.Errorf("the host slept for %v in %v", after-before, took)
+	if took := time.Since(start); after-before > took || before-after > took {
+		t.Errorf("SuspendedTime() changed by %v within %v", after-before, took)
 	}
 }
