--- a/node/sock/sock.go
+++ b/node/sock/sock.go
@@ -1,4 +1,4 @@
-// Package sock looks at open connections without reading from them.
+// Package sock inspects open connections without reading from them.
 package sock
 
 import (
@@ -6,22 +6,22 @@
 	"syscall"
 )
 
-// State is what the system knows of the receiving side of a connection.
+// State is the state of a connection's receiving side, as the kernel reports it.
 type State int
 
 // The states of a connection.
 const (
-	// Quiet connections are open, and nothing waits to be read.
+	// Idle connections are open and have no bytes to read.
 	Idle State = iota
-	// Readable connections have bytes that wait.
+	// Readable connections have bytes to read.
 	Readable
-	// Ended connections were closed or reset by the other side, and all that it sent before
-	// a close has been read.
+	// Closed connections were closed by the peer, with all of its bytes read, or reset by the
+	// peer, or closed on this side.
 	Closed
 )
 
-// Peek looks at a connection at once, also while another goroutine reads from it. What cannot
-// be looked at counts as Readable: only a read tells more.
+// Peek returns the state of a connection without blocking, also while another goroutine reads from
+// it. A connection that cannot be inspected counts as Readable: only a read can find out more.
 func Peek(conn net.Conn) State {
 	c, ok := conn.(syscall.Conn)
 	if !ok {
@@ -32,10 +32,11 @@
 		return Closed
 	}
 	state := Readable
-	// Control, not Read: a Read waits for the reader that net/http keeps on a connection.
+	// Control is used instead of Read, which would wait for the reader that net/http keeps on a
+	// connection.
 	err = raw.Control(func(fd uintptr) { state = peekFD(int(fd)) })
 	if err != nil {
-		return Closed // It is closed on this side.
+		return Closed // The connection is closed on this side.
 	}
 	return state
 }
--- a/node/sock/sock_test.go
+++ b/node/sock/sock_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// tcpPair opens a connection over loopback and returns both of its ends.
+// tcpPair opens a TCP connection over loopback and returns both of its ends.
 func tcpPair(t *testing.T) (near, far *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -27,7 +27,7 @@
 	return accepted.(*net.TCPConn), dialled.(*net.TCPConn)
 }
 
-// waitForState waits until a connection is in a state.
+// waitForState waits until Peek returns a state for a connection.
 func waitForState(t *testing.T, conn net.Conn, want State) {
 	t.Helper()
 	deadline := time.After(10 * time.Second)
@@ -36,18 +36,18 @@
 	for Peek(conn) != want {
 		select {
 		case <-deadline:
-			t.Fatalf("the state is %d, want %d", Peek(conn), want)
+			t.Fatalf("Peek() = %d, want %d", Peek(conn), want)
 		case <-tick.C:
 		}
 	}
 }
 
-// TestPeek: each state is seen, also while another goroutine reads, and nothing is taken from
-// whoever reads.
+// TestPeek: Peek detects each state, also while another goroutine reads, and consumes nothing that
+// the reader should receive.
 func TestPeek(t *testing.T) {
 	near, far := tcpPair(t)
 	if got := Peek(near); got != Idle {
-		t.Errorf("an open connection is %d", got)
+		t.Errorf("Peek() of an open connection = %d, want %d", got, Idle)
 	}
 	if _, err := io.WriteString(far, "ab"); err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 	waitForState(t, near, Readable)
 	buffer := make([]byte, 8)
 	if n, err := near.Read(buffer); err != nil || string(buffer[:n]) != "ab" {
-		t.Errorf("%q %v", buffer[:n], err)
+		t.Errorf("Read() = %q, %v, want \"ab\"", buffer[:n], err)
 	}
 	read := make(chan error, 1)
 	go func() {
@@ -68,12 +68,12 @@
 	}
 	waitForState(t, near, Closed)
 	if err := <-read; err != io.EOF {
-		t.Errorf("the reader got %v", err)
+		t.Errorf("Read() in the other goroutine = %v, want %v", err, io.EOF)
 	}
 }
 
-// TestPeekAfterResetAndClose: a connection that the other side resets has ended, and so has one that
-// is closed on this side.
+// TestPeekAfterResetAndClose: a connection that was reset by the peer, or closed on this side, is
+// Closed.
 func TestPeekAfterResetAndClose(t *testing.T) {
 	near, far := tcpPair(t)
 	if err := far.SetLinger(0); err != nil {
@@ -88,6 +88,6 @@
 		t.Fatal(err)
 	}
 	if got := Peek(other); got != Closed {
-		t.Errorf("a closed connection is %d", got)
+		t.Errorf("Peek() of a closed connection = %d, want %d", got, Closed)
 	}
 }
