--- a/node/cluster/claims.go
+++ b/node/cluster/claims.go
@@ -154,7 +154,7 @@
 	question := concludeMessage{Key: key, Attempt: attempt}
 	if holder == c.Board.Self.Name {
 		answer, _ = c.serveOutcome(ctx, holder, question)
-	} else if c.Hub.Ask(ctx, c.address(holder), peer.KindOutcome, question, &answer) != nil {
+	} else if c.Hub.Call(ctx, c.address(holder), peer.KindOutcome, question, &answer) != nil {
 		return &requestcontrol.DuplicateError{Outcome: blackboard.Outcome{Execution: fault.Unknown}}, false
 	}
 	if answer.GaveUp {
@@ -239,7 +239,7 @@
 			go func() {
 				ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), tellWait)
 				defer cancel()
-				_ = c.Hub.Tell(ctx, c.address(name), kind, message)
+				_ = c.Hub.Notify(ctx, c.address(name), kind, message)
 			}()
 		} else if kind == peer.KindGiveUp {
 			c.Board.Claims.GiveUp(key, message.Attempt)
--- a/node/cluster/claims_test.go
+++ b/node/cluster/claims_test.go
@@ -19,7 +19,7 @@
 	born := started.Add(claim.MaxClockSkew + 900*time.Millisecond)
 	witness := claim.NewWitness(started)
 	hub := peer.NewHub("witness", []string{"a-secret"}, telemetry.NewMetrics())
-	hub.Handle(peer.KindClaim, peer.Serve(func(_ context.Context, _ string, in claimRequest) (claimReply, error) {
+	hub.Handle(peer.KindClaim, peer.TypedHandler(func(_ context.Context, _ string, in claimRequest) (claimReply, error) {
 		if at := in.core().Created.At; !at.Equal(born) {
 			t.Errorf("a key born at %v was heard of as born at %v", born, at)
 		}
@@ -34,7 +34,7 @@
 	var reply claimReply
 	to := peer.Address{Name: "witness", Address: strings.TrimPrefix(server.URL, "http://")}
 	request := claimRequest{Key: "k", Attempt: "a", Holder: "asker", Dated: true, Born: born}
-	if err := asker.Ask(context.Background(), to, peer.KindClaim, request, &reply); err != nil {
+	if err := asker.Call(context.Background(), to, peer.KindClaim, request, &reply); err != nil {
 		t.Fatal(err)
 	}
 	if reply.Answer != claim.Granted {
--- a/node/cluster/coordinate.go
+++ b/node/cluster/coordinate.go
@@ -133,7 +133,7 @@
 		return // It was dropped.
 	}
 	answer := p.placed(held, &placement)
-	if err := p.cluster.Hub.Tell(ctx, p.cluster.address(held.owner), peer.KindPlaced, answer); err != nil {
+	if err := p.cluster.Hub.Notify(ctx, p.cluster.address(held.owner), peer.KindPlaced, answer); err != nil {
 		p.end(held.ticket.Attempt, blackboard.CallCancelled)
 	}
 }
--- a/node/cluster/explain.go
+++ b/node/cluster/explain.go
@@ -56,7 +56,7 @@
 
 // HandleExplain lets peers ask for this daemon's records.
 func (c *Cluster) HandleExplain(explain func(request string) ([]byte, error)) {
-	c.Hub.Handle(peer.KindExplain, peer.Serve(func(_ context.Context, _ string, in explainRequest) (explainAnswer, error) {
+	c.Hub.Handle(peer.KindExplain, peer.TypedHandler(func(_ context.Context, _ string, in explainRequest) (explainAnswer, error) {
 		data, err := explain(in.Request)
 		return explainAnswer{JSON: data}, err
 	}))
@@ -98,7 +98,7 @@
 		return admin.Explanation{Daemon: name}
 	}
 	var answer explainAnswer
-	if err := c.Hub.Ask(ctx, c.address(name), peer.KindExplain, explainRequest{Request: request}, &answer); err != nil {
+	if err := c.Hub.Call(ctx, c.address(name), peer.KindExplain, explainRequest{Request: request}, &answer); err != nil {
 		return admin.Explanation{}
 	}
 	return admin.ParseExplanation(answer.JSON)
--- a/node/cluster/gossip.go
+++ b/node/cluster/gossip.go
@@ -83,7 +83,7 @@
 // heartbeats are compared.
 func (c *Cluster) sendRumors(ctx context.Context) {
 	waiting := c.gossip.take(time.Now())
-	linked := c.Hub.Linked()
+	linked := c.Hub.LinkedPeers()
 	for _, name := range c.Board.Members.Links(time.Now()) {
 		if !slices.Contains(linked, name) {
 			continue
@@ -97,7 +97,7 @@
 		if len(rumors) == 0 {
 			continue
 		}
-		if err := c.Hub.Tell(ctx, c.address(name), peer.KindRumor, rumors); err != nil {
+		if err := c.Hub.Notify(ctx, c.address(name), peer.KindRumor, rumors); err != nil {
 			c.Record.Log.Debug("rumors could not be told to a peer", "peer", name, "error", err.Error())
 		}
 	}
--- a/node/cluster/news.go
+++ b/node/cluster/news.go
@@ -152,7 +152,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	err := f.cluster.Hub.AskPatiently(ctx, f.cluster.address(from), kind, in, out, silence)
+	err := f.cluster.Hub.CallWithIdleTimeout(ctx, f.cluster.address(from), kind, in, out, silence)
 	if err != nil {
 		f.slowUntil[from] = time.Now().Add(slowFor)
 	}
@@ -169,7 +169,7 @@
 
 // leadToWatch waits for this daemon's own watch, if it has one.
 func (c *Cluster) leadToWatch(ctx context.Context) {
-	if c.Settings.Watches() {
+	if c.Settings.ShouldWatch() {
 		controller.Sleep(ctx, watchLead)
 	}
 }
--- a/node/cluster/news_test.go
+++ b/node/cluster/news_test.go
@@ -59,7 +59,7 @@
 func servePeer(t *testing.T, name string, serve func(context.Context) (settings.Changes, error)) membership.Rumor {
 	t.Helper()
 	hub := peer.NewHub(name, []string{fleetKey}, telemetry.NewMetrics())
-	hub.Handle(peer.KindChanges, peer.Serve(func(ctx context.Context, _ string, _ settingsRequest) (settingsAnswer, error) {
+	hub.Handle(peer.KindSettingsChanges, peer.TypedHandler(func(ctx context.Context, _ string, _ settingsRequest) (settingsAnswer, error) {
 		changes, err := serve(ctx)
 		if err != nil {
 			return settingsAnswer{}, err
@@ -88,8 +88,8 @@
 		table.Receive(silent)
 		table.Receive(good)
 	})
-	c.Settings = &controller.Settings{Board: c.Board, Record: c.Record, Parse: settings.ParseParts,
-		Watches: func() bool { return false }, Adopted: func(*blackboard.SettingsView) {}}
+	c.Settings = &controller.Settings{Board: c.Board, Recorder: c.Record, Parse: settings.ParseParts,
+		ShouldWatch: func() bool { return false }, OnAdopt: func(*blackboard.SettingsView) {}}
 	c.Directory = &controller.Directory{}
 	began := time.Now()
 	for c.revision() != 5 {
--- a/node/cluster/open.go
+++ b/node/cluster/open.go
@@ -114,7 +114,7 @@
 	var own membership.Rumor
 	c.Board.Members.View(func(t *membership.Table) { own = t.Introduction() })
 	var all []membership.Rumor
-	name, err := c.Hub.AskAt(ctx, address, peer.KindJoin, own, &all)
+	name, err := c.Hub.CallAt(ctx, address, peer.KindJoin, own, &all)
 	if err != nil {
 		c.Record.Log.Debug("no daemon answers an introduction", "address", address, "error", err.Error())
 		return false
@@ -165,7 +165,7 @@
 	if digests == nil || !c.mayReconcile(from, time.Now()) {
 		return
 	}
-	if err := c.Hub.Tell(ctx, c.address(from), peer.KindDigests, digests); err != nil {
+	if err := c.Hub.Notify(ctx, c.address(from), peer.KindDigests, digests); err != nil {
 		c.Record.Log.Debug("digests of members could not be told to a peer", "peer", from, "error", err.Error())
 	}
 }
@@ -177,7 +177,7 @@
 	if len(rumors) == 0 {
 		return done{}, nil
 	}
-	return done{}, c.Hub.Tell(ctx, c.address(from), peer.KindRumor, rumors)
+	return done{}, c.Hub.Notify(ctx, c.address(from), peer.KindRumor, rumors)
 }
 
 func (c *Cluster) mayReconcile(peerName string, now time.Time) bool {
--- a/node/cluster/placement.go
+++ b/node/cluster/placement.go
@@ -243,7 +243,7 @@
 // the pool is placed by two that do not know of each other's calls.
 func (p *Placements) lost(name string, t *blackboard.Ticket, err error) {
 	reason, avoid := lostByError, avoidFor
-	var refused *peer.RefusedError
+	var refused *peer.RemoteError
 	switch {
 	case errors.Is(err, context.DeadlineExceeded):
 		reason = lostByTime
@@ -374,12 +374,12 @@
 // tell sends news of a call over the link that is open. What is lost is forgotten by
 // the coordinator after the call's deadline.
 func (p *Placements) tell(name string, kind peer.Kind, news any) {
-	if !slices.Contains(p.cluster.Hub.Linked(), name) {
+	if !slices.Contains(p.cluster.Hub.LinkedPeers(), name) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), placeTimeout)
 	defer cancel()
-	if err := p.cluster.Hub.Tell(ctx, p.cluster.address(name), kind, news); err != nil {
+	if err := p.cluster.Hub.Notify(ctx, p.cluster.address(name), kind, news); err != nil {
 		p.cluster.Record.Log.Debug("a coordinator was not told", "peer", name, "kind", kind.String(), "error", err.Error())
 	}
 }
--- a/node/cluster/placement_test.go
+++ b/node/cluster/placement_test.go
@@ -167,7 +167,7 @@
 		avoid time.Duration
 	}{
 		lostByTime: {context.DeadlineExceeded, avoidFor}, lostByError: {io.ErrUnexpectedEOF, avoidFor},
-		lostByRefusal: {&peer.RefusedError{Text: "not yet"}, avoidRefusing},
+		lostByRefusal: {&peer.RemoteError{Message: "not yet"}, avoidRefusing},
 	} {
 		err := c.err
 		p := newCoordinator(t, 1)
--- a/node/cluster/settingsnews.go
+++ b/node/cluster/settingsnews.go
@@ -63,7 +63,7 @@
 func (c *Cluster) fetchSettings(ctx context.Context, h heartbeatNews, since int64) error {
 	began := time.Now()
 	var answer settingsAnswer
-	if err := c.settingsNews.fetch(ctx, h.from, peer.KindChanges, settingsRequest{Since: since}, &answer); err != nil {
+	if err := c.settingsNews.fetch(ctx, h.from, peer.KindSettingsChanges, settingsRequest{Since: since}, &answer); err != nil {
 		return err
 	}
 	changes, err := unpackChanges(answer.Packed)
@@ -72,5 +72,5 @@
 	}
 	c.Record.Log.Info("settings were fetched", "peer", h.from, "revision", changes.Revision, "since", changes.Since,
 		"bytes", len(answer.Packed), "unpacked", changes.Size(), "took_ms", time.Since(began).Milliseconds())
-	return c.Settings.Offer(changes, "peer "+h.from)
+	return c.Settings.Apply(changes, "peer "+h.from)
 }
--- a/node/cluster/targetnews.go
+++ b/node/cluster/targetnews.go
@@ -41,5 +41,5 @@
 		c.Record.Log.Warn("targets could not be fetched from a peer", "peer", h.from, "revision", h.targets.String(), "error", err.Error())
 		return
 	}
-	c.Directory.MergeFrom(h.from, facts)
+	c.Directory.MergeFromPeer(h.from, facts)
 }
--- a/node/cluster/verdicts.go
+++ b/node/cluster/verdicts.go
@@ -38,7 +38,7 @@
 func (c *Cluster) reportCrash(keeper string, crash poison.Crash) {
 	ctx, cancel := context.WithTimeout(context.Background(), crashTimeout)
 	defer cancel()
-	if err := c.Hub.Tell(ctx, c.address(keeper), peer.KindCrash, crash); err != nil {
+	if err := c.Hub.Notify(ctx, c.address(keeper), peer.KindCrash, crash); err != nil {
 		c.Record.Log.Info("an end under a call could not be told to a peer", "peer", keeper, "call", crash.Request.String(),
 			"target", crash.Target, "error", err.Error())
 	}
@@ -86,7 +86,7 @@
 // tellVerdicts tells verdicts over all links but the one that they came over. What is lost is
 // repaired when heartbeats are compared.
 func (c *Cluster) tellVerdicts(verdicts []poison.Verdict, from string) {
-	linked := c.Hub.Linked()
+	linked := c.Hub.LinkedPeers()
 	for _, name := range c.Board.Members.Links(time.Now()) {
 		if name != from && slices.Contains(linked, name) {
 			go c.tellVerdictsTo(name, verdicts)
@@ -97,7 +97,7 @@
 func (c *Cluster) tellVerdictsTo(name string, verdicts []poison.Verdict) {
 	ctx, cancel := context.WithTimeout(context.Background(), crashTimeout)
 	defer cancel()
-	if err := c.Hub.Tell(ctx, c.address(name), peer.KindVerdicts, verdicts); err != nil {
+	if err := c.Hub.Notify(ctx, c.address(name), peer.KindVerdicts, verdicts); err != nil {
 		c.Record.Log.Debug("verdicts could not be told to a peer", "peer", name, "error", err.Error())
 	}
 }
--- a/node/config/config.go
+++ b/node/config/config.go
@@ -40,7 +40,7 @@
 	// ExplainMemoryMB bounds the memory of recorded decisions, in megabytes.
 	ExplainMemoryMB int64 `yaml:"explain_memory_mb"`
 	// ReportPolls bounds the load reports read a second.
-	ReportPolls float64 `yaml:"report_polls_per_second"`
+	ReportPollsPerSecond float64 `yaml:"report_polls_per_second"`
 	// DrainDelay is how long a leaving daemon still accepts connections, to
 	// answer that it leaves, before it closes its listeners.
 	DrainDelay strictyaml.Duration `yaml:"drain_delay"`
@@ -60,12 +60,12 @@
 // Default returns the values of keys that a file leaves out.
 func Default() File {
 	return File{
-		Workers:         4,
-		BodyMemoryMB:    512,
-		ExplainMemoryMB: 16,
-		ReportPolls:     50,
-		DrainDelay:      strictyaml.Duration(time.Second),
-		Platform:        Platform{Prefix: "doorstack/"},
+		Workers:              4,
+		BodyMemoryMB:         512,
+		ExplainMemoryMB:      16,
+		ReportPollsPerSecond: 50,
+		DrainDelay:           strictyaml.Duration(time.Second),
+		Platform:             Platform{Prefix: "doorstack/"},
 	}
 }
 
@@ -86,7 +86,7 @@
 func Parse(data []byte) (*File, error) {
 	f := Default()
 	problems := strictyaml.Decode(data, &f)
-	f.check(&problems)
+	f.validate(&problems)
 	if len(problems) > 0 {
 		problems.Sort()
 		return nil, problems
@@ -94,10 +94,10 @@
 	return &f, nil
 }
 
-// minPeerKey is the least length of a peer key, in bytes.
-const minPeerKey = 16
+// minPeerKeySize is the least length of a peer key, in bytes.
+const minPeerKeySize = 16
 
-func (f *File) check(problems *strictyaml.Problems) {
+func (f *File) validate(problems *strictyaml.Problems) {
 	required := []struct{ key, value, remedy string }{
 		{"name", f.Name, "write the host's id on the platform's host list"},
 		{"data_centre", f.DataCentre, "write the name of the data centre"},
@@ -122,7 +122,7 @@
 		problems.Add(f.KeyPosition("peer_keys"), "peer_keys", "there is none", "write one secret of at least 16 characters, the same on all daemons")
 	}
 	for i, key := range f.PeerKeys {
-		if len(key) < minPeerKey {
+		if len(key) < minPeerKeySize {
 			problems.Add(f.KeyPosition("peer_keys"), fmt.Sprintf("peer_keys[%d]", i), "is too short", "use at least 16 characters")
 		}
 	}
@@ -133,7 +133,7 @@
 		{"workers", float64(f.Workers)},
 		{"body_memory_mb", float64(f.BodyMemoryMB)},
 		{"explain_memory_mb", float64(f.ExplainMemoryMB)},
-		{"report_polls_per_second", f.ReportPolls},
+		{"report_polls_per_second", f.ReportPollsPerSecond},
 	} {
 		if n.value <= 0 {
 			problems.Add(f.KeyPosition(n.key), n.key, "is not above zero", "write a positive number, or remove the key")
--- a/node/config/config_test.go
+++ b/node/config/config_test.go
@@ -7,7 +7,7 @@
 	"doorstack.dev/examples"
 )
 
-func TestExamplesAreGood(t *testing.T) {
+func TestExampleFilesParse(t *testing.T) {
 	for name, data := range map[string][]byte{"clara": examples.ClaraDaemon, "kilnmark": examples.KilnmarkDaemon} {
 		if _, err := Parse(data); err != nil {
 			t.Errorf("%s: %v", name, err)
@@ -15,7 +15,7 @@
 	}
 }
 
-func TestAllProblemsAtOnce(t *testing.T) {
+func TestParseReportsEveryProblem(t *testing.T) {
 	_, err := Parse([]byte("name: d1\nlisten: localhost:80\nadmin: 127.0.0.1:1\nper: x\nworkers: 0\npeer_keys: [short]\nplatform: {configuration: ftp://x}\n"))
 	if err == nil {
 		t.Fatal("taken")
--- a/node/confservice/confservice.go
+++ b/node/confservice/confservice.go
@@ -26,8 +26,8 @@
 	"github.com/go-faster/errors"
 )
 
-// MaxBytes bounds an answer of the platform: a full read of a large tree.
-const MaxBytes = 64 << 20
+// MaxAnswerSize bounds an answer of the platform: a full read of a large tree.
+const MaxAnswerSize = 64 << 20
 
 // Client reads from the platform over HTTP.
 type Client struct {
@@ -36,7 +36,7 @@
 	// Prefix selects the keys of this fleet.
 	Prefix string
 	// HTTP makes the calls.
-	HTTP *http.Client
+	HTTPClient *http.Client
 }
 
 // ParseParts checks the parts of a revision and resolves them.
@@ -56,23 +56,23 @@
 		query.Set("wait", wait.String())
 	}
 	var changes settings.Changes
-	err := c.get(ctx, c.ConfigURL+"/v1/config?"+query.Encode(), &changes)
+	err := c.getJSON(ctx, c.ConfigURL+"/v1/config?"+query.Encode(), &changes)
 	return changes, err
 }
 
 // Hosts reads what differs from a revision of the host list; zero reads the whole.
 func (c *Client) Hosts(ctx context.Context, since int64) (hostlist.List, error) {
 	var list hostlist.List
-	err := c.get(ctx, c.HostsURL+"/v1/hosts?since="+strconv.FormatInt(since, 10), &list)
+	err := c.getJSON(ctx, c.HostsURL+"/v1/hosts?since="+strconv.FormatInt(since, 10), &list)
 	return list, err
 }
 
-func (c *Client) get(ctx context.Context, address string, into any) error {
+func (c *Client) getJSON(ctx context.Context, address string, into any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
 		return errors.Wrap(err, "build request to the platform")
 	}
-	resp, err := c.HTTP.Do(req)
+	resp, err := c.HTTPClient.Do(req)
 	if err != nil {
 		return errors.Wrap(err, "call the platform")
 	}
@@ -80,12 +80,12 @@
 	if resp.StatusCode != http.StatusOK {
 		return errors.New(fmt.Sprintf("the platform answered %s", resp.Status))
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxBytes+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxAnswerSize+1))
 	if err != nil {
 		return errors.Wrap(err, "read the platform's answer")
 	}
-	if len(body) > MaxBytes {
-		return errors.New(fmt.Sprintf("the platform's answer is over %d bytes", MaxBytes))
+	if len(body) > MaxAnswerSize {
+		return errors.New(fmt.Sprintf("the platform's answer is over %d bytes", MaxAnswerSize))
 	}
 	if err := json.Unmarshal(body, into); err != nil {
 		return errors.Wrap(err, "decode the platform's answer")
--- a/node/controller/directory.go
+++ b/node/controller/directory.go
@@ -22,74 +22,74 @@
 
 // Directory keeps the targets of a platform that publishes entries.
 type Directory struct {
-	Board  *blackboard.Blackboard
-	Source TargetSource
-	Record *telemetry.Recorder
+	Board    *blackboard.Blackboard
+	Source   TargetSource
+	Recorder *telemetry.Recorder
 	// Watches tells whether this daemon is one of the few that watch the store; the others
 	// learn from their peers.
-	Watches func() bool
+	ShouldWatch func() bool
 	// Changed is called after each change of the list, to tell the peers at once.
-	Changed func()
+	OnChange func()
 	// Hold is the longest time that a watch is held.
-	Hold time.Duration
+	MaxHold time.Duration
 
 	// busy counts the reads in a row that brought news.
-	busy int
+	consecutiveChanges int
 	// era is the store's when it last answered.
 	era int64
 }
 
 const (
-	// storeRetry is the mean pause after a read of the store that failed, and
-	// storeRetryMax the longest it grows to: each call is paid for, refused ones too,
+	// storeBackoffInitial is the mean pause after a read of the store that failed, and
+	// storeBackoffMax the longest it grows to: each call is paid for, refused ones too,
 	// and a configuration has to be in force 2 s after the store takes it.
-	storeRetry    = 200 * time.Millisecond
-	storeRetryMax = 800 * time.Millisecond
-	// probeWait is how long a watch is held while the store is away.
-	probeWait = time.Millisecond
+	storeBackoffInitial = 200 * time.Millisecond
+	storeBackoffMax     = 800 * time.Millisecond
+	// outageHold is how long a watch is held while the store is away.
+	outageHold = time.Millisecond
 	// gather is the pause after news, so that changes that come close together, as at a
-	// release, cost one call. It doubles up to gatherMost while each call brings news: short
+	// release, cost one call. It doubles up to maxCoalesceDelay while each call brings news: short
 	// against the 2 s in which news must be in force.
-	gather     = 150 * time.Millisecond
-	gatherMost = 400 * time.Millisecond
-	// findPeers is how long a fresh daemon that knows nobody leaves the watch to others after
+	coalesceDelay    = 150 * time.Millisecond
+	maxCoalesceDelay = 400 * time.Millisecond
+	// peerDiscoveryDelay is how long a fresh daemon that knows nobody leaves the watch to others after
 	// its first read: where all hosts start together each would hold one of its own until it
 	// has found those that watch.
-	findPeers = time.Second
-	// restLeast and restMost bound how long a daemon that has read the first page of a long list leaves
+	peerDiscoveryDelay = time.Second
+	// minFullReadDelay and maxFullReadDelay bound how long a daemon that has read the first page of a long list leaves
 	// the others to the daemons that watch the store, which tell it of all: where hundreds of
 	// hosts start together, each with thousands of targets to read, the store's link is full for seconds.
-	restLeast = 2 * time.Second
-	restMost  = 3500 * time.Millisecond
-	// restTick is how often such a daemon looks whether it has been told.
-	restTick = 50 * time.Millisecond
-	// directoryTick is how often doubts are looked at.
-	directoryTick = 250 * time.Millisecond
+	minFullReadDelay = 2 * time.Second
+	maxFullReadDelay = 3500 * time.Millisecond
+	// incompleteCheckInterval is how often such a daemon looks whether it has been told.
+	incompleteCheckInterval = 50 * time.Millisecond
+	// removalCheckInterval is how often doubts are looked at.
+	removalCheckInterval = 250 * time.Millisecond
 )
 
 // Run reads and watches until ctx ends.
 func (c *Directory) Run(ctx context.Context) {
-	go c.tick(ctx)
-	pause := storeRetry
+	go c.confirmRemovals(ctx)
+	pause := storeBackoffInitial
 	read := time.Time{}
 	away := false
-	rest := restLeast + rand.N(restMost-restLeast)
+	rest := minFullReadDelay + rand.N(maxFullReadDelay-minFullReadDelay)
 	for ctx.Err() == nil {
-		if !c.Watches() && c.Board.Members.HasHosts() {
+		if !c.ShouldWatch() && c.Board.Members.HasHosts() {
 			if incomplete := c.Board.Directory.Incomplete(); incomplete && time.Since(read) < rest {
-				Sleep(ctx, restTick)
+				Sleep(ctx, incompleteCheckInterval)
 				continue
-			} else if !incomplete && time.Since(read) < rareRead {
-				Sleep(ctx, idleCheck)
+			} else if !incomplete && time.Since(read) < fallbackReadInterval {
+				Sleep(ctx, idleCheckInterval)
 				continue
 			}
 		}
 		first := read.IsZero()
 		read = time.Now()
-		if c.read(ctx, heldFor(c.Hold)) {
-			pause, away = storeRetry, false
-			if first && c.alone() && !c.Board.Directory.Incomplete() {
-				Sleep(ctx, findPeers)
+		if c.readStore(ctx, randomHold(c.MaxHold)) {
+			pause, away = storeBackoffInitial, false
+			if first && c.knowsNoPeer() && !c.Board.Directory.Incomplete() {
+				Sleep(ctx, peerDiscoveryDelay)
 			}
 			continue
 		}
@@ -100,59 +100,59 @@
 			continue
 		}
 		Sleep(ctx, pause/2+rand.N(pause))
-		pause = min(2*pause, storeRetryMax)
+		pause = min(2*pause, storeBackoffMax)
 	}
 }
 
 // alone tells whether no other daemon is known.
-func (c *Directory) alone() bool {
+func (c *Directory) knowsNoPeer() bool {
 	others := 0
 	c.Board.Members.View(func(t *membership.Table) { others, _ = t.CountOthers() })
 	return others == 0
 }
 
-// holdLeast is the least part of the longest hold that a watch is held: enough spread that
+// minHoldShare is the least part of the longest hold that a watch is held: enough spread that
 // daemons with equal holds do not ask together, at a tenth more calls.
-const holdLeast = 0.85
+const minHoldShare = 0.85
 
-// heldFor draws how long a watch is held.
-func heldFor(longest time.Duration) time.Duration {
-	least := time.Duration(holdLeast * float64(longest))
+// randomHold draws how long a watch is held.
+func randomHold(longest time.Duration) time.Duration {
+	least := time.Duration(minHoldShare * float64(longest))
 	return least + rand.N(longest-least+1)
 }
 
 // read makes one call of the store, a watch that is held for so long, and tells whether it
 // was answered.
-func (c *Directory) read(ctx context.Context, hold time.Duration) bool {
+func (c *Directory) readStore(ctx context.Context, hold time.Duration) bool {
 	c.Board.Directory.View(func(t *hostlist.Table) {
 		if t.StoreDown() {
-			hold = probeWait // An answer at once tells that the store is back.
+			hold = outageHold // An answer at once tells that the store is back.
 		}
 	})
-	facts, err := c.Source.Targets(ctx, hold, c.patience())
+	facts, err := c.Source.Targets(ctx, hold, c.answerTimeout())
 	if ctx.Err() != nil {
 		return true
 	}
 	now := time.Now()
 	if err != nil {
-		c.lost(err)
+		c.recordReadFailure(err)
 		return false
 	}
-	c.Record.Metrics.PlatformRead.WithLabelValues("hosts", "read").Inc()
-	c.Record.Reach(blackboard.StageStore)
+	c.Recorder.Metrics.PlatformRead.WithLabelValues("hosts", "read").Inc()
+	c.Recorder.Reach(blackboard.StageStore)
 	returned := false
 	c.Board.Directory.View(func(t *hostlist.Table) { returned = t.MarkStoreUp(now) })
 	if returned {
-		c.Record.Log.Info("dependency is back", "dependency", "store", "revision", facts.AsOf.String())
+		c.Recorder.Log.Info("dependency is back", "dependency", "store", "revision", facts.AsOf.String())
 	}
-	c.noteEra(facts.AsOf)
-	c.merge(facts, "store", now)
+	c.recordEra(facts.AsOf)
+	c.mergeUpdate(facts, "store", now)
 	if len(facts.Hosts) == 0 || facts.Partial {
-		c.busy = 0
+		c.consecutiveChanges = 0
 		return true
 	}
-	Sleep(ctx, gatherFor(c.busy))
-	c.busy++
+	Sleep(ctx, coalesceDelayAfter(c.consecutiveChanges))
+	c.consecutiveChanges++
 	return true
 }
 
@@ -162,94 +162,94 @@
 // is enough for all. A slow store answers within 0.4 s as a rule, and those with more patience
 // hear from a slower one.
 const (
-	firstPatienceLeast = 400 * time.Millisecond
-	firstPatienceMost  = 2 * time.Second
+	minFirstAnswerTimeout = 400 * time.Millisecond
+	maxFirstAnswerTimeout = 2 * time.Second
 )
 
 // patience is how long an answer may take to begin; zero where the usual time holds.
-func (c *Directory) patience() time.Duration {
+func (c *Directory) answerTimeout() time.Duration {
 	if c.Board.Settings.Current() != nil {
 		return 0
 	}
-	return firstPatienceLeast + rand.N(firstPatienceMost-firstPatienceLeast)
+	return minFirstAnswerTimeout + rand.N(maxFirstAnswerTimeout-minFirstAnswerTimeout)
 }
 
 // noteEra tells of a store that came back from an older copy. What is believed of targets goes
 // by the positions of facts; settings never go back.
-func (c *Directory) noteEra(at hostlist.Position) {
+func (c *Directory) recordEra(at hostlist.Position) {
 	if at.Era() > c.era && c.era > 0 {
-		c.Record.Metrics.StoreReturns.Inc()
-		c.Record.Log.Warn("the store came back from an older copy", "era", at.Era(), "before", c.era, "revision", at.Revision())
+		c.Recorder.Metrics.StoreReturns.Inc()
+		c.Recorder.Log.Warn("the store came back from an older copy", "era", at.Era(), "before", c.era, "revision", at.Revision())
 	}
 	c.era = max(c.era, at.Era())
 }
 
-// gatherFor is the pause after news that so many calls with news came before.
-func gatherFor(busy int) time.Duration {
-	pause := gather
-	for ; busy > 0 && pause < gatherMost; busy-- {
+// coalesceDelayAfter is the pause after news that so many calls with news came before.
+func coalesceDelayAfter(busy int) time.Duration {
+	pause := coalesceDelay
+	for ; busy > 0 && pause < maxCoalesceDelay; busy-- {
 		pause *= 2
 	}
-	return min(pause, gatherMost)
+	return min(pause, maxCoalesceDelay)
 }
 
 // lost records a failed call: a line when the store is first lost, a count always.
-func (c *Directory) lost(err error) {
-	c.Record.Metrics.PlatformRead.WithLabelValues("hosts", "failed").Inc()
+func (c *Directory) recordReadFailure(err error) {
+	c.Recorder.Metrics.PlatformRead.WithLabelValues("hosts", "failed").Inc()
 	known := false
 	c.Board.Directory.View(func(t *hostlist.Table) {
 		known = t.StoreDown()
 		t.MarkStoreDown()
 	})
 	if !known {
-		c.Record.Log.Warn("dependency is lost", "dependency", "store", "error", err.Error())
+		c.Recorder.Log.Warn("dependency is lost", "dependency", "store", "error", err.Error())
 	}
 }
 
 // MergeFrom takes facts of a peer in.
-func (c *Directory) MergeFrom(peer string, facts hostlist.Update) {
+func (c *Directory) MergeFromPeer(peer string, facts hostlist.Update) {
 	facts.Full = false
-	c.merge(facts, "peer "+peer, time.Now())
+	c.mergeUpdate(facts, "peer "+peer, time.Now())
 }
 
-func (c *Directory) merge(facts hostlist.Update, from string, now time.Time) {
+func (c *Directory) mergeUpdate(facts hostlist.Update, from string, now time.Time) {
 	if !c.Board.MergeFacts(facts, now) {
 		return
 	}
-	c.Changed()
-	c.logFacts(facts, from)
+	c.OnChange()
+	c.logUpdate(facts, from)
 	if len(facts.Hosts) > 0 {
-		c.Record.Reach(blackboard.StageTargets)
+		c.Recorder.Reach(blackboard.StageTargets)
 	}
 }
 
-// manyTargets is the number of targets from which those that live share a line: each daemon's
+// combinedLogMin is the number of targets from which those that live share a line: each daemon's
 // first read brings all of them.
-const manyTargets = 8
+const combinedLogMin = 8
 
 // logFacts writes a line for each target, or one for all that live where they are many.
-func (c *Directory) logFacts(facts hostlist.Update, from string) {
+func (c *Directory) logUpdate(facts hostlist.Update, from string) {
 	var living []string
 	for _, h := range facts.Hosts {
-		if len(facts.Hosts) >= manyTargets && h.State == hostlist.Live {
+		if len(facts.Hosts) >= combinedLogMin && h.State == hostlist.Live {
 			living = append(living, h.ID)
 			continue
 		}
-		c.Record.Log.Info("target", "target", h.ID, "state", string(h.State), "address", h.Address, "pool", h.Pool,
+		c.Recorder.Log.Info("target", "target", h.ID, "state", string(h.State), "address", h.Address, "pool", h.Pool,
 			"revision", h.Revision.String(), "incarnation", h.Incarnation, "from", from)
 	}
 	if len(living) > 0 {
-		c.Record.Log.Info("target", "targets", living, "state", string(hostlist.Live), "revision", facts.AsOf.String(), "from", from)
+		c.Recorder.Log.Info("target", "targets", living, "state", string(hostlist.Live), "revision", facts.AsOf.String(), "from", from)
 	}
 }
 
-func (c *Directory) tick(ctx context.Context) {
+func (c *Directory) confirmRemovals(ctx context.Context) {
 	for ctx.Err() == nil {
-		Sleep(ctx, directoryTick)
+		Sleep(ctx, removalCheckInterval)
 		if c.Board.TickDirectory(time.Now()) {
-			c.Changed()
+			c.OnChange()
 			targets, _ := c.Board.Members.Hosts()
-			c.Record.Log.Info("targets whose entries did not come back count as gone", "left", fmt.Sprint(len(targets.Hosts)))
+			c.Recorder.Log.Info("targets whose entries did not come back count as gone", "left", fmt.Sprint(len(targets.Hosts)))
 		}
 	}
 }
--- a/node/controller/hosts.go
+++ b/node/controller/hosts.go
@@ -16,55 +16,55 @@
 	Hosts(ctx context.Context, since int64) (hostlist.List, error)
 }
 
-// Hosts keeps the host list and, with it, the list of targets.
-type Hosts struct {
+// HostList keeps the host list and, with it, the list of targets.
+type HostList struct {
 	Board    *blackboard.Blackboard
-	Platform HostSource
-	Record   *telemetry.Recorder
+	Source   HostSource
+	Recorder *telemetry.Recorder
 	// Every is the pause between reads.
-	Every time.Duration
+	Interval time.Duration
 }
 
-// HostsEvery is the usual pause between reads of the host list, and hostsPerHost
+// HostListInterval is the usual pause between reads of the host list, and hostListIntervalPerHost
 // what each listed daemon adds to it, so that the reads of all daemons together
 // stay at some 125 a second however many there are. A target that leaves gets
 // nothing new from then on at the latest, and often earlier by its own report.
 const (
-	HostsEvery   = 2 * time.Second
-	hostsPerHost = 8 * time.Millisecond
+	HostListInterval        = 2 * time.Second
+	hostListIntervalPerHost = 8 * time.Millisecond
 )
 
 // Run reads the list until ctx ends. A list that cannot be read is kept.
-func (c *Hosts) Run(ctx context.Context) {
+func (c *HostList) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.Refresh(ctx)
 		_, listed := c.Board.Members.Living()
-		pause := max(c.Every, time.Duration(listed)*hostsPerHost)
+		pause := max(c.Interval, time.Duration(listed)*hostListIntervalPerHost)
 		// A random pause spreads the daemons' reads over time.
 		Sleep(ctx, pause/2+rand.N(pause))
 	}
 }
 
 // Refresh reads once what differs in the list.
-func (c *Hosts) Refresh(ctx context.Context) {
+func (c *HostList) Refresh(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	before, _ := c.Board.Members.Hosts()
-	next, err := c.read(ctx, before)
+	next, err := c.readChanges(ctx, before)
 	if err != nil {
-		c.Record.Metrics.PlatformRead.WithLabelValues("hosts", "failed").Inc()
-		c.Record.Log.Warn("the host list could not be read", "error", err.Error())
+		c.Recorder.Metrics.PlatformRead.WithLabelValues("hosts", "failed").Inc()
+		c.Recorder.Log.Warn("the host list could not be read", "error", err.Error())
 		return
 	}
-	c.Record.Metrics.PlatformRead.WithLabelValues("hosts", "read").Inc()
+	c.Recorder.Metrics.PlatformRead.WithLabelValues("hosts", "read").Inc()
 	c.Board.Members.SetHosts(next, time.Now())
 	if next.Revision != before.Revision || before.Revision == 0 {
 		c.Board.SyncTargets()
 	}
 }
 
-func (c *Hosts) read(ctx context.Context, before hostlist.List) (hostlist.List, error) {
-	change, err := c.Platform.Hosts(ctx, before.Revision)
+func (c *HostList) readChanges(ctx context.Context, before hostlist.List) (hostlist.List, error) {
+	change, err := c.Source.Hosts(ctx, before.Revision)
 	if err != nil {
 		return before, err
 	}
@@ -72,5 +72,5 @@
 	if err == nil {
 		return next, nil
 	}
-	return c.Platform.Hosts(ctx, 0)
+	return c.Source.Hosts(ctx, 0)
 }
--- a/node/controller/lag_test.go
+++ b/node/controller/lag_test.go
@@ -11,11 +11,11 @@
 	dto "github.com/prometheus/client_model/go"
 )
 
-// TestLagIsSampled: samples come and go while the loop runs, and it ends with its context.
-func TestLagIsSampled(t *testing.T) {
+// TestLagMonitorTakesSamples: samples come and go while the loop runs, and it ends with its context.
+func TestLagMonitorTakesSamples(t *testing.T) {
 	board := blackboard.New(blackboard.Identity{Name: "d"}, blackboard.DefaultLimits())
 	metrics := telemetry.NewMetrics()
-	c := &Lag{Board: board, Record: &telemetry.Recorder{Board: board, Log: slog.New(slog.DiscardHandler), Metrics: metrics}}
+	c := &LagMonitor{Board: board, Recorder: &telemetry.Recorder{Board: board, Log: slog.New(slog.DiscardHandler), Metrics: metrics}}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
--- a/node/controller/settings.go
+++ b/node/controller/settings.go
@@ -27,58 +27,58 @@
 // one of those that watch it, and from peers.
 type Settings struct {
 	Board    *blackboard.Blackboard
-	Platform SettingsSource
-	Record   *telemetry.Recorder
+	Source   SettingsSource
+	Recorder *telemetry.Recorder
 	// Parse checks the parts of a revision whole and resolves them.
 	Parse func(parts map[string][]byte) (*settings.Tree, error)
-	// Watch is how long a watch is held; zero means watchWait.
-	Watch time.Duration
+	// Watch is how long a watch is held; zero means defaultHold.
+	MaxHold time.Duration
 	// Watches tells whether this daemon is one of the few that watch the service.
-	Watches func() bool
+	ShouldWatch func() bool
 	// Adopted is called after each adoption.
-	Adopted func(*blackboard.SettingsView)
+	OnAdopt func(*blackboard.SettingsView)
 }
 
-// The pace of reads. A watch is held for watchWait; after a failure the daemon
+// The pace of reads. A watch is held for defaultHold; after a failure the daemon
 // waits a random part of a doubling time, so that the end of an outage does not
 // bring all daemons at once. It stays short: a change has to be in force within two
 // seconds, and only a few daemons of each data centre read. A daemon that does not watch reads once in a while
 // all the same, in case that all its peers are wrong.
 const (
-	watchWait    = 30 * time.Second
-	readTimeout  = 5 * time.Second
-	backoffFirst = 250 * time.Millisecond
-	backoffMax   = time.Second
-	idleCheck    = time.Second
-	rareRead     = 5 * time.Minute
+	defaultHold          = 30 * time.Second
+	readTimeout          = 5 * time.Second
+	backoffInitial       = 250 * time.Millisecond
+	backoffMax           = time.Second
+	idleCheckInterval    = time.Second
+	fallbackReadInterval = 5 * time.Minute
 )
 
 // Run reads and watches until ctx ends.
 func (c *Settings) Run(ctx context.Context) {
-	backoff := backoffFirst
+	backoff := backoffInitial
 	lastRead := time.Time{}
 	for ctx.Err() == nil {
-		if !c.Watches() && time.Since(lastRead) < rareRead && c.Board.Settings.Current() != nil {
-			Sleep(ctx, idleCheck)
+		if !c.ShouldWatch() && time.Since(lastRead) < fallbackReadInterval && c.Board.Settings.Current() != nil {
+			Sleep(ctx, idleCheckInterval)
 			continue
 		}
 		err := c.read(ctx)
 		lastRead = time.Now()
 		if err == nil {
-			backoff = backoffFirst
+			backoff = backoffInitial
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
 		if errors.Is(err, settings.ErrNotNewer) {
-			c.Record.Log.Info("no settings are published yet", "retry_in", backoff.String())
+			c.Recorder.Log.Info("no settings are published yet", "retry_in", backoff.String())
 			Sleep(ctx, rand.N(backoff))
 			backoff = min(2*backoff, backoffMax)
 			continue
 		}
-		if backoff == backoffFirst {
-			c.Record.Log.Warn("the settings could not be read", "error", err.Error(), "retry_in", backoff.String())
+		if backoff == backoffInitial {
+			c.Recorder.Log.Warn("the settings could not be read", "error", err.Error(), "retry_in", backoff.String())
 		}
 		Sleep(ctx, rand.N(backoff))
 		backoff = min(2*backoff, backoffMax)
@@ -90,55 +90,55 @@
 	since, wait := int64(0), time.Duration(0)
 	if view := c.Board.Settings.Current(); view != nil {
 		since = view.Revision
-		if c.Watches() {
-			wait = watchWait
-			if c.Watch > 0 {
-				wait = heldFor(c.Watch)
+		if c.ShouldWatch() {
+			wait = defaultHold
+			if c.MaxHold > 0 {
+				wait = randomHold(c.MaxHold)
 			}
 		}
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+readTimeout)
 	defer cancel()
-	changes, err := c.Platform.Config(ctx, since, wait)
+	changes, err := c.Source.Config(ctx, since, wait)
 	if err != nil {
-		c.Record.Metrics.PlatformRead.WithLabelValues("configuration", "failed").Inc()
+		c.Recorder.Metrics.PlatformRead.WithLabelValues("configuration", "failed").Inc()
 		return err
 	}
-	c.Record.Metrics.PlatformRead.WithLabelValues("configuration", "read").Inc()
-	err = c.Offer(changes, "configuration service")
+	c.Recorder.Metrics.PlatformRead.WithLabelValues("configuration", "read").Inc()
+	err = c.Apply(changes, "configuration service")
 	if errors.Is(err, settings.ErrRevisionGap) {
-		return c.readWhole(ctx)
+		return c.readFull(ctx)
 	}
 	if err != nil && wait == 0 {
 		// Nothing to watch for yet: a first read that is not good is retried.
 		return err
 	}
 	if err == nil || errors.Is(err, settings.ErrNotNewer) && wait > 0 {
-		return c.paceAfter(ctx, changes, since)
+		return c.delayAfterStaleAnswer(ctx, changes, since)
 	}
 	return err
 }
 
 // paceAfter keeps a service that answers watches at once with nothing new, as a
 // stale one does, from being asked without a pause.
-func (c *Settings) paceAfter(ctx context.Context, changes settings.Changes, since int64) error {
+func (c *Settings) delayAfterStaleAnswer(ctx context.Context, changes settings.Changes, since int64) error {
 	if changes.Revision <= since {
-		Sleep(ctx, idleCheck)
+		Sleep(ctx, idleCheckInterval)
 	}
 	return nil
 }
 
-func (c *Settings) readWhole(ctx context.Context) error {
-	changes, err := c.Platform.Config(ctx, 0, 0)
+func (c *Settings) readFull(ctx context.Context) error {
+	changes, err := c.Source.Config(ctx, 0, 0)
 	if err != nil {
 		return err
 	}
-	return c.Offer(changes, "configuration service")
+	return c.Apply(changes, "configuration service")
 }
 
 // Offer puts changes in force if they lead to a newer revision and the whole of
 // it passes the check. What is in force stays otherwise.
-func (c *Settings) Offer(changes settings.Changes, from string) error {
+func (c *Settings) Apply(changes settings.Changes, from string) error {
 	base := settings.Snapshot{}
 	if view := c.Board.Settings.Current(); view != nil {
 		base = view.Snapshot
@@ -148,8 +148,8 @@
 		return err
 	}
 	start := time.Now()
-	tree, err := c.Parse(contents(next))
-	c.Record.Metrics.SettingsLag.Observe(time.Since(start).Seconds())
+	tree, err := c.Parse(partData(next))
+	c.Recorder.Metrics.SettingsLag.Observe(time.Since(start).Seconds())
 	if err != nil {
 		c.reject(next.Revision, from, err)
 		return err
@@ -158,11 +158,11 @@
 	if !c.Board.Settings.Adopt(view) {
 		return settings.ErrNotNewer
 	}
-	c.Record.Metrics.Revision.Set(float64(next.Revision))
-	c.Record.Reach(blackboard.StageSettings)
-	c.Record.Record(decision.Record{Kind: decision.KindSettings, Outcome: "adopted", Revision: next.Revision,
+	c.Recorder.Metrics.Revision.Set(float64(next.Revision))
+	c.Recorder.Reach(blackboard.StageSettings)
+	c.Recorder.Record(decision.Record{Kind: decision.KindSettings, Outcome: "adopted", Revision: next.Revision,
 		Reason: fmt.Sprintf("from %s, %d parts, %d accounts, checked in %v", from, len(next.Parts), len(tree.Accounts()), time.Since(start).Round(time.Millisecond))})
-	c.Adopted(view)
+	c.OnAdopt(view)
 	return nil
 }
 
@@ -172,10 +172,10 @@
 		return
 	}
 	c.Board.Settings.Reject(blackboard.Rejection{Revision: revision, Reason: err.Error(), At: time.Now()})
-	c.Record.Record(decision.Record{Kind: decision.KindSettings, Outcome: "rejected", Revision: revision, Reason: "from " + from + ": " + err.Error()})
+	c.Recorder.Record(decision.Record{Kind: decision.KindSettings, Outcome: "rejected", Revision: revision, Reason: "from " + from + ": " + err.Error()})
 }
 
-func contents(s settings.Snapshot) map[string][]byte {
+func partData(s settings.Snapshot) map[string][]byte {
 	contents := make(map[string][]byte, len(s.Parts))
 	for key, part := range s.Parts {
 		contents[key] = part.Data
--- a/node/daemon/daemon.go
+++ b/node/daemon/daemon.go
@@ -117,10 +117,10 @@
 	client := target.NewClient()
 	d.targets = client
 	d.service = &confservice.Client{
-		ConfigURL: d.Config.Platform.Configuration,
-		HostsURL:  d.Config.Platform.Hosts,
-		Prefix:    d.Config.Platform.Prefix,
-		HTTP:      &http.Client{},
+		ConfigURL:  d.Config.Platform.Configuration,
+		HostsURL:   d.Config.Platform.Hosts,
+		Prefix:     d.Config.Platform.Prefix,
+		HTTPClient: &http.Client{},
 	}
 	var source controller.SettingsSource = d.service
 	parse := d.service.ParseParts
@@ -129,27 +129,27 @@
 	}
 	d.director = &requestcontrol.Director{Board: d.Board, Targets: client, Recorder: d.record, SuspendedTime: clock.SuspendedTime, RetryPolicy: requestcontrol.DefaultRetryPolicy()}
 	d.settings = &controller.Settings{
-		Board:    d.Board,
-		Platform: source,
-		Record:   d.record,
-		Parse:    parse,
-		Watches:  d.watches,
-		Adopted:  func(*blackboard.SettingsView) { d.adopted() },
+		Board:       d.Board,
+		Source:      source,
+		Recorder:    d.record,
+		Parse:       parse,
+		ShouldWatch: d.watches,
+		OnAdopt:     func(*blackboard.SettingsView) { d.adopted() },
 	}
 	d.hub = peer.NewHub(d.Config.Name, d.Config.PeerKeys, d.Metrics)
-	d.hub.LogTo(d.Log)
+	d.hub.SetLogger(d.Log)
 	d.cluster = cluster.New(d.Board, d.hub, d.record, d.settings, client)
 	d.director.Claimer, d.director.ShareRequester, d.director.CrashReporter = d.cluster, d.cluster, d.cluster
 	d.Board.Accounts.SetShares(d.Board.Shares.Share)
-	pause := &controller.Pause{Board: d.Board, Record: d.record, Slept: clock.SuspendedTime, Void: d.cluster.Void}
+	pause := &controller.PauseDetector{Board: d.Board, Recorder: d.record, SuspendedTime: clock.SuspendedTime, OnPause: d.cluster.Void}
 	workers := &worker.Pool{Board: d.Board, Size: d.Config.Workers}
 	d.loops = []func(context.Context){d.settings.Run, pause.Run, workers.Run, d.cluster.Run}
 	if d.adapter != nil {
 		d.adapt()
 		return
 	}
-	reports := &controller.Reports{Board: d.Board, Client: client, Record: d.record, PollsPerSecond: d.Config.ReportPolls}
-	hosts := &controller.Hosts{Board: d.Board, Platform: d.service, Record: d.record, Every: controller.HostsEvery}
+	reports := &controller.LoadPoller{Board: d.Board, Client: client, Recorder: d.record, PollsPerSecond: d.Config.ReportPollsPerSecond}
+	hosts := &controller.HostList{Board: d.Board, Source: d.service, Recorder: d.record, Interval: controller.HostListInterval}
 	d.loops = append(d.loops, hosts.Run, reports.Run)
 }
 
@@ -159,16 +159,16 @@
 
 // adapt provisions what is different on a platform.
 func (d *Daemon) adapt() {
-	d.settings.Watch = feedWait
-	directory := &controller.Directory{Board: d.Board, Source: d.adapter.Targets, Record: d.record, Watches: d.watches, Changed: d.cluster.Poke, Hold: watch.HoldTime(d.adapter.Settles)}
+	d.settings.MaxHold = feedWait
+	directory := &controller.Directory{Board: d.Board, Source: d.adapter.Targets, Recorder: d.record, ShouldWatch: d.watches, OnChange: d.cluster.Poke, MaxHold: watch.HoldTime(d.adapter.Settles)}
 	d.cluster.Directory = directory
 	d.Adapt(d.adapter.Seeds, d.adapter.Repeats, d.adapter.Grace)
 	d.Board.Members.Open()
 	d.director.Placer = d.cluster.Placements
 	d.cluster.MembersOnly = true
 	d.director.Exchanger = target.NewExchanger(d.adapter.Dialect)
-	paces := &controller.Paces{Board: d.Board, Exchange: d.director.Exchanger, Record: d.record, Coordinates: d.cluster.Placements.Coordinates}
-	lag := &controller.Lag{Board: d.Board, Record: d.record}
+	paces := &controller.SlowdownPoller{Board: d.Board, Exchanger: d.director.Exchanger, Recorder: d.record, Coordinates: d.cluster.Placements.Coordinates}
+	lag := &controller.LagMonitor{Board: d.Board, Recorder: d.record}
 	d.loops = append(d.loops, lag.Run, directory.Run, d.director.Exchanger.Run, paces.Run)
 }
 
--- a/node/onplatform/herd_test.go
+++ b/node/onplatform/herd_test.go
@@ -41,7 +41,7 @@
 		}
 		go func() {
 			pass(d.starts + herdReads)
-			if err := d.settings.Offer(changes, "store"); err != nil && !errors.Is(err, settings.ErrNotNewer) {
+			if err := d.settings.Apply(changes, "store"); err != nil && !errors.Is(err, settings.ErrNotNewer) {
 				f.t.Error(err)
 			}
 			d.board.MergeFacts(hostlist.Update{Full: true, AsOf: 1, Hosts: []hostlist.Host{{
@@ -144,10 +144,10 @@
 		pass(5 * time.Second)
 		leaver := f.network.Add("10.0.1.1:8229", strongLink)
 		hub := peer.NewHub("leaver", []string{fleetKey}, telemetry.NewMetrics())
-		hub.DialWith(leaver.Client())
+		hub.SetHTTPClient(leaver.Client())
 		for _, name := range []string{"first", "second"} {
 			rumors := []membership.Rumor{{Name: name, Incarnation: 1, Address: "10.0.1.2:8229", DataCentre: "dc0", Region: "r"}}
-			if err := hub.Tell(t.Context(), peer.Address{Name: "edge-0", Address: fleetSeed}, peer.KindRumor, rumors); err != nil {
+			if err := hub.Notify(t.Context(), peer.Address{Name: "edge-0", Address: fleetSeed}, peer.KindRumor, rumors); err != nil {
 				t.Fatal(err)
 			}
 			pass(5 * time.Millisecond)
--- a/node/onplatform/limit_fleet_test.go
+++ b/node/onplatform/limit_fleet_test.go
@@ -125,7 +125,7 @@
 		})
 	}
 	for i, d := range f.daemons {
-		if err := d.settings.Offer(changes, "store"); err != nil && !errors.Is(err, settings.ErrNotNewer) {
+		if err := d.settings.Apply(changes, "store"); err != nil && !errors.Is(err, settings.ErrNotNewer) {
 			f.t.Fatal(err)
 		}
 		d.board.MergeFacts(facts, time.Now())
--- a/node/onplatform/spread_test.go
+++ b/node/onplatform/spread_test.go
@@ -152,13 +152,13 @@
 	d.metrics = telemetry.NewMetrics()
 	record := &telemetry.Recorder{Board: d.board, Log: slog.New(f.dead), Metrics: d.metrics}
 	hub := peer.NewHub(d.name, []string{fleetKey}, d.metrics)
-	hub.DialWith(d.host.Client())
+	hub.SetHTTPClient(d.host.Client())
 	d.settings = &controller.Settings{
-		Board: d.board, Record: record, Watches: func() bool { return f.watches(d) },
+		Board: d.board, Recorder: record, ShouldWatch: func() bool { return f.watches(d) },
 		Parse:   f.parseAt(check),
-		Adopted: func(*blackboard.SettingsView) { d.cluster.Poke() },
+		OnAdopt: func(*blackboard.SettingsView) { d.cluster.Poke() },
 	}
-	d.directory = &controller.Directory{Board: d.board, Record: record, Changed: func() { d.cluster.Poke() }}
+	d.directory = &controller.Directory{Board: d.board, Recorder: record, OnChange: func() { d.cluster.Poke() }}
 	d.cluster = cluster.New(d.board, hub, record, d.settings, nil)
 	d.cluster.Directory, d.cluster.MembersOnly = d.directory, true
 	d.cluster.SetSeeds([]string{fleetSeed})
@@ -212,7 +212,7 @@
 			continue
 		}
 		go func() {
-			if err := d.settings.Offer(changes, "store"); err != nil {
+			if err := d.settings.Apply(changes, "store"); err != nil {
 				f.t.Error(err)
 			}
 		}()
@@ -230,7 +230,7 @@
 
 // tell gives one daemon the store's word that a target leaves.
 func (f *spreadFleet) tell(d *spreadDaemon, id string, revision hostlist.Position) {
-	d.directory.MergeFrom("store", hostlist.Update{AsOf: revision, Confirmed: true, Hosts: []hostlist.Host{{
+	d.directory.MergeFromPeer("store", hostlist.Update{AsOf: revision, Confirmed: true, Hosts: []hostlist.Host{{
 		ID: id, Role: hostlist.RoleTarget, Address: "10.1.0.1:1", Pool: "svc", State: hostlist.Leaving, Revision: revision,
 	}}})
 }
--- a/node/peer/ask.go
+++ b/node/peer/ask.go
@@ -7,15 +7,15 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// RefusedError is a peer's own word that it does not answer a question.
-type RefusedError struct{ Text string }
+// RemoteError is a peer's own word that it does not answer a question.
+type RemoteError struct{ Message string }
 
 // Error implements error.
-func (e *RefusedError) Error() string { return "the peer answered: " + e.Text }
+func (e *RemoteError) Error() string { return "the peer answered: " + e.Message }
 
 // AskAt sends a question to whoever listens at an address, and returns its name. The
 // link is kept under that name.
-func (h *Hub) AskAt(ctx context.Context, address string, kind Kind, in, out any) (string, error) {
+func (h *Hub) CallAt(ctx context.Context, address string, kind Kind, in, out any) (string, error) {
 	body, err := encode(in)
 	if err != nil {
 		return "", err
@@ -24,7 +24,7 @@
 	if err != nil {
 		return "", err
 	}
-	answer, err := l.ask(ctx, kind, body, 0)
+	answer, err := l.call(ctx, kind, body, 0)
 	if err != nil {
 		return l.peer, err
 	}
@@ -32,22 +32,22 @@
 }
 
 // Ask sends a question to a peer and decodes its answer into out.
-func (h *Hub) Ask(ctx context.Context, to Address, kind Kind, in, out any) error {
-	return h.AskPatiently(ctx, to, kind, in, out, 0)
+func (h *Hub) Call(ctx context.Context, to Address, kind Kind, in, out any) error {
+	return h.CallWithIdleTimeout(ctx, to, kind, in, out, 0)
 }
 
 // AskPatiently is Ask for a large answer: it is waited for as long as something comes over the
 // link, and given up when nothing has come for silence; zero leaves the bound to ctx.
-func (h *Hub) AskPatiently(ctx context.Context, to Address, kind Kind, in, out any, silence time.Duration) error {
+func (h *Hub) CallWithIdleTimeout(ctx context.Context, to Address, kind Kind, in, out any, silence time.Duration) error {
 	body, err := encode(in)
 	if err != nil {
 		return err
 	}
-	l, err := h.linkWithin(ctx, to, silence)
+	l, err := h.linkWithTimeout(ctx, to, silence)
 	if err != nil {
 		return err
 	}
-	answer, err := l.ask(ctx, kind, body, silence)
+	answer, err := l.call(ctx, kind, body, silence)
 	if err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 
 // linkWithin returns a link that is open, or can be opened in some time; zero leaves the bound
 // to ctx.
-func (h *Hub) linkWithin(ctx context.Context, to Address, most time.Duration) (*link, error) {
+func (h *Hub) linkWithTimeout(ctx context.Context, to Address, most time.Duration) (*link, error) {
 	if most > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, most)
@@ -66,7 +66,7 @@
 }
 
 // Tell sends news to a peer over an open link, or over a new one.
-func (h *Hub) Tell(ctx context.Context, to Address, kind Kind, in any) error {
+func (h *Hub) Notify(ctx context.Context, to Address, kind Kind, in any) error {
 	body, err := encode(in)
 	if err != nil {
 		return err
--- a/node/peer/frame.go
+++ b/node/peer/frame.go
@@ -18,33 +18,33 @@
 
 // The kinds of messages. Numbers are part of the protocol and never used again.
 const (
-	KindChallenge Kind = 1
-	KindHello     Kind = 2
-	KindWelcome   Kind = 3
-	KindHeartbeat Kind = 4
-	KindRumor     Kind = 5
-	KindSettings  Kind = 6
-	KindClaim     Kind = 7
-	KindGiveUp    Kind = 8
-	KindConclude  Kind = 9
-	KindOutcome   Kind = 10
-	KindRenew     Kind = 11
-	KindAcquire   Kind = 12
-	KindExplain   Kind = 13
-	KindHosts     Kind = 14
-	KindHoldings  Kind = 15
-	KindJoin      Kind = 16
-	KindTargets   Kind = 17
-	KindPlace     Kind = 18
-	KindPlaced    Kind = 19
-	KindProgress  Kind = 20
-	KindChanges   Kind = 21
-	KindDigests   Kind = 22
-	KindCrash     Kind = 23
-	KindVerdicts  Kind = 24
-	KindFacts     Kind = 25
-	KindTrial     Kind = 26
-	KindLimit     Kind = 27
+	KindChallenge       Kind = 1
+	KindHello           Kind = 2
+	KindWelcome         Kind = 3
+	KindHeartbeat       Kind = 4
+	KindRumor           Kind = 5
+	KindSettings        Kind = 6
+	KindClaim           Kind = 7
+	KindGiveUp          Kind = 8
+	KindConclude        Kind = 9
+	KindOutcome         Kind = 10
+	KindRenew           Kind = 11
+	KindAcquire         Kind = 12
+	KindExplain         Kind = 13
+	KindHosts           Kind = 14
+	KindHoldings        Kind = 15
+	KindJoin            Kind = 16
+	KindTargets         Kind = 17
+	KindPlace           Kind = 18
+	KindPlaced          Kind = 19
+	KindProgress        Kind = 20
+	KindSettingsChanges Kind = 21
+	KindDigests         Kind = 22
+	KindCrash           Kind = 23
+	KindVerdicts        Kind = 24
+	KindFacts           Kind = 25
+	KindTrial           Kind = 26
+	KindLimit           Kind = 27
 )
 
 var kindNames = map[Kind]string{
@@ -54,7 +54,7 @@
 	KindExplain: "explain", KindHosts: "hosts", KindHoldings: "holdings",
 	KindJoin: "join", KindTargets: "targets",
 	KindPlace: "place", KindPlaced: "placed", KindProgress: "progress",
-	KindChanges: "settings_changes", KindDigests: "digests",
+	KindSettingsChanges: "settings_changes", KindDigests: "digests",
 	KindCrash: "crash", KindVerdicts: "verdicts", KindFacts: "facts", KindTrial: "trial", KindLimit: "limit",
 }
 
@@ -70,9 +70,9 @@
 // unless told otherwise: a key that a caller made 2.9 s after a witness had started seemed less
 // than 2 s younger, and the claim was refused (TestAKeyIsAsOldAtEveryWitness). Daemons that write
 // whole seconds read both forms.
-func encode(message any) ([]byte, error) { return encoding.Marshal(message) }
+func encode(message any) ([]byte, error) { return encodingMode.Marshal(message) }
 
-var encoding = func() cbor.EncMode {
+var encodingMode = func() cbor.EncMode {
 	mode, err := cbor.EncOptions{Time: cbor.TimeRFC3339NanoUTC}.EncMode()
 	if err != nil {
 		panic(err) // The options are constants.
@@ -80,8 +80,8 @@
 	return mode
 }()
 
-// MaxFrame bounds a frame: a whole settings tree of a large fleet fits.
-const MaxFrame = 8 << 20
+// MaxFrameSize bounds a frame: a whole settings tree of a large fleet fits.
+const MaxFrameSize = 8 << 20
 
 // Frame is one message.
 type Frame struct {
@@ -114,22 +114,22 @@
 	Proof []byte `cbor:"1,keyasint"`
 }
 
-const nonceBytes = 16
+const nonceSize = 16
 
 func newNonce() []byte {
-	nonce := make([]byte, nonceBytes)
+	nonce := make([]byte, nonceSize)
 	_, _ = rand.Read(nonce) // It never fails; see the package's documentation.
 	return nonce
 }
 
 // The two directions of a proof, so that one cannot be sent back as the other.
 const (
-	proofOfClient = "doorstack client"
-	proofOfServer = "doorstack server"
+	clientProofLabel = "doorstack client"
+	serverProofLabel = "doorstack server"
 )
 
-// proof shows that the key is known without telling it.
-func proof(key []byte, direction, client, server string, clientNonce, serverNonce []byte) []byte {
+// computeProof shows that the key is known without telling it.
+func computeProof(key []byte, direction, client, server string, clientNonce, serverNonce []byte) []byte {
 	mac := hmac.New(sha256.New, key)
 	for _, part := range [][]byte{[]byte(direction), []byte(client), []byte(server), clientNonce, serverNonce} {
 		_, _ = mac.Write([]byte{byte(len(part))}) // A hash never fails.
@@ -138,14 +138,14 @@
 	return mac.Sum(nil)
 }
 
-var errNoKey = errors.New("the peer does not know any of our keys; give all daemons the same peer_keys")
+var errUnknownKey = errors.New("the peer does not know any of our keys; give all daemons the same peer_keys")
 
-// knownKey finds the key that a proof was made with.
-func knownKey(keys [][]byte, check func(key []byte) []byte, got []byte) ([]byte, error) {
+// findKey finds the key that a proof was made with.
+func findKey(keys [][]byte, check func(key []byte) []byte, got []byte) ([]byte, error) {
 	for _, key := range keys {
 		if hmac.Equal(check(key), got) {
 			return key, nil
 		}
 	}
-	return nil, errNoKey
+	return nil, errUnknownKey
 }
--- a/node/peer/handshake.go
+++ b/node/peer/handshake.go
@@ -23,13 +23,13 @@
 	if err := readFrame(ctx, conn, KindHello, &in); err != nil {
 		return "", err
 	}
-	key, err := knownKey(h.keys, func(key []byte) []byte {
-		return proof(key, proofOfClient, in.Name, h.self, in.Nonce, nonce)
+	key, err := findKey(h.keys, func(key []byte) []byte {
+		return computeProof(key, clientProofLabel, in.Name, h.self, in.Nonce, nonce)
 	}, in.Proof)
 	if err != nil {
 		return "", err
 	}
-	return in.Name, writeFrame(ctx, conn, KindWelcome, welcome{Proof: proof(key, proofOfServer, in.Name, h.self, in.Nonce, nonce)})
+	return in.Name, writeFrame(ctx, conn, KindWelcome, welcome{Proof: computeProof(key, serverProofLabel, in.Name, h.self, in.Nonce, nonce)})
 }
 
 // dialHandshake proves who both sides are. An empty name takes whoever answers.
@@ -45,7 +45,7 @@
 		return "", errors.New("another daemon answers at the peer's address: " + c.Name)
 	}
 	nonce := newNonce()
-	out := hello{Name: h.self, Nonce: nonce, Proof: proof(h.keys[0], proofOfClient, h.self, name, nonce, c.Nonce)}
+	out := hello{Name: h.self, Nonce: nonce, Proof: computeProof(h.keys[0], clientProofLabel, h.self, name, nonce, c.Nonce)}
 	if err := writeFrame(ctx, conn, KindHello, out); err != nil {
 		return "", err
 	}
@@ -53,8 +53,8 @@
 	if err := readFrame(ctx, conn, KindWelcome, &in); err != nil {
 		return "", err
 	}
-	_, err := knownKey(h.keys[:1], func(key []byte) []byte {
-		return proof(key, proofOfServer, h.self, name, nonce, c.Nonce)
+	_, err := findKey(h.keys[:1], func(key []byte) []byte {
+		return computeProof(key, serverProofLabel, h.self, name, nonce, c.Nonce)
 	}, in.Proof)
 	return name, err
 }
--- a/node/peer/hub.go
+++ b/node/peer/hub.go
@@ -47,17 +47,17 @@
 }
 
 // LogTo sets where frames that waited long are reported. It is set before the hub is used.
-func (h *Hub) LogTo(log *slog.Logger) { h.log = log }
+func (h *Hub) SetLogger(log *slog.Logger) { h.log = log }
 
 // DialWith sets the client that opens links, for networks other than the host's own. It is
 // set before the hub is used.
-func (h *Hub) DialWith(client *http.Client) { h.client = client }
+func (h *Hub) SetHTTPClient(client *http.Client) { h.client = client }
 
 // Handle sets the handler of a kind. All are set before the hub is used.
 func (h *Hub) Handle(kind Kind, serve Handler) { h.handlers[kind] = serve }
 
-// Serve wraps a typed function as a handler.
-func Serve[In, Out any](serve func(ctx context.Context, from string, in In) (Out, error)) Handler {
+// TypedHandler wraps a typed function as a handler.
+func TypedHandler[In, Out any](serve func(ctx context.Context, from string, in In) (Out, error)) Handler {
 	return func(ctx context.Context, from string, body cbor.RawMessage) (any, error) {
 		var in In
 		if err := cbor.Unmarshal(body, &in); err != nil {
@@ -67,38 +67,38 @@
 	}
 }
 
-func (h *Hub) count(direction string, kind Kind, bytes int) {
+func (h *Hub) countFrame(direction string, kind Kind, bytes int) {
 	h.metrics.PeerFrames.WithLabelValues(direction, kind.String()).Inc()
 	h.metrics.PeerBytes.WithLabelValues(direction, kind.String()).Add(float64(bytes))
 }
 
-// longWait is the time for which a frame waits to be written until a line tells of it: a
+// minLoggedWait is the time for which a frame waits to be written until a line tells of it: a
 // quarter of the time in which a heartbeat has to be answered.
-const longWait = 250 * time.Millisecond
+const minLoggedWait = 250 * time.Millisecond
 
 // written notes how long a frame waited behind others and took to be written.
-func (h *Hub) written(to string, out outgoing) {
+func (h *Hub) recordWrite(to string, out queuedFrame) {
 	waited := time.Since(out.queued)
 	h.metrics.PeerWait.WithLabelValues(out.kind.String()).Observe(waited.Seconds())
-	if waited > longWait {
+	if waited > minLoggedWait {
 		h.log.Warn("a frame waited to be sent", "peer", to, "frame", out.kind.String(), "bytes", len(out.data), "waited_ms", waited.Milliseconds())
 	}
 }
 
-func (h *Hub) refused(reason string) { h.metrics.PeerRefused.WithLabelValues(reason).Inc() }
+func (h *Hub) countRefused(reason string) { h.metrics.PeerRefused.WithLabelValues(reason).Inc() }
 
 // Handler accepts links of peers.
 func (h *Hub) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		conn, err := websocket.Accept(w, r, nil)
 		if err != nil {
-			h.refused("not_a_websocket")
+			h.countRefused("not_a_websocket")
 			return
 		}
-		conn.SetReadLimit(MaxFrame)
+		conn.SetReadLimit(MaxFrameSize)
 		name, err := h.acceptHandshake(conn)
 		if err != nil {
-			h.refused("bad_proof")
+			h.countRefused("bad_proof")
 			_ = conn.Close(websocket.StatusPolicyViolation, "bad proof")
 			return
 		}
@@ -107,12 +107,12 @@
 			return
 		}
 		l := newLink(h, name, conn)
-		h.add(l)
+		h.addLink(l)
 		l.run(h.ctx)
 	})
 }
 
-func (h *Hub) add(l *link) {
+func (h *Hub) addLink(l *link) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	// The newest link wins: a peer that dials again has lost the one before. Two
@@ -120,7 +120,7 @@
 	h.links[l.peer] = l
 }
 
-func (h *Hub) forget(l *link) {
+func (h *Hub) removeLink(l *link) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.links[l.peer] == l {
@@ -155,7 +155,7 @@
 		h.mu.Unlock()
 		select {
 		case <-pending:
-			if !h.linked(to.Name) {
+			if !h.hasLink(to.Name) {
 				return nil, errClosed
 			}
 		case <-ctx.Done():
@@ -164,7 +164,7 @@
 	}
 }
 
-func (h *Hub) linked(name string) bool {
+func (h *Hub) hasLink(name string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.links[name] != nil
@@ -190,21 +190,21 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "dial "+to.Name+" at "+to.Address)
 	}
-	conn.SetReadLimit(MaxFrame)
+	conn.SetReadLimit(MaxFrameSize)
 	name, err := h.dialHandshake(ctx, conn, to.Name)
 	if err != nil {
-		h.refused("bad_proof")
+		h.countRefused("bad_proof")
 		_ = conn.CloseNow()
 		return nil, errors.Wrap(err, "greet "+to.Name+" at "+to.Address)
 	}
 	l := newLink(h, name, conn)
-	h.add(l)
+	h.addLink(l)
 	go l.run(h.ctx)
 	return l, nil
 }
 
 // Linked lists the peers with an open link.
-func (h *Hub) Linked() []string {
+func (h *Hub) LinkedPeers() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	names := make([]string, 0, len(h.links))
@@ -214,16 +214,16 @@
 	return names
 }
 
-// idleLink is how long an unused link is kept.
-const idleLink = 5 * time.Minute
+// linkIdleTimeout is how long an unused link is kept.
+const linkIdleTimeout = 5 * time.Minute
 
 // CloseIdle closes links that carried no question for long and are not wanted.
 func (h *Hub) CloseIdle(wanted func(name string) bool) {
-	limit := time.Now().Add(-idleLink).Unix()
+	limit := time.Now().Add(-linkIdleTimeout).Unix()
 	h.mu.Lock()
 	var idle []*link
 	for name, l := range h.links {
-		if !wanted(name) && l.used.Load() < limit {
+		if !wanted(name) && l.lastCallAt.Load() < limit {
 			idle = append(idle, l)
 		}
 	}
--- a/node/peer/peer_test.go
+++ b/node/peer/peer_test.go
@@ -12,21 +12,21 @@
 	"github.com/prometheus/client_golang/prometheus/testutil"
 )
 
-type question struct {
+type testMessage struct {
 	Text string `cbor:"1,keyasint"`
 }
 
-// newer is a question of a later version, with a field that this one lacks.
-type newer struct {
+// newerMessage is a question of a later version, with a field that this one lacks.
+type newerMessage struct {
 	Text  string `cbor:"1,keyasint"`
 	Extra int    `cbor:"9,keyasint"`
 }
 
-func serve(t *testing.T, name string, keys ...string) (*Hub, Address) {
+func startServer(t *testing.T, name string, keys ...string) (*Hub, Address) {
 	t.Helper()
 	h := NewHub(name, keys, telemetry.NewMetrics())
-	h.Handle(KindExplain, Serve(func(_ context.Context, from string, q question) (question, error) {
-		return question{Text: from + " asked " + q.Text}, nil
+	h.Handle(KindExplain, TypedHandler(func(_ context.Context, from string, q testMessage) (testMessage, error) {
+		return testMessage{Text: from + " asked " + q.Text}, nil
 	}))
 	s := httptest.NewServer(h.Handler())
 	t.Cleanup(func() { h.Close(); s.Close() })
@@ -38,7 +38,7 @@
 	newKey = "the-new-key-of-all-daemons"
 )
 
-func TestPeersProveTheirKeyAndKeysRotate(t *testing.T) {
+func TestHandshakeAcceptsOnlySharedKeys(t *testing.T) {
 	cases := map[string]struct {
 		client, server []string
 		ok             bool
@@ -50,11 +50,11 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			server, address := serve(t, "server", c.server...)
+			server, address := startServer(t, "server", c.server...)
 			client := NewHub("client", c.client, telemetry.NewMetrics())
 			defer client.Close()
-			var answer question
-			err := client.Ask(context.Background(), address, KindExplain, question{"why"}, &answer)
+			var answer testMessage
+			err := client.Call(context.Background(), address, KindExplain, testMessage{"why"}, &answer)
 			if (err == nil) != c.ok {
 				t.Fatalf("got %v", err)
 			}
@@ -68,31 +68,31 @@
 	}
 }
 
-func TestAPeerAtAnotherNameIsNotTrusted(t *testing.T) {
-	_, address := serve(t, "server", oldKey)
+func TestCallRejectsPeerWithUnexpectedName(t *testing.T) {
+	_, address := startServer(t, "server", oldKey)
 	client := NewHub("client", []string{oldKey}, telemetry.NewMetrics())
 	defer client.Close()
 	address.Name = "other"
-	if err := client.Ask(context.Background(), address, KindExplain, question{}, &question{}); err == nil {
+	if err := client.Call(context.Background(), address, KindExplain, testMessage{}, &testMessage{}); err == nil {
 		t.Fatal("a daemon at a reused address is taken for the one that had it")
 	}
 }
 
-func TestOtherVersionsAreUnderstood(t *testing.T) {
-	_, address := serve(t, "server", oldKey)
+func TestUnknownFieldsAndKindsAreTolerated(t *testing.T) {
+	_, address := startServer(t, "server", oldKey)
 	client := NewHub("client", []string{oldKey}, telemetry.NewMetrics())
 	defer client.Close()
-	var answer question
-	if err := client.Ask(context.Background(), address, KindExplain, newer{"later", 7}, &answer); err != nil || answer.Text != "client asked later" {
+	var answer testMessage
+	if err := client.Call(context.Background(), address, KindExplain, newerMessage{"later", 7}, &answer); err != nil || answer.Text != "client asked later" {
 		t.Fatalf("an unknown field: %v %q", err, answer.Text)
 	}
-	if err := client.Ask(context.Background(), address, Kind(200), question{}, &answer); err == nil {
+	if err := client.Call(context.Background(), address, Kind(200), testMessage{}, &answer); err == nil {
 		t.Fatal("an unknown kind is answered")
 	}
-	if err := client.Tell(context.Background(), address, Kind(200), question{}); err != nil {
+	if err := client.Notify(context.Background(), address, Kind(200), testMessage{}); err != nil {
 		t.Fatal(err)
 	}
-	if err := client.Ask(context.Background(), address, KindExplain, question{"still there"}, &answer); err != nil {
+	if err := client.Call(context.Background(), address, KindExplain, testMessage{"still there"}, &answer); err != nil {
 		t.Fatalf("an unknown kind broke the link: %v", err)
 	}
 }
@@ -109,17 +109,17 @@
 		if cbor.Unmarshal(data, &frame) != nil {
 			return
 		}
-		var q question
+		var q testMessage
 		_ = cbor.Unmarshal(frame.Body, &q)
 	})
 }
 
-// TestASilentLinkIsGivenUp: a link on which nothing comes while questions wait is closed
+// TestSilentLinkIsClosed: a link on which nothing comes while questions wait is closed
 // and the next question dials; one that only was not needed for long is kept.
-func TestASilentLinkIsGivenUp(t *testing.T) {
-	server, address := serve(t, "server", oldKey)
+func TestSilentLinkIsClosed(t *testing.T) {
+	server, address := startServer(t, "server", oldKey)
 	muted := make(chan struct{})
-	server.Handle(KindHosts, Serve(func(ctx context.Context, _ string, q question) (question, error) {
+	server.Handle(KindHosts, TypedHandler(func(ctx context.Context, _ string, q testMessage) (testMessage, error) {
 		select {
 		case <-muted:
 		case <-ctx.Done():
@@ -131,7 +131,7 @@
 	ask := func(kind Kind, within time.Duration) error {
 		ctx, cancel := context.WithTimeout(context.Background(), within)
 		defer cancel()
-		return client.Ask(ctx, address, kind, question{"why"}, &question{})
+		return client.Call(ctx, address, kind, testMessage{"why"}, &testMessage{})
 	}
 	open := func() *link {
 		client.mu.Lock()
@@ -150,7 +150,7 @@
 	if ask(KindHosts, soon) == nil || open() != first {
 		t.Fatal("one question without an answer ends the link")
 	}
-	first.closeIfSilent(time.Now().Add(silentAfter))
+	first.closeIfSilent(time.Now().Add(silenceTimeout))
 	if open() != nil {
 		t.Fatal("a silent link is kept")
 	}
