--- a/node/controller/directory.go
+++ b/node/controller/directory.go
@@ -12,91 +12,96 @@
 	"doorstack.dev/node/telemetry"
 )
 
-// TargetSource publishes an entry for each target. It is read only.
+// TargetSource reads the platform's store, which publishes an entry for each target.
 type TargetSource interface {
-	// Targets returns all entries or what changed since the last call, for which it
-	// waits. An answer has to begin within patience after that; zero leaves the time to
-	// the source.
-	Targets(ctx context.Context, wait, patience time.Duration) (hostlist.Update, error)
+	// Targets returns all entries, or the changes since the previous call. It waits up to
+	// wait for a change. The answer has to begin within timeout after that; a timeout of zero
+	// selects the source's default.
+	Targets(ctx context.Context, wait, timeout time.Duration) (hostlist.Update, error)
 }
 
-// Directory keeps the targets of a platform that publishes entries.
+// Directory keeps the list of targets up to date on platforms that publish an entry for each
+// target in a store. It merges what the store and the other daemons report.
 type Directory struct {
 	Board    *blackboard.Blackboard
 	Source   TargetSource
 	Recorder *telemetry.Recorder
-	// Watches tells whether this daemon is one of the few that watch the store; the others
-	// learn from their peers.
+	// ShouldWatch reports whether this daemon is one of the few that watch the store; the
+	// others learn of changes from their peers.
 	ShouldWatch func() bool
-	// Changed is called after each change of the list, to tell the peers at once.
+	// OnChange is called after each change of the list, so that the peers are told at once.
 	OnChange func()
-	// Hold is the longest time that a watch is held.
+	// MaxHold is the longest time for which a call waits for a change.
 	MaxHold time.Duration
 
-	// busy counts the reads in a row that brought news.
+	// consecutiveChanges counts the reads in a row that returned changes.
 	consecutiveChanges int
-	// era is the store's when it last answered.
+	// era is the highest era that the store has reported; the store starts a new era when it is
+	// restored from a backup.
 	era int64
 }
 
 const (
-	// storeBackoffInitial is the mean pause after a read of the store that failed, and
-	// storeBackoffMax the longest it grows to: each call is paid for, refused ones too,
-	// and a configuration has to be in force 2 s after the store takes it.
+	// storeBackoffInitial is the mean delay before a failed read of the store is retried, and
+	// storeBackoffMax the mean delay after repeated failures. Each call is charged, refused ones
+	// included, but a configuration has to be in force 2 s after the store accepts it.
 	storeBackoffInitial = 200 * time.Millisecond
 	storeBackoffMax     = 800 * time.Millisecond
-	// outageHold is how long a watch is held while the store is away.
+	// outageHold is the hold time while the store is down.
 	outageHold = time.Millisecond
-	// gather is the pause after news, so that changes that come close together, as at a
-	// release, cost one call. It doubles up to maxCoalesceDelay while each call brings news: short
-	// against the 2 s in which news must be in force.
+	// coalesceDelay is the delay after a read that returned changes, so that changes in quick
+	// succession, as during a release, cost one call. It doubles up to maxCoalesceDelay while
+	// each call returns changes; both are short against the 2 s in which a change must be in
+	// force.
 	coalesceDelay    = 150 * time.Millisecond
 	maxCoalesceDelay = 400 * time.Millisecond
-	// peerDiscoveryDelay is how long a fresh daemon that knows nobody leaves the watch to others after
-	// its first read: where all hosts start together each would hold one of its own until it
-	// has found those that watch.
+	// peerDiscoveryDelay is how long a daemon that knows no other daemon waits after its first
+	// read. When all hosts start together, each would otherwise hold a watch of its own until it
+	// has discovered the daemons that watch.
 	peerDiscoveryDelay = time.Second
-	// minFullReadDelay and maxFullReadDelay bound how long a daemon that has read the first page of a long list leaves
-	// the others to the daemons that watch the store, which tell it of all: where hundreds of
-	// hosts start together, each with thousands of targets to read, the store's link is full for seconds.
+	// minFullReadDelay and maxFullReadDelay bound how long a daemon that does not watch waits,
+	// after the first page of a long list, for its peers to send the rest before it reads the
+	// rest itself. Hundreds of hosts that start together and read thousands of targets each
+	// saturate the store's link for seconds.
 	minFullReadDelay = 2 * time.Second
 	maxFullReadDelay = 3500 * time.Millisecond
-	// incompleteCheckInterval is how often such a daemon looks whether it has been told.
+	// incompleteCheckInterval is how often such a daemon checks whether its list is complete.
 	incompleteCheckInterval = 50 * time.Millisecond
-	// removalCheckInterval is how often doubts are looked at.
+	// removalCheckInterval is how often unconfirmed removals are checked.
 	removalCheckInterval = 250 * time.Millisecond
 )
 
-// Run reads and watches until ctx ends.
+// Run reads and watches the store until ctx ends. A daemon that does not watch reads the store
+// until it knows the hosts, and then once every fallbackReadInterval.
 func (c *Directory) Run(ctx context.Context) {
 	go c.confirmRemovals(ctx)
 	pause := storeBackoffInitial
-	read := time.Time{}
-	away := false
-	rest := minFullReadDelay + rand.N(maxFullReadDelay-minFullReadDelay)
+	lastRead := time.Time{}
+	failed := false
+	fullReadDelay := minFullReadDelay + rand.N(maxFullReadDelay-minFullReadDelay)
 	for ctx.Err() == nil {
 		if !c.ShouldWatch() && c.Board.Members.HasHosts() {
-			if incomplete := c.Board.Directory.Incomplete(); incomplete && time.Since(read) < rest {
+			if incomplete := c.Board.Directory.Incomplete(); incomplete && time.Since(lastRead) < fullReadDelay {
 				Sleep(ctx, incompleteCheckInterval)
 				continue
-			} else if !incomplete && time.Since(read) < fallbackReadInterval {
+			} else if !incomplete && time.Since(lastRead) < fallbackReadInterval {
 				Sleep(ctx, idleCheckInterval)
 				continue
 			}
 		}
-		first := read.IsZero()
-		read = time.Now()
+		first := lastRead.IsZero()
+		lastRead = time.Now()
 		if c.readStore(ctx, randomHold(c.MaxHold)) {
-			pause, away = storeBackoffInitial, false
+			pause, failed = storeBackoffInitial, false
 			if first && c.knowsNoPeer() && !c.Board.Directory.Incomplete() {
 				Sleep(ctx, peerDiscoveryDelay)
 			}
 			continue
 		}
-		if !away {
-			// A watch that was cut without a word fails like this while the store is well; the
-			// pause of 0.1 to 0.3 s would make what it missed later by as much.
-			away = true
+		if !failed {
+			// A watch whose connection was dropped silently fails like this while the store is
+			// up. A delay of 0.1 to 0.3 s would postpone the changes that it missed by as much.
+			failed = true
 			continue
 		}
 		Sleep(ctx, pause/2+rand.N(pause))
@@ -104,32 +109,32 @@
 	}
 }
 
-// alone tells whether no other daemon is known.
+// knowsNoPeer reports whether no other daemon is known.
 func (c *Directory) knowsNoPeer() bool {
 	others := 0
 	c.Board.Members.View(func(t *membership.Table) { others, _ = t.CountOthers() })
 	return others == 0
 }
 
-// minHoldShare is the least part of the longest hold that a watch is held: enough spread that
-// daemons with equal holds do not ask together, at a tenth more calls.
+// minHoldShare is the shortest hold time as a share of the longest. The spread keeps daemons with
+// the same MaxHold from calling at the same time, and costs a tenth more calls.
 const minHoldShare = 0.85
 
-// randomHold draws how long a watch is held.
+// randomHold returns a random hold time between minHoldShare of longest and longest.
 func randomHold(longest time.Duration) time.Duration {
 	least := time.Duration(minHoldShare * float64(longest))
 	return least + rand.N(longest-least+1)
 }
 
-// read makes one call of the store, a watch that is held for so long, and tells whether it
-// was answered.
+// readStore calls the store once, as a watch that waits up to hold for a change, and merges the
+// answer. It reports whether the store answered, or ctx ended.
 func (c *Directory) readStore(ctx context.Context, hold time.Duration) bool {
 	c.Board.Directory.View(func(t *hostlist.Table) {
 		if t.StoreDown() {
-			hold = outageHold // An answer at once tells that the store is back.
+			hold = outageHold // An immediate answer shows that the store is back.
 		}
 	})
-	facts, err := c.Source.Targets(ctx, hold, c.answerTimeout())
+	update, err := c.Source.Targets(ctx, hold, c.answerTimeout())
 	if ctx.Err() != nil {
 		return true
 	}
@@ -143,11 +148,11 @@
 	returned := false
 	c.Board.Directory.View(func(t *hostlist.Table) { returned = t.MarkStoreUp(now) })
 	if returned {
-		c.Recorder.Log.Info("dependency is back", "dependency", "store", "revision", facts.AsOf.String())
+		c.Recorder.Log.Info("dependency is back", "dependency", "store", "revision", update.AsOf.String())
 	}
-	c.recordEra(facts.AsOf)
-	c.mergeUpdate(facts, "store", now)
-	if len(facts.Hosts) == 0 || facts.Partial {
+	c.recordEra(update.AsOf)
+	c.mergeUpdate(update, "store", now)
+	if len(update.Hosts) == 0 || update.Partial {
 		c.consecutiveChanges = 0
 		return true
 	}
@@ -156,17 +161,18 @@
 	return true
 }
 
-// The time that a daemon without settings gives an answer of the store to begin. A silent store
-// loses the questions that it was asked; hosts that started together and gave each the same time
-// would all ask again at one moment, up to that time after its return. One host with an answer
-// is enough for all. A slow store answers within 0.4 s as a rule, and those with more patience
-// hear from a slower one.
+// The bounds of the random time within which an answer to a daemon without settings has to begin.
+// A store that does not respond loses the calls made meanwhile. Hosts that started together with
+// the same timeout would all retry at the same moment, up to that timeout after the store's return;
+// with random timeouts one of them retries soon, and its answer serves all. A slow store usually
+// answers within 0.4 s, and the longer timeouts allow for a slower one.
 const (
 	minFirstAnswerTimeout = 400 * time.Millisecond
 	maxFirstAnswerTimeout = 2 * time.Second
 )
 
-// patience is how long an answer may take to begin; zero where the usual time holds.
+// answerTimeout returns the time within which an answer has to begin: zero, the source's default,
+// once settings are in force, and a random time before.
 func (c *Directory) answerTimeout() time.Duration {
 	if c.Board.Settings.Current() != nil {
 		return 0
@@ -174,82 +180,86 @@
 	return minFirstAnswerTimeout + rand.N(maxFirstAnswerTimeout-minFirstAnswerTimeout)
 }
 
-// noteEra tells of a store that came back from an older copy. What is believed of targets goes
-// by the positions of facts; settings never go back.
+// recordEra logs and counts a store that was restored from a backup. The positions in the updates
+// decide which state of a target holds; settings never go back.
 func (c *Directory) recordEra(at hostlist.Position) {
 	if at.Era() > c.era && c.era > 0 {
 		c.Recorder.Metrics.StoreReturns.Inc()
-		c.Recorder.Log.Warn("the store came back from an older copy", "era", at.Era(), "before", c.era, "revision", at.Revision())
+		c.Recorder.Log.Warn("the store was restored from an older copy", "era", at.Era(), "before", c.era, "revision", at.Revision())
 	}
 	c.era = max(c.era, at.Era())
 }
 
-// coalesceDelayAfter is the pause after news that so many calls with news came before.
-func coalesceDelayAfter(busy int) time.Duration {
-	pause := coalesceDelay
-	for ; busy > 0 && pause < maxCoalesceDelay; busy-- {
-		pause *= 2
+// coalesceDelayAfter returns the delay after a read that returned changes and that follows the
+// given number of such reads.
+func coalesceDelayAfter(earlier int) time.Duration {
+	delay := coalesceDelay
+	for ; earlier > 0 && delay < maxCoalesceDelay; earlier-- {
+		delay *= 2
 	}
-	return min(pause, maxCoalesceDelay)
+	return min(delay, maxCoalesceDelay)
 }
 
-// lost records a failed call: a line when the store is first lost, a count always.
+// recordReadFailure counts a failed call, marks the store as down, and logs the first failure of an
+// outage.
 func (c *Directory) recordReadFailure(err error) {
 	c.Recorder.Metrics.PlatformRead.WithLabelValues("hosts", "failed").Inc()
-	known := false
+	alreadyDown := false
 	c.Board.Directory.View(func(t *hostlist.Table) {
-		known = t.StoreDown()
+		alreadyDown = t.StoreDown()
 		t.MarkStoreDown()
 	})
-	if !known {
+	if !alreadyDown {
 		c.Recorder.Log.Warn("dependency is lost", "dependency", "store", "error", err.Error())
 	}
 }
 
-// MergeFrom takes facts of a peer in.
-func (c *Directory) MergeFromPeer(peer string, facts hostlist.Update) {
-	facts.Full = false
-	c.mergeUpdate(facts, "peer "+peer, time.Now())
+// MergeFromPeer merges an update that the named peer sent. The update is never taken for a full
+// read of the store.
+func (c *Directory) MergeFromPeer(peer string, update hostlist.Update) {
+	update.Full = false
+	c.mergeUpdate(update, "peer "+peer, time.Now())
 }
 
-func (c *Directory) mergeUpdate(facts hostlist.Update, from string, now time.Time) {
-	if !c.Board.MergeFacts(facts, now) {
+func (c *Directory) mergeUpdate(update hostlist.Update, from string, now time.Time) {
+	if !c.Board.MergeFacts(update, now) {
 		return
 	}
 	c.OnChange()
-	c.logUpdate(facts, from)
-	if len(facts.Hosts) > 0 {
+	c.logUpdate(update, from)
+	if len(update.Hosts) > 0 {
 		c.Recorder.Reach(blackboard.StageTargets)
 	}
 }
 
-// combinedLogMin is the number of targets from which those that live share a line: each daemon's
-// first read brings all of them.
+// combinedLogMin is the number of targets in an update from which the live ones share a log line,
+// since the first read of each daemon returns all targets.
 const combinedLogMin = 8
 
-// logFacts writes a line for each target, or one for all that live where they are many.
-func (c *Directory) logUpdate(facts hostlist.Update, from string) {
-	var living []string
-	for _, h := range facts.Hosts {
-		if len(facts.Hosts) >= combinedLogMin && h.State == hostlist.Live {
-			living = append(living, h.ID)
+// logUpdate logs each target of an update, or all live ones in one line if the update is large.
+func (c *Directory) logUpdate(update hostlist.Update, from string) {
+	var live []string
+	for _, h := range update.Hosts {
+		if len(update.Hosts) >= combinedLogMin && h.State == hostlist.Live {
+			live = append(live, h.ID)
 			continue
 		}
 		c.Recorder.Log.Info("target", "target", h.ID, "state", string(h.State), "address", h.Address, "pool", h.Pool,
 			"revision", h.Revision.String(), "incarnation", h.Incarnation, "from", from)
 	}
-	if len(living) > 0 {
-		c.Recorder.Log.Info("target", "targets", living, "state", string(hostlist.Live), "revision", facts.AsOf.String(), "from", from)
+	if len(live) > 0 {
+		c.Recorder.Log.Info("target", "targets", live, "state", string(hostlist.Live), "revision", update.AsOf.String(), "from", from)
 	}
 }
 
+// confirmRemovals puts removals in force whose confirmation time has passed, until ctx ends.
 func (c *Directory) confirmRemovals(ctx context.Context) {
 	for ctx.Err() == nil {
 		Sleep(ctx, removalCheckInterval)
 		if c.Board.TickDirectory(time.Now()) {
 			c.OnChange()
 			targets, _ := c.Board.Members.Hosts()
-			c.Recorder.Log.Info("targets whose entries did not come back count as gone", "left", fmt.Sprint(len(targets.Hosts)))
+			c.Recorder.Log.Info("targets removed after their entries did not reappear", "left", fmt.Sprint(len(targets.Hosts)))
 		}
 	}
 }
--- a/node/controller/directory_test.go
+++ b/node/controller/directory_test.go
@@ -13,35 +13,36 @@
 	"doorstack.dev/node/telemetry"
 )
 
-// TestMergedChangeCallsOnChangeOnce: a target that leaves was told to peers with the next
-// heartbeat; over the hops of 69 daemons that took 4 s.
+// TestMergedChangeCallsOnChangeOnce guards against peers learning of a leaving target only with the
+// next heartbeat, which took 4 s over the hops between 69 daemons.
 func TestMergedChangeCallsOnChangeOnce(t *testing.T) {
 	board := blackboard.New(blackboard.Identity{Name: "d"}, blackboard.DefaultLimits())
-	told := 0
+	changes := 0
 	c := &Directory{
 		Board:    board,
 		Recorder: &telemetry.Recorder{Board: board, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Metrics: telemetry.NewMetrics()},
-		OnChange: func() { told++ },
+		OnChange: func() { changes++ },
 	}
 	leaving := hostlist.Host{ID: "a", State: hostlist.Leaving, Address: "10.0.0.1:1", Revision: 4}
-	news := hostlist.Update{AsOf: 4, Confirmed: true, Hosts: []hostlist.Host{leaving}}
-	c.MergeFromPeer("peer", news)
-	if told != 1 {
-		t.Fatalf("told %d times of a change", told)
+	update := hostlist.Update{AsOf: 4, Confirmed: true, Hosts: []hostlist.Host{leaving}}
+	c.MergeFromPeer("peer", update)
+	if changes != 1 {
+		t.Fatalf("MergeFromPeer of a change called OnChange %d times, want 1", changes)
 	}
-	c.MergeFromPeer("another", news)
-	if told != 1 {
-		t.Fatalf("told %d times though nothing changed", told)
+	c.MergeFromPeer("another", update)
+	if changes != 1 {
+		t.Fatalf("after MergeFromPeer of the same update: OnChange was called %d times, want 1", changes)
 	}
 }
 
-// cutWatchStore is a store whose first watch is cut without a word; it notes when it is called.
+// cutWatchStore is a store that drops the connection of the first watch silently. It records the
+// time of each call.
 type cutWatchStore struct {
 	callTimes []time.Time
 	stop      context.CancelFunc
 }
 
-// watchCutAfter is when a watch that is cut without a word is given up.
+// watchCutAfter is the time after which the caller gives up a watch that was dropped silently.
 const watchCutAfter = 2600 * time.Millisecond
 
 func (s *cutWatchStore) Targets(ctx context.Context, _, _ time.Duration) (hostlist.Update, error) {
@@ -54,8 +55,9 @@
 	return hostlist.Update{Full: true, AsOf: 1}, nil
 }
 
-// TestCutWatchIsRetriedAtOnce: the next call came after a pause of 0.1 to 0.3 s,
-// and with it what the watch had missed: 3.5 s after the change at a peer, on a busy host.
+// TestCutWatchIsRetriedAtOnce guards against a delay of 0.1 to 0.3 s before the retry of a watch
+// that was dropped silently. On a busy host the changes that the watch missed then reached a peer
+// only after 3.5 s.
 func TestCutWatchIsRetriedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -70,12 +72,13 @@
 		c.Run(ctx)
 		synctest.Wait()
 		if after := source.callTimes[1].Sub(source.callTimes[0]); after != watchCutAfter {
-			t.Errorf("the next call comes %v after the watch began, which was given up after %v", after, watchCutAfter)
+			t.Errorf("call 2 came %v after call 1, want %v", after, watchCutAfter)
 		}
 	})
 }
 
-// changingStore is a store each of whose answers brings a change; it notes when it is called.
+// changingStore is a store that returns a change with each answer. It records the time of each
+// call.
 type changingStore struct {
 	callTimes []time.Time
 	maxCalls  int
@@ -91,9 +94,10 @@
 	return hostlist.Update{AsOf: revision, Hosts: []hostlist.Host{{ID: "a", State: hostlist.Live, Address: "10.0.0.1:1", Revision: revision}}}, nil
 }
 
-// TestFrequentChangesAreCoalesced: a daemon that knows nobody waits a second after its first read,
-// in which those that watch are found; where each call brings news the pause grows from 0.15 s
-// to 0.4 s, so that ten changes a second cost 2.5 calls. They cost 6.7.
+// TestFrequentChangesAreCoalesced checks the delays between reads that each return a change. A
+// daemon that knows no peer waits another second after its first read, to discover the daemons that
+// watch; then the delay grows from 0.15 s to 0.4 s, so that ten changes a second cost 2.5 calls a
+// second. With a constant delay they cost 6.7.
 func TestFrequentChangesAreCoalesced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		board := blackboard.New(blackboard.Identity{Name: "d"}, blackboard.DefaultLimits())
@@ -107,20 +111,21 @@
 		want := []time.Duration{coalesceDelay + peerDiscoveryDelay, 2 * coalesceDelay, maxCoalesceDelay, maxCoalesceDelay}
 		for i, pause := range want {
 			if got := source.callTimes[i+1].Sub(source.callTimes[i]); got != pause {
-				t.Errorf("call %d comes %v after the one before, want %v", i+2, got, pause)
+				t.Errorf("call %d came %v after the previous call, want %v", i+2, got, pause)
 			}
 		}
 	})
 }
 
-// silentStore answers no question that it is asked before it is back, nor later. Questions that
-// are not given a time are given up after two seconds.
+// silentStore is a store that never answers calls made before backAt. Such a call fails after its
+// timeout, or after two seconds if it has none. The time of the first later call is sent to
+// answeredAt.
 type silentStore struct {
 	backAt     time.Time
 	answeredAt chan time.Time
 }
 
-func (s *silentStore) Targets(ctx context.Context, _, patience time.Duration) (hostlist.Update, error) {
+func (s *silentStore) Targets(ctx context.Context, _, timeout time.Duration) (hostlist.Update, error) {
 	if !time.Now().Before(s.backAt) {
 		select {
 		case s.answeredAt <- time.Now():
@@ -129,21 +134,22 @@
 		<-ctx.Done()
 		return hostlist.Update{}, ctx.Err()
 	}
-	if patience == 0 {
-		patience = 2 * time.Second
+	if timeout == 0 {
+		timeout = 2 * time.Second
 	}
-	Sleep(ctx, patience)
+	Sleep(ctx, timeout)
 	return hostlist.Update{}, context.DeadlineExceeded
 }
 
-// TestOneOfManyDaemonsSoonNoticesStoreReturn: 100 hosts start at one moment behind a silent store. The
-// first of them has an answer within 0.2 s of the store's return, whenever that is.
+// TestOneOfManyDaemonsSoonNoticesStoreReturn checks that of 100 hosts that start at the same moment
+// while the store does not respond, one reaches the store within 0.2 s of its return, whenever that
+// is.
 func TestOneOfManyDaemonsSoonNoticesStoreReturn(t *testing.T) {
 	const hosts, within = 100, 200 * time.Millisecond
-	for _, away := range []time.Duration{700 * time.Millisecond, 1300 * time.Millisecond, 2100 * time.Millisecond, 4500 * time.Millisecond} {
+	for _, down := range []time.Duration{700 * time.Millisecond, 1300 * time.Millisecond, 2100 * time.Millisecond, 4500 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			store := &silentStore{backAt: time.Now().Add(away), answeredAt: make(chan time.Time, 1)}
+			store := &silentStore{backAt: time.Now().Add(down), answeredAt: make(chan time.Time, 1)}
 			for range hosts {
 				board := blackboard.New(blackboard.Identity{Name: "d"}, blackboard.DefaultLimits())
 				c := &Directory{
@@ -155,7 +161,7 @@
 				go c.Run(ctx)
 			}
 			if late := (<-store.answeredAt).Sub(store.backAt); late > within {
-				t.Errorf("away for %v: the first answer comes %v after its return", away, late)
+				t.Errorf("store down for %v: first answer came %v after its return, want at most %v", down, late, within)
 			}
 			cancel()
 			synctest.Wait()
@@ -163,13 +169,14 @@
 	}
 }
 
-// pagedStore tells a first page of its list and then the whole; it notes when the whole was asked for.
+// pagedStore is a store that returns the first page of its list and then the whole list. It records
+// when the whole list was read.
 type pagedStore struct {
 	calls      int
 	fullReadAt chan time.Time
 }
 
-// pagedPosition is the position of the paged list.
+// pagedPosition is the store's position of the list.
 const pagedPosition = 7
 
 func (s *pagedStore) Targets(ctx context.Context, _, _ time.Duration) (hostlist.Update, error) {
@@ -186,20 +193,21 @@
 	return hostlist.Update{}, ctx.Err()
 }
 
-// TestNonWatchingDaemonDelaysFullRead: a daemon that watches reads on at once, another one only
-// if no peer tells it a list that is as new as the page that it has read.
+// TestNonWatchingDaemonDelaysFullRead checks when a daemon that has the first page of a list reads
+// the rest: at once if it watches the store; otherwise after a delay, and only if no peer has sent
+// a list as new as the page.
 func TestNonWatchingDaemonDelaysFullRead(t *testing.T) {
 	for name, c := range map[string]struct {
 		watches bool
-		told    hostlist.Position // by a peer, half a second later
+		peerAt  hostlist.Position // position of a peer's list, sent after half a second
 		reads   bool
-		least   time.Duration
-		most    time.Duration
+		minTime time.Duration
+		maxTime time.Duration
 	}{
-		"a daemon that watches":    {true, 0, true, 0, time.Millisecond},
-		"a peer knows as much":     {false, pagedPosition, false, 0, 0},
-		"a peer knows less":        {false, pagedPosition - 1, true, minFullReadDelay, maxFullReadDelay + incompleteCheckInterval},
-		"nobody tells it anything": {false, 0, true, minFullReadDelay, maxFullReadDelay + incompleteCheckInterval},
+		"daemon watches":         {true, 0, true, 0, time.Millisecond},
+		"peer has the same list": {false, pagedPosition, false, 0, 0},
+		"peer has an older list": {false, pagedPosition - 1, true, minFullReadDelay, maxFullReadDelay + incompleteCheckInterval},
+		"no peer sends a list":   {false, 0, true, minFullReadDelay, maxFullReadDelay + incompleteCheckInterval},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
@@ -212,22 +220,22 @@
 			began := time.Now()
 			go d.Run(ctx)
 			Sleep(ctx, 500*time.Millisecond)
-			if c.told > 0 {
-				d.MergeFromPeer("peer", hostlist.Update{AsOf: c.told, Confirmed: true, Hosts: []hostlist.Host{{ID: "b", State: hostlist.Live, Address: "10.0.0.2:1", Revision: 5}}})
+			if c.peerAt > 0 {
+				d.MergeFromPeer("peer", hostlist.Update{AsOf: c.peerAt, Confirmed: true, Hosts: []hostlist.Host{{ID: "b", State: hostlist.Live, Address: "10.0.0.2:1", Revision: 5}}})
 			}
 			Sleep(ctx, 2*maxFullReadDelay)
 			select {
 			case at := <-store.fullReadAt:
-				if took := at.Sub(began); !c.reads || took < c.least || took > c.most {
-					t.Errorf("%s: it reads on after %v", name, took)
+				if took := at.Sub(began); !c.reads || took < c.minTime || took > c.maxTime {
+					t.Errorf("%s: full read after %v; want full read: %v, between %v and %v", name, took, c.reads, c.minTime, c.maxTime)
 				}
 			default:
 				if c.reads {
-					t.Errorf("%s: it does not read on", name)
+					t.Errorf("%s: no full read, want one", name)
 				}
 			}
 			if board.Directory.Incomplete() {
-				t.Errorf("%s: the list stays incomplete", name)
+				t.Errorf("%s: Incomplete() = true at the end, want false", name)
 			}
 			cancel()
 			synctest.Wait()
--- a/node/controller/hosts.go
+++ b/node/controller/hostlist.go
@@ -10,42 +10,45 @@
 	"doorstack.dev/node/telemetry"
 )
 
-// HostSource publishes the host list. It is read only.
+// HostSource reads the host list that the platform publishes.
 type HostSource interface {
-	// Hosts returns the whole host list, or what differs from a revision of it.
+	// Hosts returns the differences from revision since of the host list; zero reads the whole
+	// list.
 	Hosts(ctx context.Context, since int64) (hostlist.List, error)
 }
 
-// HostList keeps the host list and, with it, the list of targets.
+// HostList keeps the host list, and with it the list of targets, up to date on platforms that
+// publish both as one list.
 type HostList struct {
 	Board    *blackboard.Blackboard
 	Source   HostSource
 	Recorder *telemetry.Recorder
-	// Every is the pause between reads.
+	// Interval is the shortest mean time between reads; larger fleets read less often.
 	Interval time.Duration
 }
 
-// HostListInterval is the usual pause between reads of the host list, and hostListIntervalPerHost
-// what each listed daemon adds to it, so that the reads of all daemons together
-// stay at some 125 a second however many there are. A target that leaves gets
-// nothing new from then on at the latest, and often earlier by its own report.
+// HostListInterval is the usual time between reads of the host list. The interval is at least
+// hostListIntervalPerHost for each listed daemon, so that all daemons together make some 125 reads
+// a second at most. A target that leaves receives no new requests after the next read at the
+// latest, and often earlier because of its own load report.
 const (
 	HostListInterval        = 2 * time.Second
 	hostListIntervalPerHost = 8 * time.Millisecond
 )
 
-// Run reads the list until ctx ends. A list that cannot be read is kept.
+// Run reads the list until ctx ends. After a failed read the last list stays in force.
 func (c *HostList) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.Refresh(ctx)
 		_, listed := c.Board.Members.Living()
 		pause := max(c.Interval, time.Duration(listed)*hostListIntervalPerHost)
-		// A random pause spreads the daemons' reads over time.
+		// A random delay spreads the daemons' reads over time.
 		Sleep(ctx, pause/2+rand.N(pause))
 	}
 }
 
-// Refresh reads once what differs in the list.
+// Refresh reads the changes of the list once and puts them in force. A failure is logged and
+// counted.
 func (c *HostList) Refresh(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -53,7 +56,7 @@
 	next, err := c.readChanges(ctx, before)
 	if err != nil {
 		c.Recorder.Metrics.PlatformRead.WithLabelValues("hosts", "failed").Inc()
-		c.Recorder.Log.Warn("the host list could not be read", "error", err.Error())
+		c.Recorder.Log.Warn("failed to read the host list", "error", err.Error())
 		return
 	}
 	c.Recorder.Metrics.PlatformRead.WithLabelValues("hosts", "read").Inc()
@@ -63,6 +66,8 @@
 	}
 }
 
+// readChanges returns the list that the changes since before lead to, or the whole list if the
+// changes do not start from before.
 func (c *HostList) readChanges(ctx context.Context, before hostlist.List) (hostlist.List, error) {
 	change, err := c.Source.Hosts(ctx, before.Revision)
 	if err != nil {
--- a/node/controller/lag.go
+++ b/node/controller/lag.go
@@ -10,68 +10,70 @@
 	"doorstack.dev/node/telemetry"
 )
 
-// LagMonitor measures how far the process is behind its own events: how long a byte that has arrived
-// waits until the goroutine that reads it has its turn. A timer's lateness would not tell,
-// since the runtime runs what timers wake before what the network wakes.
+// LagMonitor measures the scheduling delay of the process: how long a byte that has arrived in a
+// pipe waits until the goroutine that reads it runs. The lateness of a timer would not show the
+// delay, since the runtime runs goroutines woken by timers before those woken by the network.
 type LagMonitor struct {
 	Board    *blackboard.Blackboard
 	Recorder *telemetry.Recorder
 }
 
 const (
-	// lagSampleInterval is the mean time between two samples: two of them, which it takes to tell a queue
-	// from a pause, lie well within the shortest goal of a call (150 ms), at a thousandth of a core.
+	// lagSampleInterval is the mean time between two samples. Telling a queue from a pause takes
+	// two samples, and two lie well within the shortest goal of a call (150 ms). Sampling costs a
+	// thousandth of a core.
 	lagSampleInterval = 50 * time.Millisecond
-	// minLoggedLag is the standing wait from which a line tells of it: a third of the shortest
+	// minLoggedLag is the sustained delay above which a warning is logged: a third of the shortest
 	// goal for a first event.
 	minLoggedLag = 100 * time.Millisecond
-	// lagLogInterval is the least time between two such lines.
+	// lagLogInterval is the shortest time between two such warnings.
 	lagLogInterval = time.Second
 )
 
 // Run takes samples until ctx ends.
 func (c *LagMonitor) Run(ctx context.Context) {
-	arrivals, sends, err := os.Pipe()
+	reader, writer, err := os.Pipe()
 	if err != nil {
-		c.Recorder.Log.Error("the process's own lag is not measured", "error", err.Error())
+		c.Recorder.Log.Error("cannot measure the scheduling delay", "error", err.Error())
 		return
 	}
-	defer func() { _ = arrivals.Close() }()
-	go c.sendSamples(ctx, sends)
-	c.receiveSamples(arrivals)
+	defer func() { _ = reader.Close() }()
+	go c.sendSamples(ctx, writer)
+	c.receiveSamples(reader)
 }
 
-// send sends samples, and closes the pipe with ctx. The time between them is drawn, so that
-// they do not keep step with the periods in which a host hands out its processor.
-func (c *LagMonitor) sendSamples(ctx context.Context, sends *os.File) {
-	defer func() { _ = sends.Close() }()
+// sendSamples writes samples until ctx ends, and then closes the pipe. The time between samples is
+// random, so that they do not synchronize with the periods in which the host's scheduler grants
+// processor time.
+func (c *LagMonitor) sendSamples(ctx context.Context, writer *os.File) {
+	defer func() { _ = writer.Close() }()
 	for ctx.Err() == nil {
 		Sleep(ctx, lagSampleInterval/2+rand.N(lagSampleInterval))
 		if c.Board.Lag.Pending() {
-			continue // The next one would only wait behind it.
+			continue // Another sample would only queue behind the pending one.
 		}
 		c.Board.Lag.Begin(time.Now())
-		if _, err := sends.Write([]byte{0}); err != nil {
-			c.Recorder.Log.Error("the process's own lag is no longer measured", "error", err.Error())
+		if _, err := writer.Write([]byte{0}); err != nil {
+			c.Recorder.Log.Error("stopped measuring the scheduling delay", "error", err.Error())
 			return
 		}
 	}
 }
 
-// receive takes samples in until the pipe ends.
-func (c *LagMonitor) receiveSamples(arrivals *os.File) {
+// receiveSamples reads samples until the pipe is closed, and records and logs the sustained delay.
+func (c *LagMonitor) receiveSamples(reader *os.File) {
 	buffer := make([]byte, 1)
-	reported := time.Time{}
+	lastLogged := time.Time{}
 	for {
-		if _, err := arrivals.Read(buffer); err != nil {
-			return // The sender has closed the pipe.
+		if _, err := reader.Read(buffer); err != nil {
+			return // sendSamples has closed the pipe.
 		}
 		now := time.Now()
-		standing := c.Board.Lag.End(now)
-		c.Recorder.Metrics.Lag.Observe(standing.Seconds())
-		if standing > minLoggedLag && now.Sub(reported) >= lagLogInterval {
-			reported = now
-			c.Recorder.Log.Warn("the daemon is behind its own events", "wait_ms", standing.Milliseconds(), "in_flight", c.Board.InFlight())
+		sustained := c.Board.Lag.End(now)
+		c.Recorder.Metrics.Lag.Observe(sustained.Seconds())
+		if sustained > minLoggedLag && now.Sub(lastLogged) >= lagLogInterval {
+			lastLogged = now
+			c.Recorder.Log.Warn("the daemon is overloaded; arrived events wait to be processed", "wait_ms", sustained.Milliseconds(), "in_flight", c.Board.InFlight())
 		}
 	}
 }
--- a/node/controller/lag_test.go
+++ b/node/controller/lag_test.go
@@ -11,7 +11,7 @@
 	dto "github.com/prometheus/client_model/go"
 )
 
-// TestLagMonitorTakesSamples: samples come and go while the loop runs, and it ends with its context.
+// TestLagMonitorTakesSamples checks that Run records samples, and returns when its context ends.
 func TestLagMonitorTakesSamples(t *testing.T) {
 	board := blackboard.New(blackboard.Identity{Name: "d"}, blackboard.DefaultLimits())
 	metrics := telemetry.NewMetrics()
@@ -29,20 +29,20 @@
 		}
 		return m.GetHistogram().GetSampleCount()
 	}
-	most := time.After(20 * time.Second)
+	timeout := time.After(20 * time.Second)
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
 	for samples() < 3 {
 		select {
-		case <-most:
-			t.Fatalf("%d samples", samples())
+		case <-timeout:
+			t.Fatalf("Run recorded %d samples in 20 s, want at least 3", samples())
 		case <-tick.C:
 		}
 	}
 	cancel()
 	select {
 	case <-ended:
-	case <-most:
-		t.Fatal("the loop does not end")
+	case <-timeout:
+		t.Fatal("Run did not return after its context ended")
 	}
 }
--- a/node/controller/reports.go
+++ b/node/controller/load.go
@@ -10,30 +10,33 @@
 	"doorstack.dev/node/telemetry"
 )
 
-// LoadPoller reads the targets' load reports and cache events, within a budget of
-// reads a second, so that its cost does not grow with the fleet.
+// LoadPoller reads the load reports of the targets and the cache events of the engines, within a
+// budget of reads a second, so that its cost does not grow with the fleet.
 type LoadPoller struct {
 	Board    *blackboard.Blackboard
 	Client   *target.Client
 	Recorder *telemetry.Recorder
-	// PollsPerSecond is the budget.
+	// PollsPerSecond is the budget of report reads a second.
 	PollsPerSecond float64
 
 	mu         sync.Mutex
-	lastEvents map[string]int64 // last cache event seen, by target
+	lastEvents map[string]int64 // sequence of the last cache event read, by target
 	round      int
 }
 
-// The bounds of the pause between two reports of a target, and of a read.
 const (
-	minLoadInterval      = 250 * time.Millisecond
+	// minLoadInterval is the shortest time between two reads of a target's report.
+	minLoadInterval = 250 * time.Millisecond
+	// loadTimeout bounds the reads of a target's report and events; maxParallelLoadReads bounds
+	// the targets read at a time.
 	loadTimeout          = time.Second
 	maxParallelLoadReads = 16
-	// roundsPerEventRead is the number of rounds between reads of cache events.
+	// roundsPerEventRead is the number of rounds for each read of cache events.
 	roundsPerEventRead = 4
 )
 
-// Run reads reports until ctx ends.
+// Run reads reports until ctx ends. After each round it wakes the queues, since load reports may
+// show room for waiting requests, and updates the queue metrics.
 func (c *LoadPoller) Run(ctx context.Context) {
 	c.lastEvents = map[string]int64{}
 	for ctx.Err() == nil {
@@ -48,13 +51,13 @@
 	}
 }
 
-// pause is the time for one round over n targets within the budget.
+// roundInterval returns the time between the starts of two rounds over n targets within the budget.
 func (c *LoadPoller) roundInterval(n int) time.Duration {
 	round := time.Duration(float64(n) / c.PollsPerSecond * float64(time.Second))
 	return max(round, minLoadInterval)
 }
 
-// poll reads each target once, a few at a time, spread over the round.
+// pollTargets reads each target once, maxParallelLoadReads at a time.
 func (c *LoadPoller) pollTargets(ctx context.Context, targets []blackboard.TargetAddress) {
 	c.round++
 	slots := make(chan struct{}, maxParallelLoadReads)
@@ -69,30 +72,33 @@
 	wg.Wait()
 }
 
+// pollTarget reads a target's report and, for an engine in each roundsPerEventRead-th round, its
+// cache events.
 func (c *LoadPoller) pollTarget(ctx context.Context, t blackboard.TargetAddress) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	asked := time.Now()
+	requested := time.Now()
 	report, err := c.Client.Load(ctx, t.Address)
 	if err != nil {
 		c.Board.Targets.Silent(t.ID, time.Now())
 		return
 	}
-	// The report was true no later than when it was asked for: what this daemon
-	// sent since then is surely not in it.
-	c.Board.Targets.Report(t.ID, report, asked)
+	// The report is dated by its request, so that what this daemon has sent since then counts in
+	// addition to it.
+	c.Board.Targets.Report(t.ID, report, requested)
 	if t.Engine && c.round%roundsPerEventRead == 0 {
 		c.pollEvents(ctx, t)
 	}
 }
 
+// pollEvents reads the cache events of an engine since the last read, and updates the prefix table.
 func (c *LoadPoller) pollEvents(ctx context.Context, t blackboard.TargetAddress) {
 	c.mu.Lock()
 	after := c.lastEvents[t.ID]
 	c.mu.Unlock()
 	events, err := c.Client.Events(ctx, t.Address, after)
 	if err != nil {
-		return // Events are hints; the next round asks again.
+		return // Events are hints; a later round reads them again.
 	}
 	for _, e := range events {
 		c.Board.Prefixes.Stored(t.ID, e.Stored)
--- a/node/controller/pause.go
+++ b/node/controller/pause.go
@@ -8,43 +8,45 @@
 	"doorstack.dev/node/telemetry"
 )
 
-// PauseDetector notices that the process stood still, or that its host slept. What it believed before
-// is void then: reports, leases and permits are taken as unknown until renewed.
+// PauseDetector detects that the process did not run for a while or that its host was suspended.
+// What the daemon knew before may no longer hold: reports, leases and permits count as unknown
+// until they are renewed.
 type PauseDetector struct {
 	Board    *blackboard.Blackboard
 	Recorder *telemetry.Recorder
-	// Slept is for how long the host has slept so far, which the steady clock does not count.
+	// SuspendedTime returns how long the host has been suspended so far, which the monotonic
+	// clock does not count.
 	SuspendedTime func() time.Duration
-	// Void is called after a pause, with its length.
+	// OnPause is called after a pause, with its length.
 	OnPause func(time.Duration)
 }
 
-// A pause is a gap of minPause in ticks that should come every pauseCheckInterval.
+// A pause is a gap of at least minPause between two checks, which are due every pauseCheckInterval.
 const (
 	pauseCheckInterval = 100 * time.Millisecond
 	minPause           = time.Second
 )
 
-// Run ticks until ctx ends.
+// Run checks for pauses until ctx ends.
 func (c *PauseDetector) Run(ctx context.Context) {
-	last, slept := time.Now(), c.SuspendedTime()
+	last, suspended := time.Now(), c.SuspendedTime()
 	for ctx.Err() == nil {
 		Sleep(ctx, pauseCheckInterval)
-		now, sleptNow := time.Now(), c.SuspendedTime()
-		c.check(now.Sub(last), sleptNow-slept, now)
-		last, slept = now, sleptNow
+		now, suspendedNow := time.Now(), c.SuspendedTime()
+		c.check(now.Sub(last), suspendedNow-suspended, now)
+		last, suspended = now, suspendedNow
 	}
 }
 
-// tick voids what was believed if the time since the last tick, by the steady clock and asleep,
-// is a pause.
-func (c *PauseDetector) check(awake, asleep time.Duration, now time.Time) {
-	gap := awake + asleep
+// check invalidates the load reports and calls OnPause if the time since the last check, the sum of
+// awake by the monotonic clock and suspended, counts as a pause.
+func (c *PauseDetector) check(awake, suspended time.Duration, now time.Time) {
+	gap := awake + suspended
 	if gap < minPause {
 		return
 	}
 	c.Recorder.Metrics.Pauses.Inc()
-	c.Recorder.Log.Warn("the process was paused; what it believed is void", "gap", gap.String(), "host_slept", asleep.String())
+	c.Recorder.Log.Warn("the process was paused; load reports, leases and permits are discarded", "gap", gap.String(), "host_slept", suspended.String())
 	c.Board.Targets.Void(now)
 	c.OnPause(gap)
 }
--- a/node/controller/pause_test.go
+++ b/node/controller/pause_test.go
@@ -21,7 +21,8 @@
 tree: {routes: {chat: {pool: llm}}}
 `
 
-// TestPauseInvalidatesReports: an old report is not a report any more.
+// TestPauseInvalidatesReports checks that a load report from before a pause counts as unknown after
+// it.
 func TestPauseInvalidatesReports(t *testing.T) {
 	tree, err := settings.Parse([]byte(settingsYAML))
 	if err != nil {
@@ -31,46 +32,47 @@
 	now := time.Now()
 	board.Targets.Sync([]hostlist.Host{{ID: "t", Role: hostlist.RoleTarget, Pool: "llm", Address: "a"}}, tree, now)
 	board.Targets.Report("t", target.LoadReport{UsedTokens: 900, MemoryTokens: 1000}, now)
-	voided := time.Duration(0)
+	pause := time.Duration(0)
 	p := &PauseDetector{
 		Board:    board,
 		Recorder: &telemetry.Recorder{Board: board, Log: slog.New(slog.DiscardHandler), Metrics: telemetry.NewMetrics()},
-		OnPause:  func(gap time.Duration) { voided = gap },
+		OnPause:  func(gap time.Duration) { pause = gap },
 	}
 	p.check(pauseCheckInterval, 0, now)
-	if voided != 0 || board.Targets.Views("llm", now)[0].Load.MemoryTokens != 900 {
-		t.Fatal("an ordinary tick voids beliefs")
+	if pause != 0 || board.Targets.Views("llm", now)[0].Load.MemoryTokens != 900 {
+		t.Fatal("check after the usual interval discarded the load report or called OnPause")
 	}
 	p.check(time.Minute, 0, now)
-	if voided != time.Minute || board.Targets.Views("llm", now)[0].Load.MemoryTokens != 0 {
-		t.Fatal("beliefs survive a pause")
+	if pause != time.Minute || board.Targets.Views("llm", now)[0].Load.MemoryTokens != 0 {
+		t.Fatal("check after a minute kept the load report or did not call OnPause with the gap")
 	}
 }
 
-// TestHostSuspensionCountsAsOnePause: the steady clock goes on as if nothing had been.
+// TestHostSuspensionCountsAsOnePause checks that a suspension of the host, which the monotonic
+// clock does not show, counts as exactly one pause.
 func TestHostSuspensionCountsAsOnePause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		board := blackboard.New(blackboard.Identity{Name: "d"}, blackboard.DefaultLimits())
-		var slept atomic.Int64
-		voided := make(chan time.Duration, 1)
+		var suspended atomic.Int64
+		pauses := make(chan time.Duration, 1)
 		p := &PauseDetector{
 			Board:         board,
 			Recorder:      &telemetry.Recorder{Board: board, Log: slog.New(slog.DiscardHandler), Metrics: telemetry.NewMetrics()},
-			SuspendedTime: func() time.Duration { return time.Duration(slept.Load()) },
-			OnPause:       func(gap time.Duration) { voided <- gap },
+			SuspendedTime: func() time.Duration { return time.Duration(suspended.Load()) },
+			OnPause:       func(gap time.Duration) { pauses <- gap },
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go p.Run(ctx)
 		Sleep(ctx, 3*pauseCheckInterval)
-		slept.Store(int64(4 * time.Second))
+		suspended.Store(int64(4 * time.Second))
 		began := time.Now()
-		if gap := <-voided; gap < 4*time.Second || time.Since(began) > 2*pauseCheckInterval {
-			t.Errorf("a pause of %v was noticed after %v", gap, time.Since(began))
+		if gap := <-pauses; gap < 4*time.Second || time.Since(began) > 2*pauseCheckInterval {
+			t.Errorf("OnPause(%v) came after %v, want at least 4s within %v", gap, time.Since(began), 2*pauseCheckInterval)
 		}
 		Sleep(ctx, time.Minute)
-		if len(voided) > 0 {
-			t.Error("one sleep voids beliefs twice")
+		if len(pauses) > 0 {
+			t.Error("one suspension called OnPause twice")
 		}
 	})
 }
--- a/node/controller/settings.go
+++ b/node/controller/settings.go
@@ -1,6 +1,7 @@
-// Package controller holds the loops that keep the blackboard up to date: each
-// reads something outside, or one table, and writes one table. Every controller
-// has a Run that ends with its context.
+// Package controller holds the loops that keep a daemon's state, the blackboard, up to date. Each
+// controller reads one outside source, such as the platform's store, the targets or a clock, and
+// writes its part of the blackboard, from which requests are decided. Every controller has a
+// Run method that returns when its context ends.
 package controller
 
 import (
@@ -16,44 +17,50 @@
 	"github.com/go-faster/errors"
 )
 
-// SettingsSource publishes settings. It is read only.
+// SettingsSource reads the settings that the platform publishes.
 type SettingsSource interface {
-	// Config returns what changed in the settings after a revision; zero reads the
-	// whole. With wait above zero it waits that long for a change.
+	// Config returns the changes of the settings after revision since; zero reads the whole
+	// settings. With wait above zero it waits up to that long for a change.
 	Config(ctx context.Context, since int64, wait time.Duration) (settings.Changes, error)
 }
 
-// Settings adopts revisions: from the configuration service, if this daemon is
-// one of those that watch it, and from peers.
+// Settings puts new revisions of the settings in force. They come from the configuration service,
+// which a few daemons watch, and from peers.
 type Settings struct {
 	Board    *blackboard.Blackboard
 	Source   SettingsSource
 	Recorder *telemetry.Recorder
-	// Parse checks the parts of a revision whole and resolves them.
+	// Parse checks all parts of a revision together and resolves them.
 	Parse func(parts map[string][]byte) (*settings.Tree, error)
-	// Watch is how long a watch is held; zero means defaultHold.
+	// MaxHold is the longest time for which a watch waits for a change; zero means
+	// defaultHold.
 	MaxHold time.Duration
-	// Watches tells whether this daemon is one of the few that watch the service.
+	// ShouldWatch reports whether this daemon is one of the few that watch the service.
 	ShouldWatch func() bool
-	// Adopted is called after each adoption.
+	// OnAdopt is called after a revision has come into force.
 	OnAdopt func(*blackboard.SettingsView)
 }
 
-// The pace of reads. A watch is held for defaultHold; after a failure the daemon
-// waits a random part of a doubling time, so that the end of an outage does not
-// bring all daemons at once. It stays short: a change has to be in force within two
-// seconds, and only a few daemons of each data centre read. A daemon that does not watch reads once in a while
-// all the same, in case that all its peers are wrong.
 const (
-	defaultHold          = 30 * time.Second
-	readTimeout          = 5 * time.Second
-	backoffInitial       = 250 * time.Millisecond
-	backoffMax           = time.Second
-	idleCheckInterval    = time.Second
+	// defaultHold is the time for which a watch waits for a change where MaxHold is zero.
+	defaultHold = 30 * time.Second
+	// readTimeout bounds a read, beyond the time for which a watch waits.
+	readTimeout = 5 * time.Second
+	// The retry delay after a failure is random, up to a bound that doubles from backoffInitial to
+	// backoffMax, so that the daemons do not all return at once at the end of an outage. The bound
+	// stays short, since a change has to be in force within two seconds and only a few daemons of
+	// each data centre read.
+	backoffInitial = 250 * time.Millisecond
+	backoffMax     = time.Second
+	// idleCheckInterval is how often a daemon that does not watch checks whether it should read,
+	// and the delay after a stale answer.
+	idleCheckInterval = time.Second
+	// fallbackReadInterval is how often a daemon that does not watch reads all the same, in case
+	// all its peers are wrong.
 	fallbackReadInterval = 5 * time.Minute
 )
 
-// Run reads and watches until ctx ends.
+// Run reads and watches the settings until ctx ends.
 func (c *Settings) Run(ctx context.Context) {
 	backoff := backoffInitial
 	lastRead := time.Time{}
@@ -78,14 +85,15 @@
 			continue
 		}
 		if backoff == backoffInitial {
-			c.Recorder.Log.Warn("the settings could not be read", "error", err.Error(), "retry_in", backoff.String())
+			c.Recorder.Log.Warn("failed to read the settings", "error", err.Error(), "retry_in", backoff.String())
 		}
 		Sleep(ctx, rand.N(backoff))
 		backoff = min(2*backoff, backoffMax)
 	}
 }
 
-// read reads the whole at first, and then watches for what changes.
+// read reads the whole settings at first, and later the changes, which a daemon that watches waits
+// for.
 func (c *Settings) read(ctx context.Context) error {
 	since, wait := int64(0), time.Duration(0)
 	if view := c.Board.Settings.Current(); view != nil {
@@ -110,7 +118,7 @@
 		return c.readFull(ctx)
 	}
 	if err != nil && wait == 0 {
-		// Nothing to watch for yet: a first read that is not good is retried.
+		// Not a watch: the caller retries a read whose result cannot be applied.
 		return err
 	}
 	if err == nil || errors.Is(err, settings.ErrNotNewer) && wait > 0 {
@@ -119,8 +127,8 @@
 	return err
 }
 
-// paceAfter keeps a service that answers watches at once with nothing new, as a
-// stale one does, from being asked without a pause.
+// delayAfterStaleAnswer waits if the answer to a watch holds no newer revision, so that a service
+// that answers at once without a change, as a stale replica does, is not called in a tight loop.
 func (c *Settings) delayAfterStaleAnswer(ctx context.Context, changes settings.Changes, since int64) error {
 	if changes.Revision <= since {
 		Sleep(ctx, idleCheckInterval)
@@ -128,6 +136,7 @@
 	return nil
 }
 
+// readFull reads and applies the whole settings.
 func (c *Settings) readFull(ctx context.Context) error {
 	changes, err := c.Source.Config(ctx, 0, 0)
 	if err != nil {
@@ -136,8 +145,9 @@
 	return c.Apply(changes, "configuration service")
 }
 
-// Offer puts changes in force if they lead to a newer revision and the whole of
-// it passes the check. What is in force stays otherwise.
+// Apply puts changes in force if they lead to a newer revision that passes Parse as a whole.
+// Otherwise the revision in force stays, and the error says why: the changes do not follow on it,
+// the revision is not newer, or its content is invalid.
 func (c *Settings) Apply(changes settings.Changes, from string) error {
 	base := settings.Snapshot{}
 	if view := c.Board.Settings.Current(); view != nil {
@@ -166,7 +176,7 @@
 	return nil
 }
 
-// reject records a revision that is not adopted, once.
+// reject records why a revision was not put in force, once for each revision.
 func (c *Settings) reject(revision int64, from string, err error) {
 	if c.Board.Settings.Rejected().Revision == revision {
 		return
@@ -175,15 +185,16 @@
 	c.Recorder.Record(decision.Record{Kind: decision.KindSettings, Outcome: "rejected", Revision: revision, Reason: "from " + from + ": " + err.Error()})
 }
 
+// partData returns the content of a snapshot's parts, by key.
 func partData(s settings.Snapshot) map[string][]byte {
-	contents := make(map[string][]byte, len(s.Parts))
+	data := make(map[string][]byte, len(s.Parts))
 	for key, part := range s.Parts {
-		contents[key] = part.Data
+		data[key] = part.Data
 	}
-	return contents
+	return data
 }
 
-// Sleep waits for d or the end of ctx.
+// Sleep waits until d has passed or ctx ends.
 func Sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/node/controller/paces.go
+++ b/node/controller/slowdown.go
@@ -18,44 +18,46 @@
 	"github.com/go-faster/errors"
 )
 
-// SlowdownPoller asks the engines of the pools that this daemon coordinates how fast they work. An
-// engine that turns slow says so nowhere else, and takes several times as long for what it is
-// given.
+// SlowdownPoller reads how fast the engines of the pools that this daemon coordinates work. An
+// engine that slows down takes several times as long for each request, and only its report shows
+// it.
 type SlowdownPoller struct {
 	Board     *blackboard.Blackboard
 	Exchanger *target.Exchanger
 	Recorder  *telemetry.Recorder
-	// Coordinates tells whether this daemon places the calls of a pool for all.
+	// Coordinates reports whether this daemon places the calls of a pool for all daemons.
 	Coordinates func(pool string) bool
 
-	// pools is what is remembered of each pool.
+	// pools holds the polling state of each pool, by name.
 	pools map[string]*poolPolling
 }
 
-// poolPolling is what is remembered of a pool between two rounds of questions.
+// poolPolling is the polling state of a pool between two rounds.
 type poolPolling struct {
-	nextRound   time.Time       // when it is asked next
-	slowTargets map[string]bool // targets that last said that they are slow
-	lastPolled  string          // the target up to which those that are asked in turn have been
+	nextRound   time.Time       // when the next round is due
+	slowTargets map[string]bool // targets whose last report was slow
+	lastPolled  string          // the last target of the previous batch
 }
 
 const (
-	// slowdownInterval is the time between two questions to an engine, each of which is paid for.
+	// slowdownInterval is the time between two rounds of a pool; each read is charged.
 	slowdownInterval = 2500 * time.Millisecond
-	// coordinatorCheckInterval is how soon a daemon notices that it has become a pool's coordinator.
+	// coordinatorCheckInterval bounds the time until a daemon notices that it has become a pool's
+	// coordinator.
 	coordinatorCheckInterval = 250 * time.Millisecond
-	// slowdownTimeout bounds a question; maxParallelSlowdownReads is the number of questions at a time.
+	// slowdownTimeout bounds the read of a report; maxParallelSlowdownReads bounds the reads at a
+	// time.
 	slowdownTimeout          = 300 * time.Millisecond
 	maxParallelSlowdownReads = 32
-	// maxSlowdownBatch is the most targets of a pool that are asked in a round: a question and its
-	// report are some 0.3 KB and a connection, so the busiest daemon spends 18 KB/s and 160
+	// maxSlowdownBatch bounds the targets of a pool that are polled in a round. A request and its
+	// report take some 0.3 KB and a connection, so the busiest daemon spends 18 KB/s and 160
 	// connections on them, whatever the size of the pool.
 	maxSlowdownBatch = 160
-	// maxReportSize bounds a report: 64 reservations and some models take a few KB.
+	// maxReportSize bounds a report in bytes; 64 reservations and some models take a few KB.
 	maxReportSize = 64 << 10
 )
 
-// Run asks until ctx ends.
+// Run polls the pools that this daemon coordinates until ctx ends.
 func (c *SlowdownPoller) Run(ctx context.Context) {
 	c.pools = map[string]*poolPolling{}
 	for ctx.Err() == nil {
@@ -74,37 +76,38 @@
 	}
 }
 
-// askRound asks the live targets of a pool whose turn it is.
+// pollRound polls the next batch of the live targets of a pool. The state of live targets outside
+// the batch is kept.
 func (c *SlowdownPoller) pollRound(ctx context.Context, p *poolPolling, live []blackboard.TargetAddress) {
 	batch, rounds := p.nextBatch(live)
-	holds := time.Duration(rounds)*slowdownInterval + slowdownTimeout + coordinatorCheckInterval
-	before, slow := p.slowTargets, map[string]bool{}
+	validFor := time.Duration(rounds)*slowdownInterval + slowdownTimeout + coordinatorCheckInterval
+	wasSlow, slow := p.slowTargets, map[string]bool{}
 	for _, t := range live {
-		if before[t.ID] {
+		if wasSlow[t.ID] {
 			slow[t.ID] = true
 		}
 	}
 	slots := make(chan struct{}, maxParallelSlowdownReads)
 	var mu sync.Mutex // guards slow
-	var asking sync.WaitGroup
+	var polling sync.WaitGroup
 	for _, t := range batch {
 		slots <- struct{}{}
-		asking.Go(func() {
+		polling.Go(func() {
 			defer func() { <-slots }()
-			isSlow := c.pollTarget(ctx, t, before[t.ID], holds)
+			isSlow := c.pollTarget(ctx, t, wasSlow[t.ID], validFor)
 			mu.Lock()
 			defer mu.Unlock()
 			slow[t.ID] = isSlow
 		})
 	}
-	asking.Wait()
+	polling.Wait()
 	p.slowTargets = slow
 }
 
-// round chooses whom to ask: all targets of a pool of maxSlowdownBatch or fewer. Of a larger one those
-// that were slow are asked in each round, so that one that works as usual again is not avoided
-// for long, and the others in turn by id. It returns how many rounds it takes until each has
-// been asked.
+// nextBatch chooses the targets to poll: all of a pool of maxSlowdownBatch or fewer. In a larger
+// pool the slow targets, up to half of the batch, are polled in each round, so that a target that
+// has recovered is not avoided for long, and the others in turn by id. nextBatch also returns the
+// number of rounds until each target has been polled.
 func (p *poolPolling) nextBatch(live []blackboard.TargetAddress) (batch []blackboard.TargetAddress, rounds int) {
 	if len(live) <= maxSlowdownBatch {
 		return live, 1
@@ -127,31 +130,32 @@
 	return batch, (len(others) + inTurn - 1) / inTurn
 }
 
-// ask takes in one target's report, which holds for so long, and tells whether the target is
-// slow. One that does not answer is what it was.
-func (c *SlowdownPoller) pollTarget(ctx context.Context, t blackboard.TargetAddress, before bool, holds time.Duration) bool {
+// pollTarget reads a target's report, records its slowdown as valid for the duration validFor, and
+// reports whether the target is slow. For a target that does not answer it returns wasSlow.
+func (c *SlowdownPoller) pollTarget(ctx context.Context, t blackboard.TargetAddress, wasSlow bool, validFor time.Duration) bool {
 	report, err := c.readReport(ctx, t)
 	if err != nil {
-		c.Recorder.Log.Debug("a target does not report", "target", t.ID, "error", err.Error())
-		return before
+		c.Recorder.Log.Debug("failed to read the target's report", "target", t.ID, "error", err.Error())
+		return wasSlow
 	}
 	now := time.Now()
 	if c.Board.Targets.Started(t.ID, report.Started, now) {
-		c.Recorder.Log.Info("target started anew", "target", t.ID, "pool", t.Pool, "incarnation", report.Started, "from", "its report")
+		c.Recorder.Log.Info("target restarted", "target", t.ID, "pool", t.Pool, "incarnation", report.Started, "from", "its report")
 	}
-	c.Board.Targets.SetPace(t.ID, report.Slowdown, now.Add(holds), now)
+	c.Board.Targets.SetPace(t.ID, report.Slowdown, now.Add(validFor), now)
 	slow := engine.Slowdown(report.Slowdown) > 1
-	if slow != before {
-		c.Recorder.Log.Info("target's pace", "target", t.ID, "pool", t.Pool, "pace", report.Slowdown, "slow", slow)
+	if slow != wasSlow {
+		c.Recorder.Log.Info("target's slowdown changed", "target", t.ID, "pool", t.Pool, "pace", report.Slowdown, "slow", slow)
 	}
 	return slow
 }
 
+// readReport requests a target's report, and records the notice that the answer carries.
 func (c *SlowdownPoller) readReport(ctx context.Context, t blackboard.TargetAddress) (forward.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, slowdownTimeout)
 	defer cancel()
-	question := c.Exchanger.Dialect.Report(t.ID)
-	reply, err := c.Exchanger.Send(ctx, t.Address, &question)
+	request := c.Exchanger.Dialect.Report(t.ID)
+	reply, err := c.Exchanger.Send(ctx, t.Address, &request)
 	if err != nil {
 		return forward.Report{}, err
 	}
--- a/node/controller/paces_test.go
+++ b/node/controller/slowdown_test.go
@@ -7,6 +7,7 @@
 	"doorstack.dev/node/blackboard"
 )
 
+// newEngines returns the addresses of n engines, not sorted by id.
 func newEngines(n int) []blackboard.TargetAddress {
 	var list []blackboard.TargetAddress
 	for i := range n {
@@ -15,55 +16,56 @@
 	return list
 }
 
-// TestLargePoolIsPolledInBatches: what the daemon that coordinates a pool asks in a round does not
-// grow with the pool; each engine is asked within the rounds that are told, and one that was
-// slow in each of them.
+// TestLargePoolIsPolledInBatches checks that a round does not grow with the pool, that each engine
+// is polled within the number of rounds that nextBatch returns, and that a slow engine is polled in
+// each of them.
 func TestLargePoolIsPolledInBatches(t *testing.T) {
 	for _, size := range []int{maxSlowdownBatch + 1, 1000, 2300} {
 		live := newEngines(size)
 		p := &poolPolling{slowTargets: map[string]bool{live[3].ID: true, live[size/2].ID: true}}
-		asked := map[string]int{}
+		polled := map[string]int{}
 		_, rounds := (&poolPolling{slowTargets: p.slowTargets}).nextBatch(live)
 		for range rounds {
 			batch, _ := p.nextBatch(live)
 			if len(batch) > maxSlowdownBatch {
-				t.Errorf("%d engines: %d are asked in a round, want %d at most", size, len(batch), maxSlowdownBatch)
+				t.Errorf("%d engines: batch of %d, want %d at most", size, len(batch), maxSlowdownBatch)
 			}
 			for _, e := range batch {
-				asked[e.ID]++
+				polled[e.ID]++
 			}
 		}
-		if len(asked) != size {
-			t.Errorf("%d engines: %d were asked in %d rounds", size, len(asked), rounds)
+		if len(polled) != size {
+			t.Errorf("%d engines: %d were polled in %d rounds, want all", size, len(polled), rounds)
 		}
 		for id := range p.slowTargets {
-			if asked[id] != rounds {
-				t.Errorf("%d engines: a slow one was asked in %d rounds of %d", size, asked[id], rounds)
+			if polled[id] != rounds {
+				t.Errorf("%d engines: a slow engine was polled %d times in %d rounds, want once in each", size, polled[id], rounds)
 			}
 		}
 	}
 }
 
-// TestManySlowEnginesDoNotStarveOthers: engines are found slow also where many are known to be.
+// TestManySlowEnginesDoNotStarveOthers checks that every engine is polled although more engines are
+// slow than a batch holds.
 func TestManySlowEnginesDoNotStarveOthers(t *testing.T) {
 	live := newEngines(1000)
 	p := &poolPolling{slowTargets: map[string]bool{}}
 	for _, e := range live[:600] {
 		p.slowTargets[e.ID] = true
 	}
-	asked := map[string]bool{}
+	polled := map[string]bool{}
 	_, rounds := (&poolPolling{slowTargets: p.slowTargets}).nextBatch(live)
 	for range rounds {
 		batch, _ := p.nextBatch(live)
 		if len(batch) > maxSlowdownBatch {
-			t.Fatalf("%d are asked in a round", len(batch))
+			t.Fatalf("batch of %d, want %d at most", len(batch), maxSlowdownBatch)
 		}
 		for _, e := range batch {
-			asked[e.ID] = true
+			polled[e.ID] = true
 		}
 	}
-	if len(asked) != len(live) {
-		t.Errorf("%d of %d were asked", len(asked), len(live))
+	if len(polled) != len(live) {
+		t.Errorf("%d of %d engines were polled in %d rounds, want all", len(polled), len(live), rounds)
 	}
 }
 
@@ -72,7 +74,7 @@
 		p := &poolPolling{}
 		for range 2 {
 			if batch, rounds := p.nextBatch(newEngines(size)); len(batch) != size || rounds != 1 {
-				t.Errorf("%d engines: %d asked, %d rounds", size, len(batch), rounds)
+				t.Errorf("%d engines: batch of %d in %d rounds, want all in one round", size, len(batch), rounds)
 			}
 		}
 	}
