--- a/node/peer/frame.go
+++ b/node/peer/frame.go
@@ -1,7 +1,7 @@
-// Package peer carries messages between daemons: WebSocket connections with CBOR
-// frames. Each side proves that it knows a shared secret before anything else is
-// read. Frames are bounded; an unknown kind or field is skipped, so that daemons
-// of two versions work together during a rolling restart.
+// Package peer carries messages between daemons, over WebSocket connections with
+// CBOR frames. Each side proves that it knows a shared secret before anything else
+// is read. The size of frames is bounded; unknown kinds and fields are skipped, so
+// that daemons of two versions work together during a rolling restart.
 package peer
 
 import (
@@ -13,10 +13,11 @@
 	"github.com/go-faster/errors"
 )
 
-// Kind names a message.
+// Kind identifies the type of a message.
 type Kind uint8
 
-// The kinds of messages. Numbers are part of the protocol and never used again.
+// The kinds of messages. The numbers are part of the protocol; the number of a removed kind is
+// never reused.
 const (
 	KindChallenge       Kind = 1
 	KindHello           Kind = 2
@@ -47,6 +48,7 @@
 	KindLimit           Kind = 27
 )
 
+// kindNames holds the names of the kinds in metrics and logs.
 var kindNames = map[Kind]string{
 	KindChallenge: "challenge", KindHello: "hello", KindWelcome: "welcome", KindHeartbeat: "heartbeat",
 	KindRumor: "rumor", KindSettings: "settings", KindClaim: "claim", KindGiveUp: "give_up",
@@ -58,7 +60,7 @@
 	KindCrash: "crash", KindVerdicts: "verdicts", KindFacts: "facts", KindTrial: "trial", KindLimit: "limit",
 }
 
-// String names the kind for metrics.
+// String returns the name of the kind in metrics, or "unknown".
 func (k Kind) String() string {
 	if name, ok := kindNames[k]; ok {
 		return name
@@ -66,10 +68,9 @@
 	return "unknown"
 }
 
-// encode writes a message as CBOR. Times keep their fractions of a second, which the library drops
-// unless told otherwise: a key that a caller made 2.9 s after a witness had started seemed less
-// than 2 s younger, and the claim was refused (TestAKeyIsAsOldAtEveryWitness). Daemons that write
-// whole seconds read both forms.
+// encode returns a message as CBOR. Times keep their fractions of a second, which the library drops
+// by default: a key created 2.9 s after the start of a witness then seemed less than 2 s younger
+// than the witness, so the claim was refused. Daemons that write whole seconds read both forms.
 func encode(message any) ([]byte, error) { return encodingMode.Marshal(message) }
 
 var encodingMode = func() cbor.EncMode {
@@ -80,36 +81,36 @@
 	return mode
 }()
 
-// MaxFrameSize bounds a frame: a whole settings tree of a large fleet fits.
+// MaxFrameSize bounds an encoded frame, in bytes. The whole settings tree of a large fleet fits.
 const MaxFrameSize = 8 << 20
 
-// Frame is one message.
+// Frame is a message as it is sent over a link.
 type Frame struct {
 	Kind Kind `cbor:"1,keyasint"`
-	// ID links an answer to its question; zero asks for none.
+	// ID matches an answer to its request; zero requests no answer.
 	ID uint64 `cbor:"2,keyasint,omitempty"`
-	// Answer marks answers.
+	// Answer reports whether the frame is an answer.
 	Answer bool `cbor:"3,keyasint,omitempty"`
-	// Error is the text of a failed question.
+	// Error is the error text in the answer to a failed request.
 	Error string `cbor:"4,keyasint,omitempty"`
-	// Body is the message.
+	// Body is the encoded message.
 	Body cbor.RawMessage `cbor:"5,keyasint,omitempty"`
 }
 
-// challenge is the server's first frame.
+// challenge is the server's first message: its name and nonce.
 type challenge struct {
 	Name  string `cbor:"1,keyasint"`
 	Nonce []byte `cbor:"2,keyasint"`
 }
 
-// hello is the client's answer.
+// hello is the client's answer to the challenge: its name, nonce and proof.
 type hello struct {
 	Name  string `cbor:"1,keyasint"`
 	Nonce []byte `cbor:"2,keyasint"`
 	Proof []byte `cbor:"3,keyasint"`
 }
 
-// welcome is the server's proof.
+// welcome is the server's proof, which ends the handshake.
 type welcome struct {
 	Proof []byte `cbor:"1,keyasint"`
 }
@@ -122,28 +123,30 @@
 	return nonce
 }
 
-// The two directions of a proof, so that one cannot be sent back as the other.
+// The labels of the two proofs. They differ, so that a proof cannot be replayed as the other
+// side's.
 const (
 	clientProofLabel = "doorstack client"
 	serverProofLabel = "doorstack server"
 )
 
-// computeProof shows that the key is known without telling it.
-func computeProof(key []byte, direction, client, server string, clientNonce, serverNonce []byte) []byte {
+// computeProof returns an HMAC over the label, both names and both nonces, which proves knowledge
+// of the key without disclosing it.
+func computeProof(key []byte, label, client, server string, clientNonce, serverNonce []byte) []byte {
 	mac := hmac.New(sha256.New, key)
-	for _, part := range [][]byte{[]byte(direction), []byte(client), []byte(server), clientNonce, serverNonce} {
+	for _, part := range [][]byte{[]byte(label), []byte(client), []byte(server), clientNonce, serverNonce} {
 		_, _ = mac.Write([]byte{byte(len(part))}) // A hash never fails.
 		_, _ = mac.Write(part)
 	}
 	return mac.Sum(nil)
 }
 
-var errUnknownKey = errors.New("the peer does not know any of our keys; give all daemons the same peer_keys")
+var errUnknownKey = errors.New("the peer's proof matches none of the peer_keys; give all daemons the same peer_keys")
 
-// findKey finds the key that a proof was made with.
-func findKey(keys [][]byte, check func(key []byte) []byte, got []byte) ([]byte, error) {
+// findKey returns the key for which expected returns the received proof.
+func findKey(keys [][]byte, expected func(key []byte) []byte, received []byte) ([]byte, error) {
 	for _, key := range keys {
-		if hmac.Equal(check(key), got) {
+		if hmac.Equal(expected(key), received) {
 			return key, nil
 		}
 	}
--- a/node/peer/handshake.go
+++ b/node/peer/handshake.go
@@ -9,9 +9,11 @@
 	"github.com/go-faster/errors"
 )
 
-// handshakeTimeout bounds the proof of both sides.
+// handshakeTimeout bounds the handshake, including the dialing on the client's side.
 const handshakeTimeout = 2 * time.Second
 
+// acceptHandshake is the server's side of the handshake. It returns the client's name, once the
+// client has proved that it knows one of the keys.
 func (h *Hub) acceptHandshake(conn *websocket.Conn) (string, error) {
 	ctx, cancel := context.WithTimeout(h.ctx, handshakeTimeout)
 	defer cancel()
@@ -32,7 +34,8 @@
 	return in.Name, writeFrame(ctx, conn, KindWelcome, welcome{Proof: computeProof(key, serverProofLabel, in.Name, h.self, in.Nonce, nonce)})
 }
 
-// dialHandshake proves who both sides are. An empty name takes whoever answers.
+// dialHandshake is the client's side of the handshake. It returns the server's name, which has to
+// be the given name unless that is empty.
 func (h *Hub) dialHandshake(ctx context.Context, conn *websocket.Conn, name string) (string, error) {
 	var c challenge
 	if err := readFrame(ctx, conn, KindChallenge, &c); err != nil {
--- a/node/peer/hub.go
+++ b/node/peer/hub.go
@@ -13,16 +13,18 @@
 	"github.com/go-faster/errors"
 )
 
-// Handler serves a kind of message. The answer is not sent where none is wanted.
+// Handler handles a kind of message from the named peer. Its answer is discarded if the message is
+// a notification.
 type Handler func(ctx context.Context, from string, body cbor.RawMessage) (any, error)
 
-// Hub holds the links of a daemon.
+// Hub holds the links of a daemon to its peers, sends messages over them, and passes received
+// messages to their handlers.
 type Hub struct {
 	self     string
 	keys     [][]byte
 	metrics  *telemetry.Metrics
 	log      *slog.Logger
-	client   *http.Client // dials; nil for the default one
+	client   *http.Client // opens links; nil means the default client
 	handlers map[Kind]Handler
 
 	mu      sync.Mutex
@@ -33,7 +35,8 @@
 	cancel  context.CancelFunc
 }
 
-// NewHub returns a hub without links. The first key signs, all are accepted.
+// NewHub returns a hub without links for the daemon self. The first key signs the daemon's own
+// proofs as a client; all keys are accepted from clients.
 func NewHub(self string, keys []string, metrics *telemetry.Metrics) *Hub {
 	h := &Hub{
 		self: self, metrics: metrics, log: slog.New(slog.DiscardHandler), handlers: map[Kind]Handler{}, links: map[string]*link{},
@@ -46,17 +49,18 @@
 	return h
 }
 
-// LogTo sets where frames that waited long are reported. It is set before the hub is used.
+// SetLogger sets the logger for frames that took long to be sent. It must be called before the hub
+// is used.
 func (h *Hub) SetLogger(log *slog.Logger) { h.log = log }
 
-// DialWith sets the client that opens links, for networks other than the host's own. It is
-// set before the hub is used.
+// SetHTTPClient sets the client that opens links, for networks other than the host's own. It must
+// be called before the hub is used.
 func (h *Hub) SetHTTPClient(client *http.Client) { h.client = client }
 
-// Handle sets the handler of a kind. All are set before the hub is used.
+// Handle sets the handler of a kind. All handlers must be set before the hub is used.
 func (h *Hub) Handle(kind Kind, serve Handler) { h.handlers[kind] = serve }
 
-// TypedHandler wraps a typed function as a handler.
+// TypedHandler returns a handler that decodes the message and calls serve.
 func TypedHandler[In, Out any](serve func(ctx context.Context, from string, in In) (Out, error)) Handler {
 	return func(ctx context.Context, from string, body cbor.RawMessage) (any, error) {
 		var in In
@@ -72,22 +76,22 @@
 	h.metrics.PeerBytes.WithLabelValues(direction, kind.String()).Add(float64(bytes))
 }
 
-// minLoggedWait is the time for which a frame waits to be written until a line tells of it: a
-// quarter of the time in which a heartbeat has to be answered.
+// minLoggedWait is the time to send a frame above which a warning is logged: a quarter of the time
+// within which a heartbeat has to be answered.
 const minLoggedWait = 250 * time.Millisecond
 
-// written notes how long a frame waited behind others and took to be written.
-func (h *Hub) recordWrite(to string, out queuedFrame) {
-	waited := time.Since(out.queued)
-	h.metrics.PeerWait.WithLabelValues(out.kind.String()).Observe(waited.Seconds())
+// recordWrite records how long a frame took to be sent, including its time in the send queue.
+func (h *Hub) recordWrite(to string, frame queuedFrame) {
+	waited := time.Since(frame.queued)
+	h.metrics.PeerWait.WithLabelValues(frame.kind.String()).Observe(waited.Seconds())
 	if waited > minLoggedWait {
-		h.log.Warn("a frame waited to be sent", "peer", to, "frame", out.kind.String(), "bytes", len(out.data), "waited_ms", waited.Milliseconds())
+		h.log.Warn("a frame took long to be sent", "peer", to, "frame", frame.kind.String(), "bytes", len(frame.data), "waited_ms", waited.Milliseconds())
 	}
 }
 
 func (h *Hub) countRefused(reason string) { h.metrics.PeerRefused.WithLabelValues(reason).Inc() }
 
-// Handler accepts links of peers.
+// Handler returns the HTTP handler that accepts links from peers.
 func (h *Hub) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		conn, err := websocket.Accept(w, r, nil)
@@ -115,8 +119,9 @@
 func (h *Hub) addLink(l *link) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	// The newest link wins: a peer that dials again has lost the one before. Two
-	// daemons may dial each other at once; both links work, and one is used.
+	// The newest link replaces an older one: a peer that dials again has lost the
+	// previous link. Two daemons may dial each other at the same time; both links
+	// work, and one is used.
 	h.links[l.peer] = l
 }
 
@@ -128,13 +133,13 @@
 	}
 }
 
-// Address is a peer and where it listens.
+// Address is the name of a peer and the host:port on which it listens.
 type Address struct {
 	Name, Address string
 }
 
-// link returns an open link, dialing if there is none. One goroutine dials, the
-// others wait for it.
+// link returns an open link to a peer, dialing if there is none. One goroutine
+// dials, and the others wait for its result.
 func (h *Hub) link(ctx context.Context, to Address) (*link, error) {
 	for {
 		h.mu.Lock()
@@ -170,6 +175,7 @@
 	return h.links[name] != nil
 }
 
+// dial opens a link to a peer, and then wakes the goroutines that wait for it.
 func (h *Hub) dial(ctx context.Context, to Address) (*link, error) {
 	defer func() {
 		h.mu.Lock()
@@ -180,6 +186,8 @@
 	return h.connect(ctx, to)
 }
 
+// connect opens a link, whether or not there is one already. With an empty name it accepts any
+// daemon that listens at the address.
 func (h *Hub) connect(ctx context.Context, to Address) (*link, error) {
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
@@ -195,7 +203,7 @@
 	if err != nil {
 		h.countRefused("bad_proof")
 		_ = conn.CloseNow()
-		return nil, errors.Wrap(err, "greet "+to.Name+" at "+to.Address)
+		return nil, errors.Wrap(err, "handshake with "+to.Name+" at "+to.Address)
 	}
 	l := newLink(h, name, conn)
 	h.addLink(l)
@@ -203,7 +211,7 @@
 	return l, nil
 }
 
-// Linked lists the peers with an open link.
+// LinkedPeers returns the names of the peers with an open link.
 func (h *Hub) LinkedPeers() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -214,10 +222,11 @@
 	return names
 }
 
-// linkIdleTimeout is how long an unused link is kept.
+// linkIdleTimeout is how long a link is kept after this daemon's last call over it.
 const linkIdleTimeout = 5 * time.Minute
 
-// CloseIdle closes links that carried no question for long and are not wanted.
+// CloseIdle closes the links over which this daemon has made no call for linkIdleTimeout, except
+// links to peers for which wanted returns true.
 func (h *Hub) CloseIdle(wanted func(name string) bool) {
 	limit := time.Now().Add(-linkIdleTimeout).Unix()
 	h.mu.Lock()
@@ -233,7 +242,8 @@
 	}
 }
 
-// Block cuts a peer off, as a network partition would; tests use it.
+// Block closes the link to a peer and refuses new ones while blocked is true, like a network
+// partition. It exists for tests.
 func (h *Hub) Block(name string, blocked bool) {
 	h.mu.Lock()
 	h.blocked[name] = blocked
@@ -250,7 +260,7 @@
 	return h.blocked[name]
 }
 
-// Close ends all links.
+// Close closes all links.
 func (h *Hub) Close() {
 	h.mu.Lock()
 	links := make([]*link, 0, len(h.links))
--- a/node/peer/bulk_test.go
+++ b/node/peer/large_answer_test.go
@@ -16,15 +16,16 @@
 )
 
 const (
-	linkBytesPerSecond = 2_500_000 // bytes a second, 20 Mbit/s
+	linkBytesPerSecond = 2_500_000 // 20 Mbit/s
 	answerBytes        = 500_000
 	idleTimeout        = 600 * time.Millisecond
 )
 
-// closeTimeout is longer than the handshake that closes a link may take, in virtual time.
+// closeTimeout is longer than the handshake that closes a link can take, in virtual time.
 const closeTimeout = 20 * time.Second
 
-// largeAnswerFixture is a daemon behind a slow link that answers with so many bytes, and peers of it.
+// largeAnswerFixture is a daemon, the sender, that returns large answers over a slow link, and its
+// peers.
 type largeAnswerFixture struct {
 	sender  *Hub
 	host    *slownet.Host
@@ -33,6 +34,8 @@
 	close   func()
 }
 
+// newLargeAnswerFixture starts a sender whose answers to KindSettingsChanges have size bytes, and
+// the given number of peers.
 func newLargeAnswerFixture(peers, size int) *largeAnswerFixture {
 	network := &slownet.Net{Delay: time.Millisecond}
 	f := &largeAnswerFixture{address: Address{Name: "sender", Address: "10.0.0.1:1"}}
@@ -59,37 +62,38 @@
 	return f
 }
 
-// TestLargeAnswersOverFullLinkAreReceived: twelve peers ask at once for what one link carries in 2.4 s, four
-// times the silence after which a peer is given up. All get it; those given up at a fixed time
-// had it sent to their end all the same.
+// TestLargeAnswersOverFullLinkAreReceived has twelve peers request at the same time what one link
+// carries in 2.4 s, four times the idle timeout, and checks that all receive it. It guards against
+// a fixed timeout for the whole answer: the sender then still sent the rest of each answer, in
+// vain.
 func TestLargeAnswersOverFullLinkAreReceived(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const peers = 12
 		f := newLargeAnswerFixture(peers, answerBytes)
 		defer f.close()
-		var asking sync.WaitGroup
+		var calls sync.WaitGroup
 		for _, hub := range f.peers {
-			asking.Go(func() {
+			calls.Go(func() {
 				var answer []byte
 				if err := hub.CallWithIdleTimeout(t.Context(), f.address, KindSettingsChanges, "", &answer, idleTimeout); err != nil {
-					t.Error(err)
+					t.Errorf("CallWithIdleTimeout: %v", err)
 				}
 			})
 		}
-		asking.Wait()
+		calls.Wait()
 		if sent := f.host.Sent(); sent > peers*answerBytes*11/10 {
-			t.Errorf("%d bytes sent for %d answers", sent, peers)
+			t.Errorf("sender sent %d bytes, want at most %d for %d answers of %d bytes", sent, peers*answerBytes*11/10, peers, answerBytes)
 		}
 		for _, hub := range f.peers {
 			if unwanted := testutil.ToFloat64(hub.metrics.PeerUnwanted.WithLabelValues(KindSettingsChanges.String())); unwanted > 0 {
-				t.Errorf("%v bytes came that nobody waited for", unwanted)
+				t.Errorf("received %v bytes of answers after their call had ended, want 0", unwanted)
 			}
 		}
 	})
 }
 
-// TestCallWaitsForLargeAnswerInTransit: an answer that takes twice the time of a silence, and goes on
-// coming, is taken.
+// TestCallWaitsForLargeAnswerInTransit checks that a call receives an answer that takes twice the
+// idle timeout to arrive, as long as data keeps arriving.
 func TestCallWaitsForLargeAnswerInTransit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newLargeAnswerFixture(1, 6*answerBytes)
@@ -97,15 +101,16 @@
 		began := time.Now()
 		var answer []byte
 		if err := f.peers[0].CallWithIdleTimeout(t.Context(), f.address, KindSettingsChanges, "", &answer, idleTimeout); err != nil {
-			t.Fatalf("after %v: %v", time.Since(began), err)
+			t.Fatalf("CallWithIdleTimeout after %v: %v", time.Since(began), err)
 		}
 		if took := time.Since(began); took < 2*idleTimeout {
-			t.Fatalf("it took only %v", took)
+			t.Fatalf("CallWithIdleTimeout took %v, want at least %v for the test to be meaningful", took, 2*idleTimeout)
 		}
 	})
 }
 
-// TestCallEndsAfterIdleTimeout: one from which nothing comes is given up after the silence.
+// TestCallEndsAfterIdleTimeout checks that a call to a peer that sends nothing fails after the idle
+// timeout.
 func TestCallEndsAfterIdleTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newLargeAnswerFixture(1, 1)
@@ -117,36 +122,36 @@
 		began := time.Now()
 		var answer []byte
 		if err := f.peers[0].CallWithIdleTimeout(t.Context(), f.address, KindClaim, "", &answer, idleTimeout); err == nil {
-			t.Fatal("a peer that says nothing has answered")
+			t.Fatal("CallWithIdleTimeout to a peer that sends nothing succeeded, want an error")
 		}
 		if took := time.Since(began); took > 2*idleTimeout {
-			t.Fatalf("it was left after %v", took)
+			t.Fatalf("CallWithIdleTimeout failed after %v, want at most %v", took, 2*idleTimeout)
 		}
 	})
 }
 
-// TestLinkCarryingLargeAnswerStaysOpen: heartbeats that are not answered in time, because a
-// large answer fills the link, gave the link up for silent, and the answer with it.
+// TestLinkCarryingLargeAnswerStaysOpen guards against closing a link as silent, and losing the
+// large answer that fills it, because heartbeats are not answered in time meanwhile.
 func TestLinkCarryingLargeAnswerStaysOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newLargeAnswerFixture(1, 14*answerBytes)
 		defer f.close()
-		var beating sync.WaitGroup
-		beats, stop := context.WithCancel(t.Context())
-		beating.Go(func() {
-			for beats.Err() == nil {
-				ctx, cancel := context.WithTimeout(beats, time.Second)
-				var here string
-				_ = f.peers[0].Call(ctx, f.address, KindExplain, "", &here) // Its answer may be late.
+		var heartbeats sync.WaitGroup
+		heartbeatCtx, stop := context.WithCancel(t.Context())
+		heartbeats.Go(func() {
+			for heartbeatCtx.Err() == nil {
+				ctx, cancel := context.WithTimeout(heartbeatCtx, time.Second)
+				var reply string
+				_ = f.peers[0].Call(ctx, f.address, KindExplain, "", &reply) // The answer may be late.
 				<-ctx.Done()
 				cancel()
 			}
 		})
 		var answer []byte
 		if err := f.peers[0].CallWithIdleTimeout(t.Context(), f.address, KindSettingsChanges, "", &answer, idleTimeout); err != nil {
-			t.Error(err)
+			t.Errorf("CallWithIdleTimeout: %v", err)
 		}
 		stop()
-		beating.Wait()
+		heartbeats.Wait()
 	})
 }
--- a/node/peer/link.go
+++ b/node/peer/link.go
@@ -13,7 +13,7 @@
 	"github.com/go-faster/errors"
 )
 
-// link is an open connection to a peer. Both ends may ask.
+// link is an open connection to a peer. Both ends may send requests over it.
 type link struct {
 	peer       string
 	hub        *Hub
@@ -21,38 +21,39 @@
 	sendQueue  chan queuedFrame
 	closed     chan struct{}
 	closeOnce  sync.Once
-	lastCallAt atomic.Int64 // when it last carried a question, in Unix seconds
-	lastReadAt atomic.Int64 // when anything last came over it, in Unix nanoseconds
+	lastCallAt atomic.Int64 // when this daemon last made a call over the link, in Unix seconds
+	lastReadAt atomic.Int64 // when data last arrived over the link, in Unix nanoseconds
 
 	mu      sync.Mutex
 	lastID  uint64
 	pending map[uint64]chan Frame
-	// unanswered is when the first question was sent of those since which nothing has come;
-	// zero when something has.
+	// unansweredSince is when the first call was made after which no frame has arrived; zero if
+	// there is none.
 	unansweredSince time.Time
 }
 
-// queuedFrame is a frame that waits to be written.
+// queuedFrame is an encoded frame in the send queue of a link.
 type queuedFrame struct {
 	kind   Kind
 	data   []byte
 	queued time.Time
 }
 
-// silenceTimeout is how long a peer may say nothing while questions wait: two heartbeats. An
-// open connection may go silent for good without an error, while a new one works.
+// silenceTimeout is how long a peer may send nothing while calls wait for an answer: two
+// heartbeats. An open connection may stop delivering for good without an error, while a new
+// connection works.
 const silenceTimeout = 2 * time.Second
 
-// sendQueueSize bounds the frames that wait for a slow peer; when it is full the link
-// is closed, so that a slow peer holds nobody up.
+// sendQueueSize bounds the frames that wait for a slow peer. When the queue is full the link is
+// closed, so that a slow peer does not block senders.
 const sendQueueSize = 256
 
-// writeTimeout bounds the time to write a frame.
+// writeTimeout bounds the write of a frame, after its time in the send queue.
 const writeTimeout = 5 * time.Second
 
 var (
 	errClosed   = errors.New("the link to the peer is closed")
-	errSilent   = errors.New("nothing came from the peer in time")
+	errSilent   = errors.New("received no data from the peer within the idle timeout")
 	errSlowPeer = errors.New("the peer does not read fast enough")
 )
 
@@ -64,7 +65,8 @@
 
 func (l *link) recordCall() { l.lastCallAt.Store(time.Now().Unix()) }
 
-// run serves the link until it breaks.
+// run sends queued frames and handles received ones until the connection fails or the link is
+// closed.
 func (l *link) run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -89,7 +91,7 @@
 	}
 }
 
-// read reads a message and notes that something comes while it does.
+// readMessage reads a message and updates lastReadAt as its parts arrive.
 func (l *link) readMessage(ctx context.Context) ([]byte, error) {
 	_, message, err := l.conn.Reader(ctx)
 	if err != nil {
@@ -98,14 +100,14 @@
 	return io.ReadAll(&timestampReader{message, &l.lastReadAt})
 }
 
-// timestampReader notes when something was read.
+// timestampReader is a reader that records the time of each read in lastReadAt.
 type timestampReader struct {
 	source     io.Reader
 	lastReadAt *atomic.Int64
 }
 
-// maxReadSize is how many bytes are read at a time, since the library returns when all that was
-// asked for is there: 6 ms of a link of 20 Mbit/s.
+// maxReadSize bounds the bytes of a read, since the library returns only when all requested bytes
+// have arrived. 16 KiB take 6 ms over a link of 20 Mbit/s.
 const maxReadSize = 16 << 10
 
 func (r *timestampReader) Read(p []byte) (int, error) {
@@ -114,21 +116,22 @@
 	return n, err
 }
 
+// handleFrame delivers an answer to its call, or runs the handler of a request or notification.
 func (l *link) handleFrame(ctx context.Context, f Frame) {
 	if f.Answer {
 		l.mu.Lock()
-		waiting := l.pending[f.ID]
+		answer := l.pending[f.ID]
 		delete(l.pending, f.ID)
 		l.mu.Unlock()
-		if waiting == nil {
+		if answer == nil {
 			l.hub.metrics.PeerUnwanted.WithLabelValues(f.Kind.String()).Add(float64(len(f.Body)))
 			return
 		}
-		waiting <- f
+		answer <- f
 		return
 	}
-	serve := l.hub.handlers[f.Kind]
-	if serve == nil {
+	handler := l.hub.handlers[f.Kind]
+	if handler == nil {
 		l.hub.countRefused("unknown_kind")
 		if f.ID != 0 {
 			l.sendAnswer(Frame{Kind: f.Kind, ID: f.ID, Answer: true, Error: "this daemon does not know the message; it may be an older version"})
@@ -136,16 +139,17 @@
 		return
 	}
 	if f.ID == 0 {
-		// News is taken in order; handlers of news do not wait for anything.
-		_, _ = serve(ctx, l.peer, f.Body)
+		// Notifications are handled in order; their handlers do not block.
+		_, _ = handler(ctx, l.peer, f.Body)
 		return
 	}
-	go l.serveRequest(ctx, serve, f)
+	go l.serveRequest(ctx, handler, f)
 }
 
-func (l *link) serveRequest(ctx context.Context, serve Handler, f Frame) {
+// serveRequest runs the handler of a request and sends its answer or error.
+func (l *link) serveRequest(ctx context.Context, handler Handler, f Frame) {
 	answer := Frame{Kind: f.Kind, ID: f.ID, Answer: true}
-	body, err := serve(ctx, l.peer, f.Body)
+	body, err := handler(ctx, l.peer, f.Body)
 	if err == nil {
 		answer.Body, err = encode(body)
 	}
@@ -161,7 +165,7 @@
 	}
 }
 
-// send queues a frame.
+// send queues a frame. If the queue is full it closes the link and returns an error.
 func (l *link) send(f Frame) error {
 	data, err := encode(f)
 	if err != nil {
@@ -182,6 +186,8 @@
 	}
 }
 
+// writeFrames writes queued frames until the link is closed, ctx ends, or a write fails, which
+// closes the link.
 func (l *link) writeFrames(ctx context.Context) {
 	for {
 		select {
@@ -189,11 +195,11 @@
 			return
 		case <-l.closed:
 			return
-		case out := <-l.sendQueue:
-			writing, cancel := context.WithTimeout(ctx, writeTimeout)
-			err := l.conn.Write(writing, websocket.MessageBinary, out.data)
+		case frame := <-l.sendQueue:
+			writeCtx, cancel := context.WithTimeout(ctx, writeTimeout)
+			err := l.conn.Write(writeCtx, websocket.MessageBinary, frame.data)
 			cancel()
-			l.hub.recordWrite(l.peer, out)
+			l.hub.recordWrite(l.peer, frame)
 			if err != nil {
 				l.close(websocket.StatusPolicyViolation, "write failed")
 				return
@@ -202,11 +208,11 @@
 	}
 }
 
-// ask sends a question and waits for its answer, until ctx ends or, where silence is above
-// zero, nothing has come over the link for so long.
-func (l *link) call(ctx context.Context, kind Kind, body cbor.RawMessage, silence time.Duration) (cbor.RawMessage, error) {
+// call sends a request and waits for its answer until ctx ends or, with an idleTimeout above zero,
+// until no data has arrived over the link for that long.
+func (l *link) call(ctx context.Context, kind Kind, body cbor.RawMessage, idleTimeout time.Duration) (cbor.RawMessage, error) {
 	l.recordCall()
-	asked := time.Now()
+	started := time.Now()
 	answer := make(chan Frame, 1)
 	l.mu.Lock()
 	l.lastID++
@@ -224,11 +230,11 @@
 	if err := l.send(Frame{Kind: kind, ID: id, Body: body}); err != nil {
 		return nil, err
 	}
-	var silent <-chan time.Time
-	if silence > 0 {
-		timer := time.NewTicker(silence / silenceChecks)
-		defer timer.Stop()
-		silent = timer.C
+	var idleCheck <-chan time.Time
+	if idleTimeout > 0 {
+		ticker := time.NewTicker(idleTimeout / silenceChecks)
+		defer ticker.Stop()
+		idleCheck = ticker.C
 	}
 	for {
 		select {
@@ -239,8 +245,8 @@
 			return f.Body, nil
 		case <-l.closed:
 			return nil, errClosed
-		case now := <-silent:
-			if now.Sub(asked) >= silence && l.sinceLastRead(now) >= silence {
+		case now := <-idleCheck:
+			if now.Sub(started) >= idleTimeout && l.sinceLastRead(now) >= idleTimeout {
 				l.closeIfSilent(now)
 				return nil, errSilent
 			}
@@ -251,16 +257,17 @@
 	}
 }
 
-// silenceChecks is how often in the time of a silence it is looked for.
+// silenceChecks is the number of checks for received data within an idle timeout.
 const silenceChecks = 8
 
-// quietFor is how long nothing has come over the link, parts of a message included.
+// sinceLastRead returns the time since data last arrived over the link, be it part of a message.
 func (l *link) sinceLastRead(now time.Time) time.Duration {
 	return now.Sub(time.Unix(0, l.lastReadAt.Load()))
 }
 
-// closeIfSilent gives a link up whose peer has answered nothing for too long, so that the
-// next question goes over a new one. One over which a large answer comes is not silent.
+// closeIfSilent closes the link if calls wait for an answer and the peer has sent nothing for
+// silenceTimeout, so that the next call uses a new link. A link over which a large answer is
+// arriving is not silent.
 func (l *link) closeIfSilent(now time.Time) {
 	l.mu.Lock()
 	since := l.unansweredSince
@@ -272,6 +279,7 @@
 	l.close(websocket.StatusGoingAway, "silent")
 }
 
+// close closes the link once, with a WebSocket status code and reason, and removes it from the hub.
 func (l *link) close(code websocket.StatusCode, reason string) {
 	l.closeOnce.Do(func() {
 		close(l.closed)
--- a/node/peer/peer_test.go
+++ b/node/peer/peer_test.go
@@ -12,16 +12,18 @@
 	"github.com/prometheus/client_golang/prometheus/testutil"
 )
 
+// testMessage is the request and the answer of the tests.
 type testMessage struct {
 	Text string `cbor:"1,keyasint"`
 }
 
-// newerMessage is a question of a later version, with a field that this one lacks.
+// newerMessage is a testMessage of a later version, with an additional field.
 type newerMessage struct {
 	Text  string `cbor:"1,keyasint"`
 	Extra int    `cbor:"9,keyasint"`
 }
 
+// startServer starts a hub that answers KindExplain, and returns its address.
 func startServer(t *testing.T, name string, keys ...string) (*Hub, Address) {
 	t.Helper()
 	h := NewHub(name, keys, telemetry.NewMetrics())
@@ -46,7 +48,7 @@
 		"same key":              {[]string{oldKey}, []string{oldKey}, true},
 		"server has both":       {[]string{oldKey}, []string{newKey, oldKey}, true},
 		"client signs with new": {[]string{newKey, oldKey}, []string{oldKey, newKey}, true},
-		"strangers":             {[]string{oldKey}, []string{newKey}, false},
+		"no shared key":         {[]string{oldKey}, []string{newKey}, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -56,13 +58,13 @@
 			var answer testMessage
 			err := client.Call(context.Background(), address, KindExplain, testMessage{"why"}, &answer)
 			if (err == nil) != c.ok {
-				t.Fatalf("got %v", err)
+				t.Fatalf("Call: error %v, want success: %v", err, c.ok)
 			}
 			if c.ok && answer.Text != "client asked why" {
-				t.Fatalf("got %q", answer.Text)
+				t.Fatalf("Call answered %q, want %q", answer.Text, "client asked why")
 			}
 			if refused := testutil.ToFloat64(server.metrics.PeerRefused.WithLabelValues("bad_proof")); (refused == 0) != c.ok {
-				t.Errorf("%v peers counted as refused", refused)
+				t.Errorf("server counted %v peers as refused, want none: %v", refused, c.ok)
 			}
 		})
 	}
@@ -74,7 +76,7 @@
 	defer client.Close()
 	address.Name = "other"
 	if err := client.Call(context.Background(), address, KindExplain, testMessage{}, &testMessage{}); err == nil {
-		t.Fatal("a daemon at a reused address is taken for the one that had it")
+		t.Fatal("Call to \"other\" at the address of \"server\" succeeded, want an error")
 	}
 }
 
@@ -84,16 +86,16 @@
 	defer client.Close()
 	var answer testMessage
 	if err := client.Call(context.Background(), address, KindExplain, newerMessage{"later", 7}, &answer); err != nil || answer.Text != "client asked later" {
-		t.Fatalf("an unknown field: %v %q", err, answer.Text)
+		t.Fatalf("Call with an unknown field = %q, %v; want %q", answer.Text, err, "client asked later")
 	}
 	if err := client.Call(context.Background(), address, Kind(200), testMessage{}, &answer); err == nil {
-		t.Fatal("an unknown kind is answered")
+		t.Fatal("Call with an unknown kind succeeded, want an error")
 	}
 	if err := client.Notify(context.Background(), address, Kind(200), testMessage{}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Notify with an unknown kind: %v", err)
 	}
 	if err := client.Call(context.Background(), address, KindExplain, testMessage{"still there"}, &answer); err != nil {
-		t.Fatalf("an unknown kind broke the link: %v", err)
+		t.Fatalf("Call after unknown kinds: %v", err)
 	}
 }
 
@@ -114,22 +116,23 @@
 	})
 }
 
-// TestSilentLinkIsClosed: a link on which nothing comes while questions wait is closed
-// and the next question dials; one that only was not needed for long is kept.
+// TestSilentLinkIsClosed checks that a link is closed if nothing arrives over it while calls wait
+// for an answer, and that the next call opens a new one. A link that has only been unused for long
+// is kept.
 func TestSilentLinkIsClosed(t *testing.T) {
 	server, address := startServer(t, "server", oldKey)
-	muted := make(chan struct{})
+	unblock := make(chan struct{})
 	server.Handle(KindHosts, TypedHandler(func(ctx context.Context, _ string, q testMessage) (testMessage, error) {
 		select {
-		case <-muted:
+		case <-unblock:
 		case <-ctx.Done():
 		}
 		return q, nil
 	}))
 	client := NewHub("client", []string{oldKey}, telemetry.NewMetrics())
 	defer client.Close()
-	ask := func(kind Kind, within time.Duration) error {
-		ctx, cancel := context.WithTimeout(context.Background(), within)
+	call := func(kind Kind, timeout time.Duration) error {
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
 		return client.Call(ctx, address, kind, testMessage{"why"}, &testMessage{})
 	}
@@ -138,24 +141,24 @@
 		defer client.mu.Unlock()
 		return client.links["server"]
 	}
-	const soon, long = 20 * time.Millisecond, 20 * time.Second
-	if err := ask(KindExplain, long); err != nil {
-		t.Fatal(err)
+	const shortTimeout, longTimeout = 20 * time.Millisecond, 20 * time.Second
+	if err := call(KindExplain, longTimeout); err != nil {
+		t.Fatalf("Call: %v", err)
 	}
 	first := open()
 	first.closeIfSilent(time.Now().Add(time.Hour))
 	if open() != first {
-		t.Fatal("a link that answered is given up for being idle")
+		t.Fatal("closeIfSilent closed an unused link without waiting calls")
 	}
-	if ask(KindHosts, soon) == nil || open() != first {
-		t.Fatal("one question without an answer ends the link")
+	if call(KindHosts, shortTimeout) == nil || open() != first {
+		t.Fatal("Call without an answer succeeded or closed the link, want an error and an open link")
 	}
 	first.closeIfSilent(time.Now().Add(silenceTimeout))
 	if open() != nil {
-		t.Fatal("a silent link is kept")
+		t.Fatal("closeIfSilent kept a link on which a call got no answer")
 	}
-	close(muted)
-	if err := ask(KindHosts, long); err != nil || open() == first {
-		t.Errorf("no new link: %v", err)
+	close(unblock)
+	if err := call(KindHosts, longTimeout); err != nil || open() == first {
+		t.Errorf("Call after the link was closed: error %v, new link: %v; want no error and a new link", err, open() != first)
 	}
 }
