--- a/node/confservice/confservice.go
+++ b/node/confservice/confservice.go
@@ -1,13 +1,13 @@
 // Package confservice reads settings and the host list from a configuration service
-// that speaks the project's own protocol, as the stand-in of "doorstack try" does.
-// Nothing is ever written to it.
+// that speaks the project's own protocol, such as the one that "doorstack try"
+// simulates. It never writes.
 //
-// The protocol is plain HTTP with JSON. GET /v1/config?prefix=P&since=R answers
-// with all values below P that changed after revision R; with wait=30s the call
-// is a watch that is held until there is a change. GET /v1/hosts?since=R
-// answers with the hosts that the platform believes to be live or leaving, or
-// with those that differ since revision R. Each call counts
-// against the service's budget of reads, a waiting watch as one.
+// The protocol is plain HTTP with JSON. GET /v1/config?prefix=P&since=R returns
+// all values below P that changed after revision R; with wait=30s the service
+// delays the answer up to that long, until there is a change. GET /v1/hosts?since=R
+// returns the hosts that the platform considers live or leaving, or only the
+// differences since revision R. Each call counts against the service's budget of
+// reads, a watch as one call.
 package confservice
 
 import (
@@ -26,20 +26,21 @@
 	"github.com/go-faster/errors"
 )
 
-// MaxAnswerSize bounds an answer of the platform: a full read of a large tree.
+// MaxAnswerSize bounds an answer of the platform, in bytes. A full read of a large settings tree
+// fits.
 const MaxAnswerSize = 64 << 20
 
-// Client reads from the platform over HTTP.
+// Client reads the settings and the host list over HTTP.
 type Client struct {
-	// ConfigURL and HostsURL are base addresses, such as "http://10.0.0.1:9000".
+	// ConfigURL and HostsURL are the base URLs of the two, such as "http://10.0.0.1:9000".
 	ConfigURL, HostsURL string
-	// Prefix selects the keys of this fleet.
+	// Prefix is the common prefix of the settings keys of this fleet.
 	Prefix string
-	// HTTP makes the calls.
+	// HTTPClient makes the calls.
 	HTTPClient *http.Client
 }
 
-// ParseParts checks the parts of a revision and resolves them.
+// ParseParts checks and resolves the parts of a revision, by key with the prefix.
 func (c *Client) ParseParts(parts map[string][]byte) (*settings.Tree, error) {
 	named := make(map[string][]byte, len(parts))
 	for key, data := range parts {
@@ -48,8 +49,8 @@
 	return settings.ParseParts(named)
 }
 
-// Config reads what changed after revision since; zero reads everything. With
-// wait above zero it waits that long for a change.
+// Config reads the changes of the settings after revision since; zero reads the
+// whole settings. With wait above zero the service waits up to that long for a change.
 func (c *Client) Config(ctx context.Context, since int64, wait time.Duration) (settings.Changes, error) {
 	query := url.Values{"prefix": {c.Prefix}, "since": {strconv.FormatInt(since, 10)}}
 	if wait > 0 {
@@ -60,13 +61,14 @@
 	return changes, err
 }
 
-// Hosts reads what differs from a revision of the host list; zero reads the whole.
+// Hosts reads the differences from revision since of the host list; zero reads the whole list.
 func (c *Client) Hosts(ctx context.Context, since int64) (hostlist.List, error) {
 	var list hostlist.List
 	err := c.getJSON(ctx, c.HostsURL+"/v1/hosts?since="+strconv.FormatInt(since, 10), &list)
 	return list, err
 }
 
+// getJSON decodes the JSON answer to a GET request. Any status but 200 is an error.
 func (c *Client) getJSON(ctx context.Context, address string, into any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
