--- a/node/config/config.go
+++ b/node/config/config.go
@@ -1,6 +1,7 @@
-// Package config reads a daemon's own file: its addresses, where it stands, the
-// platform and the keys of its peers. The file is checked like the settings
-// tree: every problem at once, each with line, column and remedy.
+// Package config reads a daemon's own configuration file: its addresses and location, the
+// platform that it reads from, the keys that it shares with its peers, and its resource limits. The
+// settings of the fleet are not in it. A check reports every problem of the file at once,
+// each with line, column and remedy.
 package config
 
 import (
@@ -14,50 +15,50 @@
 	"github.com/go-faster/errors"
 )
 
-// File is a daemon's own file.
+// File is the content of a daemon's configuration file.
 type File struct {
 	strictyaml.Source
 	// Name is the host's id on the platform's host list.
 	Name string `yaml:"name"`
-	// Listen is the address for callers, host:port.
+	// Listen is the address for callers, as IP:port.
 	Listen string `yaml:"listen"`
-	// Admin is the address for operators and metrics.
+	// Admin is the address for operators and metrics, as IP:port.
 	Admin string `yaml:"admin"`
-	// Peer is the address for the other daemons.
+	// Peer is the address for the other daemons, as IP:port.
 	Peer string `yaml:"peer"`
-	// DataCentre and Region say where the host stands.
+	// DataCentre and Region are the location of the host.
 	DataCentre string `yaml:"data_centre"`
 	Region     string `yaml:"region"`
-	// Platform says where the platform publishes.
+	// Platform holds the addresses from which the daemon reads settings and hosts.
 	Platform Platform `yaml:"platform"`
-	// PeerKeys are the shared secrets of the daemons. The first one is used to
-	// sign; all are accepted, so that a key can be replaced without a gap.
+	// PeerKeys are the secrets that the daemons share. The first one signs; all are
+	// accepted, so that a key can be replaced without an interruption.
 	PeerKeys []string `yaml:"peer_keys"`
 	// Workers is the number of goroutines that place waiting requests.
 	Workers int `yaml:"workers"`
-	// BodyMemoryMB bounds the memory of all request bodies, in megabytes.
+	// BodyMemoryMB bounds the memory of all request bodies together, in megabytes.
 	BodyMemoryMB int64 `yaml:"body_memory_mb"`
 	// ExplainMemoryMB bounds the memory of recorded decisions, in megabytes.
 	ExplainMemoryMB int64 `yaml:"explain_memory_mb"`
-	// ReportPolls bounds the load reports read a second.
+	// ReportPollsPerSecond bounds the load reports that the daemon reads a second.
 	ReportPollsPerSecond float64 `yaml:"report_polls_per_second"`
-	// DrainDelay is how long a leaving daemon still accepts connections, to
-	// answer that it leaves, before it closes its listeners.
+	// DrainDelay is how long a daemon that shuts down still accepts connections, and
+	// answers that it is leaving, before it closes its listeners.
 	DrainDelay strictyaml.Duration `yaml:"drain_delay"`
 }
 
-// Platform says where the platform publishes.
+// Platform holds the addresses from which a daemon reads settings and hosts.
 type Platform struct {
 	strictyaml.Source
 	// Configuration is the base URL of the configuration service.
 	Configuration string `yaml:"configuration"`
 	// Hosts is the base URL of the host list.
 	Hosts string `yaml:"hosts"`
-	// Prefix selects the keys of this fleet.
+	// Prefix is the common prefix of the settings keys of this fleet.
 	Prefix string `yaml:"prefix"`
 }
 
-// Default returns the values of keys that a file leaves out.
+// Default returns a file with the values of the keys that may be omitted.
 func Default() File {
 	return File{
 		Workers:              4,
@@ -69,11 +70,11 @@
 	}
 }
 
-// Load reads and checks a file.
+// Load reads and checks the file at path.
 func Load(path string) (*File, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "read the daemon's file; give its path with --config")
+		return nil, errors.Wrap(err, "read the daemon's configuration file; give its path with --config")
 	}
 	f, err := Parse(data)
 	if err != nil {
@@ -82,7 +83,7 @@
 	return f, nil
 }
 
-// Parse checks a file's content. The error is of type strictyaml.Problems.
+// Parse decodes and checks the content of a file. The error is of type strictyaml.Problems.
 func Parse(data []byte) (*File, error) {
 	f := Default()
 	problems := strictyaml.Decode(data, &f)
@@ -94,9 +95,10 @@
 	return &f, nil
 }
 
-// minPeerKeySize is the least length of a peer key, in bytes.
+// minPeerKeySize is the minimum length of a peer key, in bytes.
 const minPeerKeySize = 16
 
+// validate adds a problem for each missing or invalid value.
 func (f *File) validate(problems *strictyaml.Problems) {
 	required := []struct{ key, value, remedy string }{
 		{"name", f.Name, "write the host's id on the platform's host list"},
@@ -119,7 +121,7 @@
 		}
 	}
 	if len(f.PeerKeys) == 0 {
-		problems.Add(f.KeyPosition("peer_keys"), "peer_keys", "there is none", "write one secret of at least 16 characters, the same on all daemons")
+		problems.Add(f.KeyPosition("peer_keys"), "peer_keys", "is empty", "write one secret of at least 16 characters, the same on all daemons")
 	}
 	for i, key := range f.PeerKeys {
 		if len(key) < minPeerKeySize {
@@ -141,13 +143,14 @@
 	}
 }
 
+// checkAddress returns an error unless the address is an IP address and a port.
 func checkAddress(address string) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return errors.New(fmt.Sprintf("%q is not an address", address))
 	}
 	if net.ParseIP(host) == nil {
-		return errors.New(fmt.Sprintf("%q is not an IP number", host))
+		return errors.New(fmt.Sprintf("%q is not an IP address", host))
 	}
 	if _, err := net.LookupPort("tcp", port); err != nil {
 		return errors.New(fmt.Sprintf("%q is not a port", port))
@@ -155,6 +158,7 @@
 	return nil
 }
 
+// checkURL returns an error unless the text is an http or https URL with a host.
 func checkURL(text string) error {
 	u, err := url.Parse(text)
 	if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
--- a/node/config/config_test.go
+++ b/node/config/config_test.go
@@ -10,7 +10,7 @@
 func TestExampleFilesParse(t *testing.T) {
 	for name, data := range map[string][]byte{"clara": examples.ClaraDaemon, "kilnmark": examples.KilnmarkDaemon} {
 		if _, err := Parse(data); err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("Parse of the %s example: %v", name, err)
 		}
 	}
 }
@@ -18,10 +18,10 @@
 func TestParseReportsEveryProblem(t *testing.T) {
 	_, err := Parse([]byte("name: d1\nlisten: localhost:80\nadmin: 127.0.0.1:1\nper: x\nworkers: 0\npeer_keys: [short]\nplatform: {configuration: ftp://x}\n"))
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("Parse of an invalid file succeeded, want an error")
 	}
 	for _, want := range []string{
-		`line 2, column 1: listen: "localhost" is not an IP number`,
+		`line 2, column 1: listen: "localhost" is not an IP address`,
 		`line 4, column 1: per: unknown key "per"; did you mean "peer"?`,
 		"peer: \"\" is not an address",
 		"line 5, column 1: workers: is not above zero",
@@ -30,7 +30,7 @@
 		`platform.configuration: "ftp://x" is not a URL`,
 	} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("missing %q in\n%v", want, err)
+			t.Errorf("Parse reported no %q, got:\n%v", want, err)
 		}
 	}
 }
