--- a/node/cluster/claims.go
+++ b/node/cluster/claims.go
@@ -17,11 +17,11 @@
 
 // claimRequest is a claim on the wire.
 type claimRequest struct {
-	Key     string    `cbor:"1,keyasint"`
-	Attempt string    `cbor:"2,keyasint"`
-	Holder  string    `cbor:"3,keyasint"`
-	Dated   bool      `cbor:"4,keyasint,omitempty"`
-	Born    time.Time `cbor:"5,keyasint,omitempty"`
+	Key           string    `cbor:"1,keyasint"`
+	Attempt       string    `cbor:"2,keyasint"`
+	Holder        string    `cbor:"3,keyasint"`
+	CreationKnown bool      `cbor:"4,keyasint,omitempty"`
+	Created       time.Time `cbor:"5,keyasint,omitempty"`
 }
 
 // claimReply is a witness's answer on the wire.
@@ -35,22 +35,22 @@
 // The times of a claim on the wire.
 const (
 	witnessTimeout = 500 * time.Millisecond
-	// retryPause bounds the random pause after a claim that met another one.
-	retryPause = 100 * time.Millisecond
-	tellWait   = 2 * time.Second
+	// maxClaimRetryDelay bounds the random pause after a claim that met another one.
+	maxClaimRetryDelay = 100 * time.Millisecond
+	notifyTimeout      = 2 * time.Second
 )
 
-func (r claimRequest) core() claim.Request {
-	return claim.Request{Key: r.Key, Attempt: r.Attempt, Holder: r.Holder, Created: claim.CreationTime{Known: r.Dated, At: r.Born}}
+func (r claimRequest) coreRequest() claim.Request {
+	return claim.Request{Key: r.Key, Attempt: r.Attempt, Holder: r.Holder, Created: claim.CreationTime{Known: r.CreationKnown, At: r.Created}}
 }
 
 func (c *Cluster) serveClaim(_ context.Context, _ string, in claimRequest) (claimReply, error) {
-	return c.witness(in), nil
+	return c.answerClaim(in), nil
 }
 
 // witness answers a claim from this daemon's own memory.
-func (c *Cluster) witness(in claimRequest) claimReply {
-	reply, outcome := c.Board.Claims.Ask(in.core(), time.Now())
+func (c *Cluster) answerClaim(in claimRequest) claimReply {
+	reply, outcome := c.Board.Claims.Ask(in.coreRequest(), time.Now())
 	return claimReply{Answer: reply.Answer, Attempt: reply.Attempt, Holder: reply.Holder, Outcome: outcome}
 }
 
@@ -65,7 +65,7 @@
 func (c *Cluster) Claim(ctx context.Context, in requestcontrol.Claim) (*requestcontrol.Permit, error) {
 	request := claimRequest{Key: in.Key, Holder: c.Board.Self.Name}
 	if birth := claim.CreationTimeOf(in.CallerKey); birth.Known {
-		request.Dated, request.Born = true, birth.At
+		request.CreationKnown, request.Created = true, birth.At
 	}
 	for attempt := in.Attempt; ; attempt = requestcontrol.NewAttemptID() {
 		request.Attempt = attempt
@@ -77,7 +77,7 @@
 		if !retry || ctx.Err() != nil {
 			return permit, err
 		}
-		controller.Sleep(ctx, rand.N(retryPause))
+		controller.Sleep(ctx, rand.N(maxClaimRetryDelay))
 	}
 }
 
@@ -85,8 +85,8 @@
 // two claims met and both gave up.
 func (c *Cluster) claimOnce(ctx context.Context, in claimRequest) (permit *requestcontrol.Permit, retry bool, err error) {
 	now := time.Now()
-	sets := c.Board.Members.WitnessSets(in.core(), now)
-	claimer := claim.NewClaimer(in.core(), sets, now)
+	sets := c.Board.Members.WitnessSets(in.coreRequest(), now)
+	claimer := claim.NewClaimer(in.coreRequest(), sets, now)
 	outcome := c.askWitnesses(ctx, claimer, in)
 	permit = &requestcontrol.Permit{ExpiresAt: claimer.PermitExpiry(), Tally: tallyOf(in.Key, claimer)}
 	if claimer.State() == claim.Won {
@@ -94,15 +94,15 @@
 		return permit, false, nil
 	}
 	claimer.GiveUp()
-	c.tellWitnesses(ctx, claimer.Witnesses(), peer.KindGiveUp, in.Key, concludeMessage{Key: in.Key, Attempt: in.Attempt})
+	c.notifyWitnesses(ctx, claimer.Witnesses(), peer.KindGiveUp, in.Key, attemptMessage{Key: in.Key, Attempt: in.Attempt})
 	if attempt, holder, taken := claimer.CurrentHolder(); taken {
-		duplicate, again := c.earlier(ctx, in.Key, attempt, holder, outcome)
+		duplicate, again := c.holderOutcome(ctx, in.Key, attempt, holder, outcome)
 		if again {
-			return permit, true, noQuorum(claimer.Tally())
+			return permit, true, noQuorumError(claimer.Tally())
 		}
 		return permit, false, duplicate
 	}
-	return permit, false, refusal(claimer, sets)
+	return permit, false, claimError(claimer, sets)
 }
 
 // askWitnesses asks all witnesses at once and counts answers until the claim is
@@ -114,9 +114,9 @@
 		go func() {
 			a := witnessAnswer{from: name}
 			if name == c.Board.Self.Name {
-				a.reply = c.witness(in)
+				a.reply = c.answerClaim(in)
 			} else {
-				a.err = c.ask(ctx, name, peer.KindClaim, in, &a.reply, witnessTimeout)
+				a.err = c.call(ctx, name, peer.KindClaim, in, &a.reply, witnessTimeout)
 			}
 			answers <- a
 		}()
@@ -146,12 +146,12 @@
 
 // earlier finds out what became of the call that has the key. It tells whether
 // that call gave up, so that the key is free again.
-func (c *Cluster) earlier(ctx context.Context, key, attempt, holder string, known *blackboard.Outcome) (duplicate error, again bool) {
+func (c *Cluster) holderOutcome(ctx context.Context, key, attempt, holder string, known *blackboard.Outcome) (duplicate error, again bool) {
 	if known != nil {
 		return &requestcontrol.DuplicateError{Outcome: *known}, false
 	}
 	var answer outcomeAnswer
-	question := concludeMessage{Key: key, Attempt: attempt}
+	question := attemptMessage{Key: key, Attempt: attempt}
 	if holder == c.Board.Self.Name {
 		answer, _ = c.serveOutcome(ctx, holder, question)
 	} else if c.Hub.Call(ctx, c.address(holder), peer.KindOutcome, question, &answer) != nil {
@@ -173,7 +173,7 @@
 // serveOutcome waits for the end of a call of this daemon and tells it. An
 // attempt that is neither running nor ended here lost its claim and gave up, if
 // this daemon has run since; otherwise nothing is known.
-func (c *Cluster) serveOutcome(ctx context.Context, _ string, in concludeMessage) (outcomeAnswer, error) {
+func (c *Cluster) serveOutcome(ctx context.Context, _ string, in attemptMessage) (outcomeAnswer, error) {
 	outcome, running := c.Board.Claims.Await(in.Key, in.Attempt)
 	if running != nil {
 		select {
@@ -186,38 +186,38 @@
 	if outcome != nil {
 		return outcomeAnswer{Outcome: *outcome, GaveUp: outcome.Execution == fault.NotRun}, nil
 	}
-	return outcomeAnswer{Outcome: blackboard.Outcome{Execution: fault.Unknown}, GaveUp: c.madeHere(in.Attempt)}, nil
+	return outcomeAnswer{Outcome: blackboard.Outcome{Execution: fault.Unknown}, GaveUp: c.createdByThisProcess(in.Attempt)}, nil
 }
 
 // madeHere tells whether an attempt was made by this process, by its time. One
 // that is a little younger than the process is not trusted, for clocks that were
 // set back in between.
-func (c *Cluster) madeHere(attempt string) bool {
+func (c *Cluster) createdByThisProcess(attempt string) bool {
 	birth := claim.CreationTimeOf(attempt)
 	return birth.Known && birth.At.After(c.started.Add(claim.MaxClockSkew))
 }
 
-// concludeMessage names an attempt and, when it has ended, says how.
-type concludeMessage struct {
+// attemptMessage names an attempt and, when it has ended, says how.
+type attemptMessage struct {
 	Key     string             `cbor:"1,keyasint"`
 	Attempt string             `cbor:"2,keyasint"`
 	Outcome blackboard.Outcome `cbor:"3,keyasint,omitempty"`
 }
 
-func (c *Cluster) serveGiveUp(_ context.Context, _ string, in concludeMessage) (done, error) {
+func (c *Cluster) serveGiveUp(_ context.Context, _ string, in attemptMessage) (empty, error) {
 	c.Board.Claims.GiveUp(in.Key, in.Attempt)
-	return done{}, nil
+	return empty{}, nil
 }
 
-func (c *Cluster) serveConclude(_ context.Context, _ string, in concludeMessage) (done, error) {
+func (c *Cluster) serveConclude(_ context.Context, _ string, in attemptMessage) (empty, error) {
 	c.Board.Claims.Conclude(in.Key, in.Attempt, in.Outcome, time.Now())
-	return done{}, nil
+	return empty{}, nil
 }
 
 // Conclude implements requestcontrol.Claimer. A call that surely did not run
 // frees its key, since its attempt never sends any more.
 func (c *Cluster) RecordOutcome(in requestcontrol.Claim, o blackboard.Outcome) {
-	message := concludeMessage{Key: in.Key, Attempt: in.Attempt, Outcome: o}
+	message := attemptMessage{Key: in.Key, Attempt: in.Attempt, Outcome: o}
 	c.Board.Claims.Conclude(in.Key, in.Attempt, o, time.Now())
 	c.Board.Claims.End(in.Attempt)
 	kind := peer.KindConclude
@@ -229,15 +229,15 @@
 	for _, set := range sets {
 		witnesses = append(witnesses, set...)
 	}
-	c.tellWitnesses(context.Background(), witnesses, kind, in.Key, message)
+	c.notifyWitnesses(context.Background(), witnesses, kind, in.Key, message)
 }
 
 // tellWitnesses sends news of a key to its witnesses, without waiting.
-func (c *Cluster) tellWitnesses(ctx context.Context, witnesses []string, kind peer.Kind, key string, message concludeMessage) {
+func (c *Cluster) notifyWitnesses(ctx context.Context, witnesses []string, kind peer.Kind, key string, message attemptMessage) {
 	for _, name := range witnesses {
 		if name != c.Board.Self.Name {
 			go func() {
-				ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), tellWait)
+				ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), notifyTimeout)
 				defer cancel()
 				_ = c.Hub.Notify(ctx, c.address(name), kind, message)
 			}()
@@ -247,10 +247,10 @@
 	}
 }
 
-// refusal says why a key could not be claimed. It never says "not run" where an
+// claimError says why a key could not be claimed. It never says "not run" where an
 // earlier call with the same key may have run: without a majority of witnesses,
 // that is all that can be said.
-func refusal(claimer *claim.Claimer, sets [][]string) *fault.Error {
+func claimError(claimer *claim.Claimer, sets [][]string) *fault.Error {
 	t := claimer.Tally()
 	switch {
 	case len(sets) == 0:
@@ -277,11 +277,11 @@
 			fmt.Sprintf("send again with the same key; keys that are UUIDv7 work at once, others %v after a restart", claim.RetryWindow)).
 			WithExecution(fault.Unknown).WithRetry(claim.RetryWindow / 10)
 	default:
-		return noQuorum(t)
+		return noQuorumError(t)
 	}
 }
 
-func noQuorum(t claim.Tally) *fault.Error {
+func noQuorumError(t claim.Tally) *fault.Error {
 	return fault.New(fault.NoQuorum,
 		fmt.Sprintf("%d of the daemons that keep this key granted it, %d are needed", t.Granted, t.Needed),
 		"send again with the same key; this call was not sent, an earlier one with the key may have been").
--- a/node/cluster/cluster.go
+++ b/node/cluster/cluster.go
@@ -21,12 +21,12 @@
 type Cluster struct {
 	Board    *blackboard.Blackboard
 	Hub      *peer.Hub
-	Record   *telemetry.Recorder
+	Recorder *telemetry.Recorder
 	Settings *controller.Settings
 	Targets  *target.Client
 	// MembersOnly leaves out shares of limits and leases on targets, where the
 	// platform has no use for them.
-	MembersOnly bool
+	DisableLeases bool
 	// Directory takes what peers know of targets; nil where the platform publishes a
 	// list of them.
 	Directory *controller.Directory
@@ -34,46 +34,46 @@
 	seeds atomic.Pointer[[]string]
 
 	// Placements asks coordinators for targets, and answers as one.
-	Placements *Placements
+	Placer *Placer
 
-	started  time.Time
-	poke     chan struct{}
-	compared map[string]bool // neighbours whose revision has been seen
-	asked    map[string]bool // neighbours that were asked for it out of turn
-	silent   map[string]bool // neighbours that did not answer
-	gossip   gossip
-	heard    chan heartbeatNews
-	told     heartbeatNews // the newest of which any peer has told
+	started        time.Time
+	wake           chan struct{}
+	compared       map[string]bool // neighbours whose revision has been seen
+	heartbeatSent  map[string]bool // neighbours that were asked for it out of turn
+	unresponsive   map[string]bool // neighbours that did not answer
+	rumorBatch     rumorBatch
+	reports        chan heartbeatReport
+	newestReported heartbeatReport // the newest of which any peer has told
 	// settingsNews and targetNews fetch what peers have and this daemon has not.
-	settingsNews, targetNews *follower
-	packed                   packedChanges
+	settingsFetcher, targetsFetcher *fetcher
+	changesCache                    changesCache
 
 	// searched is true once every seed has answered and knew of nobody else.
-	searched atomic.Bool
+	seedsAnswered atomic.Bool
 	// reconciled is when all members were last sent to a peer, and verdictsTold when all
 	// verdicts were; seekMu guards both.
-	reconciled, verdictsTold map[string]time.Time
+	reconciledAt, verdictsSentAt map[string]time.Time
 
-	seekMu sync.Mutex
-	sought map[string]*seek // the last question for a share out of turn, by account
+	mu            sync.Mutex
+	shareRequests map[string]*shareRequest // the last question for a share out of turn, by account
 }
 
 // New returns a cluster and registers its handlers with the hub.
 func New(board *blackboard.Blackboard, hub *peer.Hub, record *telemetry.Recorder, settings *controller.Settings, targets *target.Client) *Cluster {
 	c := &Cluster{
-		Board: board, Hub: hub, Record: record, Settings: settings, Targets: targets,
-		started: time.Now(), poke: make(chan struct{}, 1), compared: map[string]bool{},
-		asked: map[string]bool{}, silent: map[string]bool{},
-		heard: make(chan heartbeatNews, heardQueue), sought: map[string]*seek{}, reconciled: map[string]time.Time{},
-		verdictsTold: map[string]time.Time{},
+		Board: board, Hub: hub, Recorder: record, Settings: settings, Targets: targets,
+		started: time.Now(), wake: make(chan struct{}, 1), compared: map[string]bool{},
+		heartbeatSent: map[string]bool{}, unresponsive: map[string]bool{},
+		reports: make(chan heartbeatReport, maxQueuedReports), shareRequests: map[string]*shareRequest{}, reconciledAt: map[string]time.Time{},
+		verdictsSentAt: map[string]time.Time{},
 	}
-	c.settingsNews = c.newFollower(func(h heartbeatNews) int64 { return h.revision }, c.revision, c.catchUp)
-	c.targetNews = c.newFollower(func(h heartbeatNews) int64 { return int64(h.targets) }, func() int64 { return int64(board.Directory.Revision()) }, c.catchUpTargets)
-	c.Placements = newPlacements(c)
-	hub.Handle(peer.KindPlace, peer.TypedHandler(c.Placements.servePlace))
-	hub.Handle(peer.KindPlaced, peer.TypedHandler(c.Placements.servePlaced))
-	hub.Handle(peer.KindProgress, peer.TypedHandler(c.Placements.serveProgress))
-	hub.Handle(peer.KindLimit, peer.TypedHandler(c.Placements.serveLimit))
+	c.settingsFetcher = c.newFetcher(func(h heartbeatReport) int64 { return h.revision }, c.revision, c.updateSettings)
+	c.targetsFetcher = c.newFetcher(func(h heartbeatReport) int64 { return int64(h.targets) }, func() int64 { return int64(board.Directory.Revision()) }, c.updateTargets)
+	c.Placer = newPlacer(c)
+	hub.Handle(peer.KindPlace, peer.TypedHandler(c.Placer.servePlace))
+	hub.Handle(peer.KindPlaced, peer.TypedHandler(c.Placer.servePlaced))
+	hub.Handle(peer.KindProgress, peer.TypedHandler(c.Placer.serveProgress))
+	hub.Handle(peer.KindLimit, peer.TypedHandler(c.Placer.serveLimit))
 	hub.Handle(peer.KindHeartbeat, peer.TypedHandler(c.serveHeartbeat))
 	hub.Handle(peer.KindRumor, peer.TypedHandler(c.serveRumors))
 	hub.Handle(peer.KindDigests, peer.TypedHandler(c.serveDigests))
@@ -103,17 +103,17 @@
 }
 
 // ask sends a question to a daemon, with a bound on the time.
-func (c *Cluster) ask(ctx context.Context, name string, kind peer.Kind, in, out any, timeout time.Duration) error {
+func (c *Cluster) call(ctx context.Context, name string, kind peer.Kind, in, out any, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return c.Hub.Call(ctx, c.address(name), kind, in, out)
 }
 
-// done is the empty answer.
-type done struct{}
+// empty is the empty answer.
+type empty struct{}
 
 // Void drops beliefs after a pause of the process.
-func (c *Cluster) Void(time.Duration) {
+func (c *Cluster) Invalidate(time.Duration) {
 	now := time.Now()
 	c.Board.Members.Void(now)
 	c.Board.Shares.Void(now)
--- a/node/cluster/coordinate.go
+++ b/node/cluster/coordinate.go
@@ -20,29 +20,29 @@
 // queue as the daemon's own calls, and what is placed counts at its target until the
 // asker tells of its end.
 
-// heldCall is another daemon's call at its coordinator.
-type heldCall struct {
-	owner   string
-	pool    string
-	ticket  *blackboard.Ticket
-	answer  *placeAnswer // set when placed
-	renewed time.Time
-	expires time.Time
+// coordinatedCall is another daemon's call at its coordinator.
+type coordinatedCall struct {
+	requester   string
+	pool        string
+	ticket      *blackboard.Ticket
+	answer      *placeAnswer // set when placed
+	lastRenewed time.Time
+	expires     time.Time
 }
 
 // servePlace is the coordinator's side of a question.
-func (p *Placements) servePlace(ctx context.Context, from string, in placeRequest) (placeAnswer, error) {
+func (p *Placer) servePlace(ctx context.Context, from string, in placeRequest) (placeAnswer, error) {
 	now := time.Now()
 	view := p.cluster.Board.Settings.Current()
 	if view == nil || view.Tree.Pool(in.Pool) == nil || p.cluster.Board.Phase() != blackboard.Serving {
 		return placeAnswer{}, errors.New("this daemon does not coordinate the pool " + in.Pool)
 	}
-	p.adopt(from, &in, now)
-	p.takeLimits(in.Pool, in.Limits, now)
+	p.adoptCalls(from, &in, now)
+	p.mergeLimits(in.Pool, in.Limits, now)
 	p.mu.Lock()
-	held := p.held[in.Attempt]
+	held := p.coordinated[in.Attempt]
 	if held != nil {
-		held.renewed = now
+		held.lastRenewed = now
 		answer := held.answer
 		p.mu.Unlock()
 		if answer != nil {
@@ -50,16 +50,16 @@
 		}
 		return placeAnswer{Attempt: in.Attempt, Verdict: routing.Wait}, nil
 	}
-	held = &heldCall{owner: from, pool: in.Pool, renewed: now, expires: now.Add(in.Left + callTTL)}
-	held.ticket = p.ticket(&in, now)
-	p.held[in.Attempt] = held
+	held = &coordinatedCall{requester: from, pool: in.Pool, lastRenewed: now, expires: now.Add(in.UntilDeadline + callExpiryMargin)}
+	held.ticket = p.newTicket(&in, now)
+	p.coordinated[in.Attempt] = held
 	p.mu.Unlock()
 	p.cluster.Board.Queues.Push(held.ticket)
-	soon := time.NewTimer(answerWithin)
+	soon := time.NewTimer(maxAnswerDelay)
 	defer soon.Stop()
 	select {
 	case placement := <-held.ticket.Placed():
-		return p.placed(held, &placement), nil
+		return p.recordPlacement(held, &placement), nil
 	case <-soon.C:
 	}
 	go p.answerLater(ctx, held)
@@ -67,12 +67,12 @@
 }
 
 // adopt counts the calls of a daemon that asks for the first time.
-func (p *Placements) adopt(from string, in *placeRequest, now time.Time) {
+func (p *Placer) adoptCalls(from string, in *placeRequest, now time.Time) {
 	for _, c := range in.Calls {
 		p.mu.Lock()
-		known := p.held[c.Attempt] != nil
+		known := p.coordinated[c.Attempt] != nil
 		if !known {
-			p.held[c.Attempt] = &heldCall{owner: from, pool: in.Pool, renewed: now, expires: now.Add(adoptedTTL), answer: &placeAnswer{}}
+			p.coordinated[c.Attempt] = &coordinatedCall{requester: from, pool: in.Pool, lastRenewed: now, expires: now.Add(adoptedCallTTL), answer: &placeAnswer{}}
 		}
 		p.mu.Unlock()
 		if !known {
@@ -81,16 +81,16 @@
 	}
 }
 
-func (p *Placements) ticket(in *placeRequest, now time.Time) *blackboard.Ticket {
+func (p *Placer) newTicket(in *placeRequest, now time.Time) *blackboard.Ticket {
 	board := p.cluster.Board
 	pool := board.Settings.Current().Tree.Pool(in.Pool)
 	params := requestcontrol.RoutingParams(pool, board.Targets.Capacity(pool.Name, now), board.Members.Sharers())
 	arrived := now.Add(-in.Waited)
 	return &blackboard.Ticket{
-		Pool: pool, Attempt: in.Attempt, Params: params, Deadline: now.Add(in.Left),
+		Pool: pool, Attempt: in.Attempt, Params: params, Deadline: now.Add(in.UntilDeadline),
 		Request: routing.Request{
 			ID: in.Request, PromptTokens: in.PromptTokens, OutputTokens: in.OutputTokens, DataCentre: in.DataCentre,
-			Exclude: in.Exclude, Goal: in.Goal, GapGoal: in.GapGoal, Retry: in.Retry, AnswerStarted: in.Begun, Seed: rendezvous.Score(in.Pool, in.Attempt),
+			Exclude: in.Exclude, Goal: in.Goal, GapGoal: in.GapGoal, Retry: in.Retry, AnswerStarted: in.AnswerStarted, Seed: rendezvous.Score(in.Pool, in.Attempt),
 		},
 		Item: &admission.Item{
 			ID: in.Request, Account: in.Account, Level: in.Level, Tokens: max(1, in.PromptTokens),
@@ -101,11 +101,11 @@
 }
 
 // placed keeps the placement of another daemon's call and makes its answer.
-func (p *Placements) placed(held *heldCall, placement *blackboard.Placement) placeAnswer {
+func (p *Placer) recordPlacement(held *coordinatedCall, placement *blackboard.Placement) placeAnswer {
 	d := &placement.Decision
 	answer := placeAnswer{
 		Attempt: held.ticket.Attempt, Verdict: d.Verdict, Target: d.Chosen, Address: placement.Address,
-		Reading: d.PrefillTime, Considered: d.Considered, Tickets: d.Reservations, ComeBack: d.RetryAfter,
+		PrefillTime: d.PrefillTime, Considered: d.Considered, Reservations: d.Reservations, RetryAfter: d.RetryAfter,
 	}
 	if d.Verdict == routing.Place {
 		answer.Limit = p.cluster.Board.Targets.LimitOf(d.Chosen, time.Now())
@@ -116,47 +116,47 @@
 	p.mu.Lock()
 	held.answer = &answer
 	if d.Verdict != routing.Place {
-		delete(p.held, held.ticket.Attempt)
+		delete(p.coordinated, held.ticket.Attempt)
 	}
 	p.mu.Unlock()
-	p.cluster.Record.Record(decision.Record{
+	p.cluster.Recorder.Record(decision.Record{
 		Kind: decision.KindPlace, Outcome: string(d.Verdict), Request: d.Request.ID, Attempt: held.ticket.Attempt,
-		Pool: held.pool, Target: d.Chosen, Routing: d, Reason: "asked by " + held.owner,
+		Pool: held.pool, Target: d.Chosen, Routing: d, Reason: "asked by " + held.requester,
 	})
 	return answer
 }
 
 // answerLater sends the placement of a question that had to wait.
-func (p *Placements) answerLater(ctx context.Context, held *heldCall) {
+func (p *Placer) answerLater(ctx context.Context, held *coordinatedCall) {
 	placement, ok := <-held.ticket.Placed()
 	if !ok {
 		return // It was dropped.
 	}
-	answer := p.placed(held, &placement)
-	if err := p.cluster.Hub.Notify(ctx, p.cluster.address(held.owner), peer.KindPlaced, answer); err != nil {
-		p.end(held.ticket.Attempt, blackboard.CallCancelled)
+	answer := p.recordPlacement(held, &placement)
+	if err := p.cluster.Hub.Notify(ctx, p.cluster.address(held.requester), peer.KindPlaced, answer); err != nil {
+		p.endCall(held.ticket.Attempt, blackboard.CallCancelled)
 	}
 }
 
 // serveProgress takes in what a daemon tells of a call that was placed here.
-func (p *Placements) serveProgress(_ context.Context, _ string, in callProgress) (done, error) {
+func (p *Placer) serveProgress(_ context.Context, _ string, in callProgress) (empty, error) {
 	if in.Suspect != "" {
 		now := time.Now()
-		p.cluster.Board.Targets.Suspect(in.Suspect, now.Add(min(in.SuspectFor, maxSuspect)), now)
+		p.cluster.Board.Targets.Suspect(in.Suspect, now.Add(min(in.SuspectFor, maxSuspectDuration)), now)
 	}
 	if in.Ended {
-		p.end(in.Attempt, in.Result)
-		return done{}, nil
+		p.endCall(in.Attempt, in.Result)
+		return empty{}, nil
 	}
 	p.cluster.Board.Targets.PromptRead(in.Attempt, time.Now())
-	return done{}, nil
+	return empty{}, nil
 }
 
 // end forgets another daemon's call or question.
-func (p *Placements) end(attempt string, result blackboard.CallResult) {
+func (p *Placer) endCall(attempt string, result blackboard.CallResult) {
 	p.mu.Lock()
-	held := p.held[attempt]
-	delete(p.held, attempt)
+	held := p.coordinated[attempt]
+	delete(p.coordinated, attempt)
 	p.mu.Unlock()
 	if held == nil {
 		return
@@ -169,20 +169,20 @@
 	p.cluster.Board.Queues.Wake(held.pool)
 }
 
-// sweepHeld is how often calls of daemons that are gone are looked for.
-const sweepHeld = 250 * time.Millisecond
+// sweepInterval is how often calls of daemons that are gone are looked for.
+const sweepInterval = 250 * time.Millisecond
 
 // run ends the calls and questions of others that will not be ended by themselves.
-func (p *Placements) run(ctx context.Context) {
+func (p *Placer) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		controller.Sleep(ctx, sweepHeld)
-		for _, attempt := range p.overdue(time.Now()) {
-			p.end(attempt, blackboard.CallCancelled)
+		controller.Sleep(ctx, sweepInterval)
+		for _, attempt := range p.expiredCalls(time.Now()) {
+			p.endCall(attempt, blackboard.CallCancelled)
 		}
 	}
 }
 
-func (p *Placements) overdue(now time.Time) []string {
+func (p *Placer) expiredCalls(now time.Time) []string {
 	gone := map[string]bool{}
 	for _, m := range p.cluster.Board.Members.Members() {
 		gone[m.Name] = m.State == membership.Dead
@@ -190,9 +190,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []string
-	for attempt, held := range p.held {
-		dropped := held.answer == nil && now.Sub(held.renewed) > dropPlace
-		if dropped || now.After(held.expires) || gone[held.owner] {
+	for attempt, held := range p.coordinated {
+		dropped := held.answer == nil && now.Sub(held.lastRenewed) > placementRequestTTL
+		if dropped || now.After(held.expires) || gone[held.requester] {
 			list = append(list, attempt)
 		}
 	}
--- a/node/cluster/cost_test.go
+++ b/node/cluster/cost_test.go
@@ -14,8 +14,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// fleetBoard is the blackboard of one of n daemons.
-func fleetBoard(n int) *blackboard.Blackboard {
+// testBoard is the blackboard of one of n daemons.
+func testBoard(n int) *blackboard.Blackboard {
 	board := blackboard.New(blackboard.Identity{Name: "daemon-0", Incarnation: 1, DataCentre: "dc0", Region: "r0"}, blackboard.DefaultLimits())
 	list := hostlist.List{Revision: 1, Changed: time.Now().Add(-time.Hour), AsOf: time.Now()}
 	for i := range n {
@@ -41,14 +41,14 @@
 	return float64(len(data))
 }
 
-// benchmarkBeat measures what a second of membership costs: making a heartbeat,
+// benchmarkHeartbeat measures what a second of membership costs: making a heartbeat,
 // hearing it on every link, and looking for silent neighbours.
-func benchmarkBeat(b *testing.B, n int) {
-	board := fleetBoard(n)
+func benchmarkHeartbeat(b *testing.B, n int) {
+	board := testBoard(n)
 	c := &Cluster{Board: board}
 	links := board.Members.Links(time.Now())
 	for b.Loop() {
-		h := c.heartbeat(false)
+		h := c.newHeartbeat(false)
 		board.Members.View(func(t *membership.Table) {
 			for _, name := range links {
 				t.RecordHeartbeat(name, 1, h.Incarnation, 1, time.Now())
@@ -58,16 +58,16 @@
 		board.Members.Links(time.Now())
 	}
 	b.ReportMetric(float64(len(links)), "links-out")
-	b.ReportMetric(frameSize(b, peer.KindHeartbeat, c.heartbeat(false)), "B/heartbeat")
+	b.ReportMetric(frameSize(b, peer.KindHeartbeat, c.newHeartbeat(false)), "B/heartbeat")
 }
 
-func BenchmarkBeat6(b *testing.B)   { benchmarkBeat(b, 6) }
-func BenchmarkBeat60(b *testing.B)  { benchmarkBeat(b, 60) }
-func BenchmarkBeat520(b *testing.B) { benchmarkBeat(b, 520) }
+func BenchmarkHeartbeat6(b *testing.B)   { benchmarkHeartbeat(b, 6) }
+func BenchmarkHeartbeat60(b *testing.B)  { benchmarkHeartbeat(b, 60) }
+func BenchmarkHeartbeat520(b *testing.B) { benchmarkHeartbeat(b, 520) }
 
 // benchmarkHostList measures taking over a new host list.
 func benchmarkHostList(b *testing.B, n int) {
-	board := fleetBoard(n)
+	board := testBoard(n)
 	list, _ := board.Members.Hosts()
 	for b.Loop() {
 		list.Revision++
@@ -82,12 +82,12 @@
 
 // benchmarkClaim measures a claim's work at the claiming daemon, and its frames.
 func benchmarkClaim(b *testing.B, n int) {
-	board := fleetBoard(n)
-	in := claimRequest{Key: "/desks/santa-maria|confirm|01a23743-f425-76a1-9137-74b74ed9f80c", Attempt: "01a23743-f425-76a1-9137-74b74ed9f80d", Holder: "daemon-0", Dated: true, Born: time.Now()}
+	board := testBoard(n)
+	in := claimRequest{Key: "/desks/santa-maria|confirm|01a23743-f425-76a1-9137-74b74ed9f80c", Attempt: "01a23743-f425-76a1-9137-74b74ed9f80d", Holder: "daemon-0", CreationKnown: true, Created: time.Now()}
 	for b.Loop() {
 		now := time.Now()
-		sets := board.Members.WitnessSets(in.core(), now)
-		claimer := claim.NewClaimer(in.core(), sets, now)
+		sets := board.Members.WitnessSets(in.coreRequest(), now)
+		claimer := claim.NewClaimer(in.coreRequest(), sets, now)
 		for _, name := range claimer.Witnesses() {
 			claimer.Receive(name, claim.Reply{Answer: claim.Granted})
 		}
@@ -105,8 +105,8 @@
 
 // benchmarkOwner measures finding an account's owner among n daemons.
 func benchmarkOwner(b *testing.B, n int) {
-	living, _ := fleetBoard(n).Members.Living()
-	r := []renewal{{Account: "/desks/santa-maria", Demand: 0.25, Holding: 0.125, Ack: 1 << 60}}
+	living, _ := testBoard(n).Members.Living()
+	r := []renewal{{Account: "/desks/santa-maria", Demand: 0.25, Fraction: 0.125, AckedSequence: 1 << 60}}
 	for b.Loop() {
 		rendezvous.Owner("/desks/santa-maria", living)
 	}
--- a/node/cluster/explain.go
+++ b/node/cluster/explain.go
@@ -69,7 +69,7 @@
 	defer cancel()
 	living, listed := c.Board.Members.Living()
 	answers := make(chan admin.Explanation, len(living))
-	slots := make(chan struct{}, explainParallel)
+	slots := make(chan struct{}, maxParallelExplains)
 	for _, name := range living {
 		go func() {
 			slots <- struct{}{}
@@ -87,11 +87,11 @@
 			silent++
 		}
 	}
-	return admin.Explanation{Request: request, Daemon: c.Board.Self.Name, Note: notFound(silent)}
+	return admin.Explanation{Request: request, Daemon: c.Board.Self.Name, Note: notFoundNote(silent)}
 }
 
-// explainParallel bounds the daemons asked at one time.
-const explainParallel = 32
+// maxParallelExplains bounds the daemons asked at one time.
+const maxParallelExplains = 32
 
 func (c *Cluster) explainAt(ctx context.Context, name, request string) admin.Explanation {
 	if name == c.Board.Self.Name {
@@ -104,7 +104,7 @@
 	return admin.ParseExplanation(answer.JSON)
 }
 
-func notFound(silent int) string {
+func notFoundNote(silent int) string {
 	if silent > 0 {
 		return "no daemon that answered has a record; " + strconv.Itoa(silent) + " daemon(s) did not answer, and their records are gone if they died"
 	}
--- a/node/cluster/gossip.go
+++ b/node/cluster/gossip.go
@@ -11,62 +11,62 @@
 	"doorstack.dev/node/peer"
 )
 
-// gatherRumors is the least time between two frames of rumors on a link. One that comes alone
+// rumorBatchInterval is the least time between two frames of rumors on a link. One that comes alone
 // goes on at once; where hundreds of daemons start together what comes meanwhile shares a
 // frame: 180 frames by one of 120 daemons in place of 960.
-const gatherRumors = 20 * time.Millisecond
+const rumorBatchInterval = 20 * time.Millisecond
 
-// gossip gathers the rumors that go on to the links.
-type gossip struct {
-	mu      sync.Mutex
-	waiting []passedOn
-	sent    time.Time // when rumors last went out
-	due     bool      // somebody will send what waits
+// rumorBatch gathers the rumors that go on to the links.
+type rumorBatch struct {
+	mu            sync.Mutex
+	pending       []queuedRumor
+	lastSent      time.Time // when rumors last went out
+	sendScheduled bool      // somebody will send what waits
 }
 
-// passedOn is a rumor and the peer that it came from, which does not get it back.
-type passedOn struct {
+// queuedRumor is a rumor and the peer that it came from, which does not get it back.
+type queuedRumor struct {
 	rumor membership.Rumor
 	from  string
 }
 
 // add takes rumors in. It returns true if the caller has to send what waits, after a pause.
-func (g *gossip) add(rumors []membership.Rumor, from string, now time.Time) (pause time.Duration, mustSend bool) {
+func (g *rumorBatch) add(rumors []membership.Rumor, from string, now time.Time) (pause time.Duration, mustSend bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, r := range rumors {
 		// A rumor is passed on only if it is newer than what was known.
-		g.waiting = slices.DeleteFunc(g.waiting, func(w passedOn) bool { return w.rumor.Name == r.Name })
-		g.waiting = append(g.waiting, passedOn{r, from})
+		g.pending = slices.DeleteFunc(g.pending, func(w queuedRumor) bool { return w.rumor.Name == r.Name })
+		g.pending = append(g.pending, queuedRumor{r, from})
 	}
-	if g.due {
+	if g.sendScheduled {
 		return 0, false
 	}
-	g.due = true
-	return max(0, gatherRumors-now.Sub(g.sent)), true
+	g.sendScheduled = true
+	return max(0, rumorBatchInterval-now.Sub(g.lastSent)), true
 }
 
 // take hands out what waits.
-func (g *gossip) take(now time.Time) []passedOn {
+func (g *rumorBatch) take(now time.Time) []queuedRumor {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	waiting := g.waiting
-	g.waiting, g.sent, g.due = nil, now, false
+	waiting := g.pending
+	g.pending, g.lastSent, g.sendScheduled = nil, now, false
 	return waiting
 }
 
 // spread passes rumors on to all links but the one that they came from.
-func (c *Cluster) spread(ctx context.Context, rumors []membership.Rumor, from string) {
+func (c *Cluster) spreadRumors(ctx context.Context, rumors []membership.Rumor, from string) {
 	if len(rumors) == 0 {
 		return
 	}
 	c.logRumors(rumors)
 	for _, r := range rumors {
-		if r.State == membership.Alive && !c.MembersOnly {
-			go c.joined(ctx, r.Name)
+		if r.State == membership.Alive && !c.DisableLeases {
+			go c.daemonJoined(ctx, r.Name)
 		}
 	}
-	pause, mustSend := c.gossip.add(rumors, from, time.Now())
+	pause, mustSend := c.rumorBatch.add(rumors, from, time.Now())
 	switch {
 	case !mustSend:
 	case pause == 0:
@@ -82,7 +82,7 @@
 // sendRumors sends what waits over the links that are open. What is lost is repaired when
 // heartbeats are compared.
 func (c *Cluster) sendRumors(ctx context.Context) {
-	waiting := c.gossip.take(time.Now())
+	waiting := c.rumorBatch.take(time.Now())
 	linked := c.Hub.LinkedPeers()
 	for _, name := range c.Board.Members.Links(time.Now()) {
 		if !slices.Contains(linked, name) {
@@ -98,7 +98,7 @@
 			continue
 		}
 		if err := c.Hub.Notify(ctx, c.address(name), peer.KindRumor, rumors); err != nil {
-			c.Record.Log.Debug("rumors could not be told to a peer", "peer", name, "error", err.Error())
+			c.Recorder.Log.Debug("rumors could not be told to a peer", "peer", name, "error", err.Error())
 		}
 	}
 }
@@ -112,14 +112,14 @@
 			living = append(living, r.Name)
 			continue
 		}
-		c.Record.Log.Info("membership", "member", r.Name, "state", r.State.String(), "incarnation", r.Incarnation)
+		c.Recorder.Log.Info("membership", "member", r.Name, "state", r.State.String(), "incarnation", r.Incarnation)
 	}
 	switch len(living) {
 	case 0:
 	case 1:
 		at := slices.IndexFunc(rumors, func(r membership.Rumor) bool { return r.Name == living[0] })
-		c.Record.Log.Info("membership", "member", living[0], "state", membership.Alive.String(), "incarnation", rumors[at].Incarnation)
+		c.Recorder.Log.Info("membership", "member", living[0], "state", membership.Alive.String(), "incarnation", rumors[at].Incarnation)
 	default:
-		c.Record.Log.Info("membership", "members", living, "state", membership.Alive.String())
+		c.Recorder.Log.Info("membership", "members", living, "state", membership.Alive.String())
 	}
 }
--- a/node/cluster/leases.go
+++ b/node/cluster/leases.go
@@ -44,11 +44,11 @@
 	for ctx.Err() == nil {
 		controller.Sleep(ctx, lease.RenewInterval)
 		mine := c.ownTargets()
-		c.acquire(ctx, mine)
+		c.acquireLeases(ctx, mine)
 		for i := range mine {
-			c.tend(ctx, &mine[i], mine)
+			c.maintainTarget(ctx, &mine[i], mine)
 		}
-		c.releaseOwn(ctx)
+		c.releaseEnded(ctx)
 	}
 }
 
@@ -68,7 +68,7 @@
 }
 
 // acquire asks the witnesses of the targets, all targets of a witness at once.
-func (c *Cluster) acquire(ctx context.Context, targets []blackboard.TargetAddress) {
+func (c *Cluster) acquireLeases(ctx context.Context, targets []blackboard.TargetAddress) {
 	now := time.Now()
 	byWitness := map[string][]string{}
 	for _, t := range targets {
@@ -80,7 +80,7 @@
 	}
 	var wg sync.WaitGroup
 	for witness, ids := range byWitness {
-		wg.Go(func() { c.acquireAt(ctx, witness, ids) })
+		wg.Go(func() { c.acquireFrom(ctx, witness, ids) })
 	}
 	wg.Wait()
 }
@@ -95,12 +95,12 @@
 	return newest[:min(len(newest), lease.WitnessCount)]
 }
 
-func (c *Cluster) acquireAt(ctx context.Context, witness string, ids []string) {
+func (c *Cluster) acquireFrom(ctx context.Context, witness string, ids []string) {
 	var answer acquireAnswer
 	question := acquireRequest{Targets: ids}
 	if witness == c.Board.Self.Name {
 		answer, _ = c.serveAcquire(ctx, witness, question)
-	} else if err := c.ask(ctx, witness, peer.KindAcquire, question, &answer, renewTimeout); err != nil {
+	} else if err := c.call(ctx, witness, peer.KindAcquire, question, &answer, renewTimeout); err != nil {
 		return
 	}
 	for _, id := range answer.Granted {
@@ -108,13 +108,13 @@
 	}
 }
 
-// loadsAtOnce is the share of a pool's targets that may be without the model at
+// maxLoadingShare is the share of a pool's targets that may be without the model at
 // one time because of orders: the weight store is rate-limited, and the others
 // must go on serving.
-const loadsAtOnce = 0.25
+const maxLoadingShare = 0.25
 
 // tend does for a target what only its owner may do.
-func (c *Cluster) tend(ctx context.Context, t *blackboard.TargetAddress, mine []blackboard.TargetAddress) {
+func (c *Cluster) maintainTarget(ctx context.Context, t *blackboard.TargetAddress, mine []blackboard.TargetAddress) {
 	c.orderModel(ctx, t, mine)
 	c.releaseOrphans(ctx, t)
 }
@@ -144,8 +144,8 @@
 	if err != nil {
 		rec.Outcome, rec.Reason = decision.OutcomeFailed, err.Error()
 	}
-	c.Record.Record(rec)
-	c.Record.Metrics.Orders.WithLabelValues(rec.Outcome).Inc()
+	c.Recorder.Record(rec)
+	c.Recorder.Metrics.Orders.WithLabelValues(rec.Outcome).Inc()
 }
 
 // mayLoad lets the first few of this daemon's targets that lack the model load it.
@@ -160,7 +160,7 @@
 			before++
 		}
 	}
-	return before < max(1, int(loadsAtOnce*float64(pool)))
+	return before < max(1, int(maxLoadingShare*float64(pool)))
 }
 
 // orphanGrace is how long after its owner's end of interest a reservation is
@@ -175,39 +175,39 @@
 	}
 	for i := range t.Reservations {
 		r := &t.Reservations[i]
-		if reason := c.orphaned(r, time.Now()); reason != "" {
-			c.releaseAt(ctx, t, r, reason)
+		if reason := c.orphanReason(r, time.Now()); reason != "" {
+			c.release(ctx, t, r, reason)
 		}
 	}
 }
 
 // releaseOwn gives back what targets hold for requests of this daemon that have
 // ended: a release may not have reached an engine that was frozen or cut off.
-func (c *Cluster) releaseOwn(ctx context.Context) {
+func (c *Cluster) releaseEnded(ctx context.Context) {
 	for _, t := range c.Board.Targets.Addresses() {
 		for i := range t.Reservations {
 			r := &t.Reservations[i]
 			mine := r.Owner == c.Board.Self.Name && r.Incarnation == c.Board.Self.Incarnation
 			if mine && !c.Board.Targets.Active(r.ID) {
-				c.releaseAt(ctx, &t, r, "its request has ended")
+				c.release(ctx, &t, r, "its request has ended")
 			}
 		}
 	}
 }
 
 // releaseAt releases a reservation and records why.
-func (c *Cluster) releaseAt(ctx context.Context, t *blackboard.TargetAddress, r *target.Reservation, reason string) {
+func (c *Cluster) release(ctx context.Context, t *blackboard.TargetAddress, r *target.Reservation, reason string) {
 	sending, cancel := context.WithTimeout(ctx, lease.SendTimeout)
 	defer cancel()
 	if err := c.Targets.Release(sending, t.Address, r.ID); err != nil {
 		return // The next round asks again.
 	}
-	c.Record.Metrics.Released.Inc()
-	c.Record.Record(decision.Record{Kind: decision.KindSweep, Request: r.Request, Pool: t.Pool, Target: t.ID, Outcome: "released", Reason: reason})
+	c.Recorder.Metrics.Released.Inc()
+	c.Recorder.Record(decision.Record{Kind: decision.KindSweep, Request: r.Request, Pool: t.Pool, Target: t.ID, Outcome: "released", Reason: reason})
 }
 
 // orphaned says why a reservation has no owner any more, or "".
-func (c *Cluster) orphaned(r *target.Reservation, now time.Time) string {
+func (c *Cluster) orphanReason(r *target.Reservation, now time.Time) string {
 	if now.After(r.Expires.Add(orphanGrace)) {
 		return "its request's deadline has passed"
 	}
--- a/node/cluster/limits.go
+++ b/node/cluster/limits.go
@@ -14,15 +14,15 @@
 // for the first time is told of all limits that the asker knows, and tells the limit of each target
 // that it places a call at, so that whoever gets the answer knows what it lifts.
 
-// limitNews tells a coordinator what a target of a pool has said of its limit.
-type limitNews struct {
+// limitNotice tells a coordinator what a target of a pool has said of its limit.
+type limitNotice struct {
 	Pool  string                `cbor:"1,keyasint"`
 	Limit blackboard.LimitState `cbor:"2,keyasint"`
 }
 
 // LimitSaid tells the pool's coordinator what a target said of its limit in the answer to a call that
 // was sent then.
-func (p *Placements) ReportLimit(pool, target string, said forward.Limit, sent time.Time) {
+func (p *Placer) ReportLimit(pool, target string, said forward.Limit, sent time.Time) {
 	now := time.Now()
 	c := p.coordinatorOf(pool, now)
 	if c.name == "" || c.name == p.cluster.Board.Self.Name {
@@ -32,26 +32,26 @@
 	if said.Lifted {
 		state.Ago = now.Sub(sent)
 	}
-	p.tell(c.name, peer.KindLimit, limitNews{Pool: pool, Limit: state})
+	p.notify(c.name, peer.KindLimit, limitNotice{Pool: pool, Limit: state})
 }
 
 // serveLimit takes in what a target has said to another daemon.
-func (p *Placements) serveLimit(_ context.Context, _ string, in limitNews) (done, error) {
-	p.takeLimits(in.Pool, []blackboard.LimitState{in.Limit}, time.Now())
-	return done{}, nil
+func (p *Placer) serveLimit(_ context.Context, _ string, in limitNotice) (empty, error) {
+	p.mergeLimits(in.Pool, []blackboard.LimitState{in.Limit}, time.Now())
+	return empty{}, nil
 }
 
 // takeLimits takes in what another daemon knows of targets' limits.
-func (p *Placements) takeLimits(pool string, limits []blackboard.LimitState, now time.Time) {
+func (p *Placer) mergeLimits(pool string, limits []blackboard.LimitState, now time.Time) {
 	for i := range limits {
-		p.cluster.Record.TakeWord(pool, limits[i].Target, limits[i].Word(now))
+		p.cluster.Recorder.TakeWord(pool, limits[i].Target, limits[i].Word(now))
 	}
 }
 
 // countLimited counts a call that a coordinator placed, at a target whose limit it tells.
-func (p *Placements) countLimited(pool string, a *placeAnswer, now time.Time) {
+func (p *Placer) recordLimitedCall(pool string, a *placeAnswer, now time.Time) {
 	if a.Limit != nil {
-		p.takeLimits(pool, []blackboard.LimitState{*a.Limit}, now)
+		p.mergeLimits(pool, []blackboard.LimitState{*a.Limit}, now)
 	}
 	p.cluster.Board.Targets.CountLimited(a.Target, now)
 }
--- a/node/cluster/news_test.go
+++ b/node/cluster/news_test.go
@@ -17,35 +17,35 @@
 	"doorstack.dev/node/telemetry"
 )
 
-// TestNewsDoesNotPileUp: while a daemon acted on one peer's news, the others' waited;
+// TestFetcherTakesBestReportAndEmptiesQueue: while a daemon acted on one peer's news, the others' waited;
 // with one exchange for each, the queue grew to 3.5 s in a fleet of nine.
-func TestNewsDoesNotPileUp(t *testing.T) {
-	c := newCoordinator(t, 1).cluster
+func TestFetcherTakesBestReportAndEmptiesQueue(t *testing.T) {
+	c := newTestPlacer(t, 1).cluster
 	for i := range 20 {
-		h := heartbeatNews{from: "a", revision: int64(i), targets: hostlist.Position(100 - i)}
-		c.settingsNews.tell(h)
-		c.targetNews.tell(h)
+		h := heartbeatReport{from: "a", revision: int64(i), targets: hostlist.Position(100 - i)}
+		c.settingsFetcher.enqueue(h)
+		c.targetsFetcher.enqueue(h)
 	}
-	last := heartbeatNews{from: "b", revision: 7, targets: 200}
-	c.settingsNews.tell(last)
-	c.targetNews.tell(last)
-	revision, targets := c.settingsNews.newest(<-c.settingsNews.told), c.targetNews.newest(<-c.targetNews.told)
-	if len(c.settingsNews.told)+len(c.targetNews.told) != 0 || revision.revision != 19 || targets.targets != 200 || targets.from != "b" {
-		t.Fatalf("%d left, settings of %+v, targets of %+v", len(c.settingsNews.told), revision, targets)
+	last := heartbeatReport{from: "b", revision: 7, targets: 200}
+	c.settingsFetcher.enqueue(last)
+	c.targetsFetcher.enqueue(last)
+	revision, targets := c.settingsFetcher.takeBest(<-c.settingsFetcher.reports), c.targetsFetcher.takeBest(<-c.targetsFetcher.reports)
+	if len(c.settingsFetcher.reports)+len(c.targetsFetcher.reports) != 0 || revision.revision != 19 || targets.targets != 200 || targets.from != "b" {
+		t.Fatalf("%d left, settings of %+v, targets of %+v", len(c.settingsFetcher.reports), revision, targets)
 	}
 }
 
-// TestAllWhoToldCountAsCompared: a fresh daemon has compared with every peer whose heartbeat
+// TestEveryReportingPeerCountsAsCompared: a fresh daemon has compared with every peer whose heartbeat
 // waited, also where another's news is taken.
-func TestAllWhoToldCountAsCompared(t *testing.T) {
+func TestEveryReportingPeerCountsAsCompared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCoordinator(t, 1).cluster
+		c := newTestPlacer(t, 1).cluster
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		for i, name := range []string{"a", "b", "c"} {
-			c.heard <- heartbeatNews{from: name, revision: int64(i), targets: hostlist.Position(i)}
+			c.reports <- heartbeatReport{from: name, revision: int64(i), targets: hostlist.Position(i)}
 		}
-		go c.compareLoop(ctx)
+		go c.processReports(ctx)
 		synctest.Wait()
 		for _, name := range []string{"a", "b", "c"} {
 			if !c.compared[name] {
@@ -55,16 +55,16 @@
 	})
 }
 
-// servePeer starts a peer whose settings are served by the function given.
-func servePeer(t *testing.T, name string, serve func(context.Context) (settings.Changes, error)) membership.Rumor {
+// startSettingsPeer starts a peer whose settings are served by the function given.
+func startSettingsPeer(t *testing.T, name string, serve func(context.Context) (settings.Changes, error)) membership.Rumor {
 	t.Helper()
-	hub := peer.NewHub(name, []string{fleetKey}, telemetry.NewMetrics())
+	hub := peer.NewHub(name, []string{testSecret}, telemetry.NewMetrics())
 	hub.Handle(peer.KindSettingsChanges, peer.TypedHandler(func(ctx context.Context, _ string, _ settingsRequest) (settingsAnswer, error) {
 		changes, err := serve(ctx)
 		if err != nil {
 			return settingsAnswer{}, err
 		}
-		packed, err := packChanges(changes)
+		packed, err := compressChanges(changes)
 		return settingsAnswer{packed}, err
 	}))
 	server := httptest.NewServer(hub.Handler())
@@ -72,45 +72,45 @@
 	return membership.Rumor{Name: name, Incarnation: 1, Address: strings.TrimPrefix(server.URL, "http://")}
 }
 
-// TestASilentPeerHoldsNoNewsUp: one peer tells of a new revision and does not answer the
+// TestUnresponsivePeerDoesNotDelaySettings: one peer tells of a new revision and does not answer the
 // fetch; another has it too. A fetch used to wait for 5 s, and the same peer's next
 // heartbeat came first again: two fetches were 10 s.
-func TestASilentPeerHoldsNoNewsUp(t *testing.T) {
-	c := newCoordinator(t, 1).cluster
-	silent := servePeer(t, "silent", func(ctx context.Context) (settings.Changes, error) {
+func TestUnresponsivePeerDoesNotDelaySettings(t *testing.T) {
+	c := newTestPlacer(t, 1).cluster
+	silent := startSettingsPeer(t, "silent", func(ctx context.Context) (settings.Changes, error) {
 		<-ctx.Done()
 		return settings.Changes{}, ctx.Err()
 	})
-	good := servePeer(t, "good", func(context.Context) (settings.Changes, error) {
-		return settings.Changes{Revision: 5, Parts: map[string]settings.Part{"settings": {Revision: 5, Data: []byte(placementDocument)}}}, nil
+	good := startSettingsPeer(t, "good", func(context.Context) (settings.Changes, error) {
+		return settings.Changes{Revision: 5, Parts: map[string]settings.Part{"settings": {Revision: 5, Data: []byte(testSettings)}}}, nil
 	})
 	c.Board.Members.View(func(table *membership.Table) {
 		table.Receive(silent)
 		table.Receive(good)
 	})
-	c.Settings = &controller.Settings{Board: c.Board, Recorder: c.Record, Parse: settings.ParseParts,
+	c.Settings = &controller.Settings{Board: c.Board, Recorder: c.Recorder, Parse: settings.ParseParts,
 		ShouldWatch: func() bool { return false }, OnAdopt: func(*blackboard.SettingsView) {}}
 	c.Directory = &controller.Directory{}
 	began := time.Now()
 	for c.revision() != 5 {
-		c.settingsNews.tell(heartbeatNews{from: "silent", revision: 5})
-		c.settingsNews.tell(heartbeatNews{from: "good", revision: 5})
-		c.catchUp(t.Context(), c.settingsNews.newest(<-c.settingsNews.told))
+		c.settingsFetcher.enqueue(heartbeatReport{from: "silent", revision: 5})
+		c.settingsFetcher.enqueue(heartbeatReport{from: "good", revision: 5})
+		c.updateSettings(t.Context(), c.settingsFetcher.takeBest(<-c.settingsFetcher.reports))
 	}
 	if took := time.Since(began); took > 2*time.Second {
 		t.Fatalf("the revision was in force after %v", took)
 	}
 }
 
-// TestANewerRevisionOfASlowPeer: where only a peer that failed lately has something new, it
+// TestSlowPeerIsChosenIfOnlyItHasAnUpdate: where only a peer that failed lately has something new, it
 // is asked all the same.
-func TestANewerRevisionOfASlowPeer(t *testing.T) {
-	c := newCoordinator(t, 1).cluster
-	f := c.settingsNews
+func TestSlowPeerIsChosenIfOnlyItHasAnUpdate(t *testing.T) {
+	c := newTestPlacer(t, 1).cluster
+	f := c.settingsFetcher
 	f.slowUntil["slow"] = time.Now().Add(time.Minute)
-	f.told <- heartbeatNews{from: "good", revision: 1}
-	f.told <- heartbeatNews{from: "slow", revision: 5}
-	if revision := f.newest(<-f.told); revision.from != "slow" {
+	f.reports <- heartbeatReport{from: "good", revision: 1}
+	f.reports <- heartbeatReport{from: "slow", revision: 5}
+	if revision := f.takeBest(<-f.reports); revision.from != "slow" {
 		t.Fatalf("%+v is asked", revision)
 	}
 }
--- a/node/cluster/open.go
+++ b/node/cluster/open.go
@@ -21,38 +21,38 @@
 const (
 	// joinTimeout bounds one introduction: a seed may be dead and its host silent.
 	joinTimeout = 500 * time.Millisecond
-	// joinFirst is the pause after a first introduction that nobody answers, and joinMost the
+	// joinBackoffInitial is the pause after a first introduction that nobody answers, and joinBackoffMax the
 	// longest that it grows to: where all hosts start together the seeds may listen half a
 	// second later than the first daemons look for them.
-	joinFirst = 50 * time.Millisecond
-	joinMost  = 400 * time.Millisecond
-	// rejoinEvery is the mean pause between tries to find a daemon that was lost, or a
+	joinBackoffInitial = 50 * time.Millisecond
+	joinBackoffMax     = 400 * time.Millisecond
+	// rejoinInterval is the mean pause between tries to find a daemon that was lost, or a
 	// seed, which is what joins two parts of a fleet again after a cut.
-	rejoinEvery = 2 * time.Second
-	// reconcileEvery is the least time between two comparisons of members with one peer.
-	reconcileEvery = 2 * time.Second
+	rejoinInterval = 2 * time.Second
+	// minReconcileInterval is the least time between two comparisons of members with one peer.
+	minReconcileInterval = 2 * time.Second
 )
 
-func (c *Cluster) open() bool { return c.Directory != nil }
+func (c *Cluster) openFleet() bool { return c.Directory != nil }
 
 // join looks for other daemons until ctx ends.
 func (c *Cluster) join(ctx context.Context) {
-	pause := joinFirst
+	pause := joinBackoffInitial
 	for round := 0; ctx.Err() == nil; round++ {
-		alone := c.introduceTo(ctx, round)
+		alone := c.introduceRound(ctx, round)
 		if alone {
 			controller.Sleep(ctx, pause)
-			pause = min(2*pause, joinMost)
+			pause = min(2*pause, joinBackoffMax)
 			continue
 		}
-		pause = joinFirst
-		controller.Sleep(ctx, rejoinEvery/2+rand.N(rejoinEvery))
+		pause = joinBackoffInitial
+		controller.Sleep(ctx, rejoinInterval/2+rand.N(rejoinInterval))
 	}
 }
 
 // introduceTo introduces this daemon to all seeds while it is alone, later to one
 // daemon that was lost or one seed that is not linked. It tells whether it is alone.
-func (c *Cluster) introduceTo(ctx context.Context, round int) (alone bool) {
+func (c *Cluster) introduceRound(ctx context.Context, round int) (alone bool) {
 	var addresses []string
 	seeds := *c.seeds.Load()
 	c.Board.Members.View(func(t *membership.Table) {
@@ -78,17 +78,17 @@
 		addresses = addresses[round%len(addresses):][:1]
 	}
 	if answered := c.introduceToAll(ctx, addresses); alone && answered == len(addresses) {
-		c.searched.Store(true)
+		c.seedsAnswered.Store(true)
 	}
 	return alone
 }
 
 // knowsFleet tells whether this daemon has found others, or has looked for them and there are
 // none.
-func (c *Cluster) knowsFleet() bool {
+func (c *Cluster) discoveryDone() bool {
 	others := 0
 	c.Board.Members.View(func(t *membership.Table) { others, _ = t.CountOthers() })
-	return others > 0 || c.searched.Load() || time.Since(c.started) > compareTimeout
+	return others > 0 || c.seedsAnswered.Load() || time.Since(c.started) > compareTimeout
 }
 
 // introduceToAll introduces this daemon at several addresses at once, so that a seed without
@@ -116,28 +116,28 @@
 	var all []membership.Rumor
 	name, err := c.Hub.CallAt(ctx, address, peer.KindJoin, own, &all)
 	if err != nil {
-		c.Record.Log.Debug("no daemon answers an introduction", "address", address, "error", err.Error())
+		c.Recorder.Log.Debug("no daemon answers an introduction", "address", address, "error", err.Error())
 		return false
 	}
-	c.Record.Reach(blackboard.StagePeer)
-	c.receive(ctx, all, name)
-	c.Poke()
+	c.Recorder.Reach(blackboard.StagePeer)
+	c.receiveRumors(ctx, all, name)
+	c.HeartbeatNow()
 	return true
 }
 
 // serveJoin takes in a daemon that introduces itself and tells it of all others.
 func (c *Cluster) serveJoin(ctx context.Context, from string, in membership.Rumor) ([]membership.Rumor, error) {
-	if !c.open() {
+	if !c.openFleet() {
 		return nil, errors.New("this fleet is listed by the platform and takes no introductions")
 	}
-	c.receive(ctx, []membership.Rumor{in}, from)
+	c.receiveRumors(ctx, []membership.Rumor{in}, from)
 	var all []membership.Rumor
 	c.Board.Members.View(func(t *membership.Table) { all = t.AllRumors() })
 	return all, nil
 }
 
 // receive takes rumors in and passes news on.
-func (c *Cluster) receive(ctx context.Context, in []membership.Rumor, from string) {
+func (c *Cluster) receiveRumors(ctx context.Context, in []membership.Rumor, from string) {
 	var news []membership.Rumor
 	c.Board.Members.View(func(t *membership.Table) {
 		for _, r := range in {
@@ -146,14 +146,14 @@
 			}
 		}
 	})
-	c.spread(ctx, news, from)
+	c.spreadRumors(ctx, news, from)
 }
 
 // reconcile sends the digests of all members to a peer that knows of other daemons than this
 // one does, and gets what the peer knows where they differ. The peer does the same, so both
 // end with the union.
 func (c *Cluster) reconcile(ctx context.Context, from string, digest uint64) {
-	if !c.open() {
+	if !c.openFleet() {
 		return
 	}
 	var digests []uint64
@@ -166,29 +166,29 @@
 		return
 	}
 	if err := c.Hub.Notify(ctx, c.address(from), peer.KindDigests, digests); err != nil {
-		c.Record.Log.Debug("digests of members could not be told to a peer", "peer", from, "error", err.Error())
+		c.Recorder.Log.Debug("digests of members could not be told to a peer", "peer", from, "error", err.Error())
 	}
 }
 
 // serveDigests tells a peer what this daemon knows where their digests differ.
-func (c *Cluster) serveDigests(ctx context.Context, from string, theirs []uint64) (done, error) {
+func (c *Cluster) serveDigests(ctx context.Context, from string, theirs []uint64) (empty, error) {
 	var rumors []membership.Rumor
 	c.Board.Members.View(func(t *membership.Table) { rumors = t.DifferingRumors(theirs) })
 	if len(rumors) == 0 {
-		return done{}, nil
+		return empty{}, nil
 	}
-	return done{}, c.Hub.Notify(ctx, c.address(from), peer.KindRumor, rumors)
+	return empty{}, c.Hub.Notify(ctx, c.address(from), peer.KindRumor, rumors)
 }
 
 func (c *Cluster) mayReconcile(peerName string, now time.Time) bool {
-	return c.mayTell(c.reconciled, peerName, now)
+	return c.maySendAll(c.reconciledAt, peerName, now)
 }
 
 // mayTell tells whether all of something may be told to a peer again, and notes that it is.
-func (c *Cluster) mayTell(told map[string]time.Time, peerName string, now time.Time) bool {
-	c.seekMu.Lock()
-	defer c.seekMu.Unlock()
-	if now.Sub(told[peerName]) < reconcileEvery {
+func (c *Cluster) maySendAll(told map[string]time.Time, peerName string, now time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if now.Sub(told[peerName]) < minReconcileInterval {
 		return false
 	}
 	told[peerName] = now
--- a/node/cluster/placement.go
+++ b/node/cluster/placement.go
@@ -21,52 +21,52 @@
 
 // The times of a question to a coordinator.
 const (
-	// placeTimeout is how long a daemon waits for the first answer: a round trip takes
+	// placementTimeout is how long a daemon waits for the first answer: a round trip takes
 	// up to 2 ms, and a caller's shortest goal is 300 ms.
-	placeTimeout = 40 * time.Millisecond
-	// answerWithin is how long the coordinator holds a question that can be answered
+	placementTimeout = 40 * time.Millisecond
+	// maxAnswerDelay is how long the coordinator holds a question that can be answered
 	// soon; later answers are sent by themselves.
-	answerWithin = 5 * time.Millisecond
-	// renewPlace is how often a daemon repeats a question that waits, so that each
+	maxAnswerDelay = 5 * time.Millisecond
+	// placementRenewInterval is how often a daemon repeats a question that waits, so that each
 	// side notices the other's end.
-	renewPlace = 250 * time.Millisecond
-	// dropPlace is when a coordinator drops a question that was not repeated.
-	dropPlace = time.Second
-	// avoidFor is how long a coordinator that did not answer is passed over, avoidRefusing one that
+	placementRenewInterval = 250 * time.Millisecond
+	// placementRequestTTL is when a coordinator drops a question that was not repeated.
+	placementRequestTTL = time.Second
+	// avoidFailed is how long a coordinator that did not answer is passed over, avoidRefused one that
 	// says that it does not coordinate: where all hosts start together it will, some milliseconds later,
 	// and until all ask the same one the pool is placed by several.
-	avoidFor      = time.Second
-	avoidRefusing = 100 * time.Millisecond
-	// callTTL bounds how long a coordinator counts a call beyond its deadline, in case
+	avoidFailed  = time.Second
+	avoidRefused = 100 * time.Millisecond
+	// callExpiryMargin bounds how long a coordinator counts a call beyond its deadline, in case
 	// the word of its end was lost.
-	callTTL = time.Second
-	// adoptedTTL is the same for a call that was under way when the coordinator began:
+	callExpiryMargin = time.Second
+	// adoptedCallTTL is the same for a call that was under way when the coordinator began:
 	// its deadline is not told, and the longest timeout of the users' routes is 15 s.
-	adoptedTTL = 15 * time.Second
-	// maxSuspect bounds how long a target is kept out on one daemon's word.
-	maxSuspect = 5 * time.Second
+	adoptedCallTTL = 15 * time.Second
+	// maxSuspectDuration bounds how long a target is kept out on one daemon's word.
+	maxSuspectDuration = 5 * time.Second
 )
 
 // placeRequest asks the coordinator of a pool for a target.
 type placeRequest struct {
-	Attempt      string        `cbor:"1,keyasint"`
-	Request      string        `cbor:"2,keyasint"`
-	Pool         string        `cbor:"3,keyasint"`
-	Account      string        `cbor:"4,keyasint"`
-	Level        int           `cbor:"5,keyasint"`
-	PromptTokens int64         `cbor:"6,keyasint,omitempty"`
-	OutputTokens int64         `cbor:"7,keyasint,omitempty"`
-	DataCentre   string        `cbor:"8,keyasint"`
-	Exclude      []string      `cbor:"9,keyasint,omitempty"`
-	Goal         float64       `cbor:"10,keyasint,omitempty"`
-	GapGoal      float64       `cbor:"11,keyasint,omitempty"`
-	Waited       time.Duration `cbor:"12,keyasint,omitempty"`
-	Left         time.Duration `cbor:"13,keyasint"`
-	Retry        bool          `cbor:"14,keyasint,omitempty"`
+	Attempt       string        `cbor:"1,keyasint"`
+	Request       string        `cbor:"2,keyasint"`
+	Pool          string        `cbor:"3,keyasint"`
+	Account       string        `cbor:"4,keyasint"`
+	Level         int           `cbor:"5,keyasint"`
+	PromptTokens  int64         `cbor:"6,keyasint,omitempty"`
+	OutputTokens  int64         `cbor:"7,keyasint,omitempty"`
+	DataCentre    string        `cbor:"8,keyasint"`
+	Exclude       []string      `cbor:"9,keyasint,omitempty"`
+	Goal          float64       `cbor:"10,keyasint,omitempty"`
+	GapGoal       float64       `cbor:"11,keyasint,omitempty"`
+	Waited        time.Duration `cbor:"12,keyasint,omitempty"`
+	UntilDeadline time.Duration `cbor:"13,keyasint"`
+	Retry         bool          `cbor:"14,keyasint,omitempty"`
 	// Calls are the asker's calls in the pool, for a coordinator that it asks first.
 	Calls []blackboard.CallState `cbor:"15,keyasint,omitempty"`
 	// Begun is true where the caller has a part of the answer.
-	Begun bool `cbor:"16,keyasint,omitempty"`
+	AnswerStarted bool `cbor:"16,keyasint,omitempty"`
 	// Limits are the limits of the pool's targets that the asker knows, for a coordinator that it
 	// asks first.
 	Limits []blackboard.LimitState `cbor:"17,keyasint,omitempty"`
@@ -74,18 +74,18 @@
 
 // placeAnswer is a placement, or the word that the call waits.
 type placeAnswer struct {
-	Attempt string          `cbor:"1,keyasint"`
-	Verdict routing.Verdict `cbor:"2,keyasint"`
-	Target  string          `cbor:"3,keyasint,omitempty"`
-	Address string          `cbor:"4,keyasint,omitempty"`
-	Helpers []placeHelper   `cbor:"5,keyasint,omitempty"`
-	Reading float64         `cbor:"6,keyasint,omitempty"`
+	Attempt     string          `cbor:"1,keyasint"`
+	Verdict     routing.Verdict `cbor:"2,keyasint"`
+	Target      string          `cbor:"3,keyasint,omitempty"`
+	Address     string          `cbor:"4,keyasint,omitempty"`
+	Helpers     []placeHelper   `cbor:"5,keyasint,omitempty"`
+	PrefillTime float64         `cbor:"6,keyasint,omitempty"`
 	// Considered is the number of targets looked at.
 	Considered int `cbor:"7,keyasint,omitempty"`
 	// Tickets are what helpers are asked to set aside.
-	Tickets []routing.MemoryReservation `cbor:"8,keyasint,omitempty"`
+	Reservations []routing.MemoryReservation `cbor:"8,keyasint,omitempty"`
 	// ComeBack is the time, in seconds, after which a refused call's turn would have come.
-	ComeBack float64 `cbor:"9,keyasint,omitempty"`
+	RetryAfter float64 `cbor:"9,keyasint,omitempty"`
 	// Limit is the limit that the target has named.
 	Limit *blackboard.LimitState `cbor:"10,keyasint,omitempty"`
 }
@@ -105,21 +105,21 @@
 	SuspectFor time.Duration `cbor:"5,keyasint,omitempty"`
 }
 
-// Placements asks coordinators and is one. It implements requestcontrol.Placer.
-type Placements struct {
+// Placer asks coordinators and is one. It implements requestcontrol.Placer.
+type Placer struct {
 	cluster *Cluster
 
 	mu sync.Mutex
 	// placedBy is who placed each of this daemon's calls.
 	placedBy map[string]string
 	// waiting are this daemon's questions that a coordinator holds.
-	waiting map[string]chan placeAnswer
+	pending map[string]chan placeAnswer
 	// avoid are coordinators that did not answer, until when.
-	avoid map[string]time.Time
+	avoidUntil map[string]time.Time
 	// told are the coordinators that know of this daemon's calls, by pool.
-	told map[string]coordinator
+	informed map[string]coordinator
 	// held are the questions and calls of others that this daemon coordinates.
-	held map[string]*heldCall
+	coordinated map[string]*coordinatedCall
 }
 
 // coordinator is a daemon in one life of its process.
@@ -128,19 +128,19 @@
 	incarnation int64
 }
 
-func newPlacements(c *Cluster) *Placements {
-	return &Placements{
-		cluster: c, placedBy: map[string]string{}, waiting: map[string]chan placeAnswer{},
-		avoid: map[string]time.Time{}, told: map[string]coordinator{}, held: map[string]*heldCall{},
+func newPlacer(c *Cluster) *Placer {
+	return &Placer{
+		cluster: c, placedBy: map[string]string{}, pending: map[string]chan placeAnswer{},
+		avoidUntil: map[string]time.Time{}, informed: map[string]coordinator{}, coordinated: map[string]*coordinatedCall{},
 	}
 }
 
 // coordinatorOf finds who coordinates a pool: one of the strong daemons, since whoever does
 // takes two to four frames for each call of the fleet.
-func (p *Placements) coordinatorOf(pool string, now time.Time) coordinator {
+func (p *Placer) coordinatorOf(pool string, now time.Time) coordinator {
 	p.mu.Lock()
-	avoid := make(map[string]bool, len(p.avoid))
-	for name, until := range p.avoid {
+	avoid := make(map[string]bool, len(p.avoidUntil))
+	for name, until := range p.avoidUntil {
 		avoid[name] = now.Before(until)
 	}
 	p.mu.Unlock()
@@ -164,31 +164,31 @@
 // Coordinates tells whether this daemon places a pool's calls for all. One that has not found
 // the others yet does not: where all hosts start together each would take itself for the
 // coordinator and ask every engine how fast it works.
-func (p *Placements) Coordinates(pool string) bool {
-	return p.cluster.Board.Phase() == blackboard.Serving && p.cluster.knowsFleet() &&
+func (p *Placer) Coordinates(pool string) bool {
+	return p.cluster.Board.Phase() == blackboard.Serving && p.cluster.discoveryDone() &&
 		p.coordinatorOf(pool, time.Now()).name == p.cluster.Board.Self.Name
 }
 
-// askedInTurn is how many coordinators are asked for one call: the second where the
+// maxCoordinatorAttempts is how many coordinators are asked for one call: the second where the
 // first says at once that it leaves.
-const askedInTurn = 2
+const maxCoordinatorAttempts = 2
 
 // Place asks the pool's coordinator. It returns false where this daemon decides.
-func (p *Placements) Place(ctx context.Context, t *blackboard.Ticket) (blackboard.Placement, bool) {
-	for range askedInTurn {
+func (p *Placer) Place(ctx context.Context, t *blackboard.Ticket) (blackboard.Placement, bool) {
+	for range maxCoordinatorAttempts {
 		c := p.coordinatorOf(t.Pool.Name, time.Now())
 		if c.name == p.cluster.Board.Self.Name || c.name == "" {
 			break
 		}
-		answer, err := p.ask(ctx, c, t)
+		answer, err := p.requestPlacement(ctx, c, t)
 		if err == nil {
-			p.cluster.Record.Reach(blackboard.StageCoordinator)
-			return p.follow(c, t, &answer)
+			p.cluster.Recorder.Reach(blackboard.StageCoordinator)
+			return p.acceptAnswer(c, t, &answer)
 		}
 		if ctx.Err() != nil {
 			break
 		}
-		p.lost(c.name, t, err)
+		p.recordLostCoordinator(c.name, t, err)
 		if errors.Is(err, context.DeadlineExceeded) {
 			break // Time has been lost already.
 		}
@@ -197,12 +197,12 @@
 }
 
 // follow takes a coordinator's placement over, unless this daemon knows better.
-func (p *Placements) follow(c coordinator, t *blackboard.Ticket, answer *placeAnswer) (blackboard.Placement, bool) {
-	if answer.Verdict == routing.Place && !p.sendable(answer) {
+func (p *Placer) acceptAnswer(c coordinator, t *blackboard.Ticket, answer *placeAnswer) (blackboard.Placement, bool) {
+	if answer.Verdict == routing.Place && !p.targetsAccept(answer) {
 		// The coordinator lags behind what is known here, which binds.
-		p.cluster.Record.Log.Info("placement is not followed", "request", t.Request.ID, "peer", c.name, "target", answer.Target,
+		p.cluster.Recorder.Log.Info("placement is not followed", "request", t.Request.ID, "peer", c.name, "target", answer.Target,
 			"reason", "the target or a helper leaves, rests or is not known here, or the call would pass the target's limit")
-		p.tell(c.name, peer.KindProgress, callProgress{Attempt: t.Attempt, Ended: true, Result: blackboard.CallCancelled})
+		p.notify(c.name, peer.KindProgress, callProgress{Attempt: t.Attempt, Ended: true, Result: blackboard.CallCancelled})
 		return blackboard.Placement{}, false
 	}
 	if answer.Verdict == routing.Place {
@@ -210,13 +210,13 @@
 		p.placedBy[t.Attempt] = c.name
 		p.mu.Unlock()
 	}
-	placement := p.placement(t, answer)
+	placement := p.applyPlacement(t, answer)
 	placement.By = c.name
 	return placement, true
 }
 
 // sendable tells whether this daemon itself would send to all targets of a placement.
-func (p *Placements) sendable(a *placeAnswer) bool {
+func (p *Placer) targetsAccept(a *placeAnswer) bool {
 	targets, now := p.cluster.Board.Targets, time.Now()
 	incomplete := p.cluster.Board.Directory.Incomplete()
 	willing := func(id string) bool {
@@ -234,56 +234,56 @@
 // Why a coordinator counts as lost: it did not answer in time, the link failed, or the coordinator
 // itself said no.
 const (
-	lostByTime    = "timeout"
-	lostByError   = "error"
-	lostByRefusal = "refused"
+	lostTimeout = "timeout"
+	lostError   = "error"
+	lostRefused = "refused"
 )
 
 // lost notes that a coordinator did not answer. For a while this daemon asks another one, and
 // the pool is placed by two that do not know of each other's calls.
-func (p *Placements) lost(name string, t *blackboard.Ticket, err error) {
-	reason, avoid := lostByError, avoidFor
+func (p *Placer) recordLostCoordinator(name string, t *blackboard.Ticket, err error) {
+	reason, avoid := lostError, avoidFailed
 	var refused *peer.RemoteError
 	switch {
 	case errors.Is(err, context.DeadlineExceeded):
-		reason = lostByTime
+		reason = lostTimeout
 	case errors.As(err, &refused):
-		reason, avoid = lostByRefusal, avoidRefusing
+		reason, avoid = lostRefused, avoidRefused
 	}
-	p.cluster.Record.Metrics.CoordinatorLost.WithLabelValues(t.Pool.Name, reason).Inc()
+	p.cluster.Recorder.Metrics.CoordinatorLost.WithLabelValues(t.Pool.Name, reason).Inc()
 	now := time.Now()
 	p.mu.Lock()
-	known := now.Before(p.avoid[name])
-	p.avoid[name] = now.Add(avoid)
-	delete(p.told, t.Pool.Name)
+	known := now.Before(p.avoidUntil[name])
+	p.avoidUntil[name] = now.Add(avoid)
+	delete(p.informed, t.Pool.Name)
 	p.mu.Unlock()
 	if !known {
-		p.cluster.Record.Log.Warn("dependency is lost", "dependency", "coordinator", "peer", name, "pool", t.Pool.Name,
+		p.cluster.Recorder.Log.Warn("dependency is lost", "dependency", "coordinator", "peer", name, "pool", t.Pool.Name,
 			"request", t.Request.ID, "error", err.Error())
 	}
-	p.tell(name, peer.KindProgress, callProgress{Attempt: t.Attempt, Ended: true, Result: blackboard.CallCancelled})
+	p.notify(name, peer.KindProgress, callProgress{Attempt: t.Attempt, Ended: true, Result: blackboard.CallCancelled})
 }
 
 // ask puts the question and waits for the placement.
-func (p *Placements) ask(ctx context.Context, c coordinator, t *blackboard.Ticket) (placeAnswer, error) {
+func (p *Placer) requestPlacement(ctx context.Context, c coordinator, t *blackboard.Ticket) (placeAnswer, error) {
 	later := make(chan placeAnswer, 1)
 	p.mu.Lock()
-	p.waiting[t.Attempt] = later
+	p.pending[t.Attempt] = later
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
-		delete(p.waiting, t.Attempt)
+		delete(p.pending, t.Attempt)
 		p.mu.Unlock()
 	}()
 	for {
 		var answer placeAnswer
-		if err := p.cluster.ask(ctx, c.name, peer.KindPlace, p.question(c, t), &answer, placeTimeout); err != nil {
+		if err := p.cluster.call(ctx, c.name, peer.KindPlace, p.newRequest(c, t), &answer, placementTimeout); err != nil {
 			return answer, err
 		}
 		if answer.Verdict != routing.Wait {
 			return answer, nil
 		}
-		renew := time.NewTimer(renewPlace)
+		renew := time.NewTimer(placementRenewInterval)
 		select {
 		case answer = <-later:
 			renew.Stop()
@@ -291,27 +291,27 @@
 		case <-renew.C:
 		case <-ctx.Done():
 			renew.Stop()
-			p.tell(c.name, peer.KindProgress, callProgress{Attempt: t.Attempt, Ended: true, Result: blackboard.CallCancelled})
+			p.notify(c.name, peer.KindProgress, callProgress{Attempt: t.Attempt, Ended: true, Result: blackboard.CallCancelled})
 			return answer, ctx.Err()
 		}
 	}
 }
 
-// question makes the wire form of a ticket. A coordinator that is asked for the first
+// testRequest makes the wire form of a ticket. A coordinator that is asked for the first
 // time is told of all calls that this daemon has in the pool.
-func (p *Placements) question(c coordinator, t *blackboard.Ticket) placeRequest {
+func (p *Placer) newRequest(c coordinator, t *blackboard.Ticket) placeRequest {
 	q := placeRequest{
 		Attempt: t.Attempt, Request: t.Request.ID, Pool: t.Pool.Name, Account: t.Item.Account, Level: t.Item.Level,
 		PromptTokens: t.Request.PromptTokens, OutputTokens: t.Request.OutputTokens, DataCentre: t.Request.DataCentre,
 		Exclude: t.Request.Exclude, Goal: t.Request.Goal, GapGoal: t.Request.GapGoal,
-		Waited: time.Since(t.Item.Arrived), Left: time.Until(t.Deadline), Retry: t.Item.Retry, Begun: t.Request.AnswerStarted,
+		Waited: time.Since(t.Item.Arrived), UntilDeadline: time.Until(t.Deadline), Retry: t.Item.Retry, AnswerStarted: t.Request.AnswerStarted,
 	}
 	p.mu.Lock()
-	known := p.told[t.Pool.Name] == c
-	p.told[t.Pool.Name] = c
+	known := p.informed[t.Pool.Name] == c
+	p.informed[t.Pool.Name] = c
 	p.mu.Unlock()
 	if !known {
-		q.Calls = p.handOver(t.Pool.Name, c.name)
+		q.Calls = p.handOverCalls(t.Pool.Name, c.name)
 		q.Limits = p.cluster.Board.Targets.Limits(t.Pool.Name, time.Now())
 	}
 	return q
@@ -320,11 +320,11 @@
 // handOver lists the calls that this daemon itself makes, for a coordinator that does
 // not know them. It is told of their ends from now on; what it never heard the end of,
 // it would count until the callers' deadlines.
-func (p *Placements) handOver(pool, coordinator string) []blackboard.CallState {
+func (p *Placer) handOverCalls(pool, coordinator string) []blackboard.CallState {
 	calls := p.cluster.Board.Targets.Calls(pool, time.Now())
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	calls = slices.DeleteFunc(calls, func(c blackboard.CallState) bool { return p.held[c.Attempt] != nil })
+	calls = slices.DeleteFunc(calls, func(c blackboard.CallState) bool { return p.coordinated[c.Attempt] != nil })
 	for _, c := range calls {
 		p.placedBy[c.Attempt] = coordinator
 	}
@@ -332,62 +332,62 @@
 }
 
 // placement counts the call at its target here too, and returns it.
-func (p *Placements) placement(t *blackboard.Ticket, a *placeAnswer) blackboard.Placement {
+func (p *Placer) applyPlacement(t *blackboard.Ticket, a *placeAnswer) blackboard.Placement {
 	now := time.Now()
 	placement := blackboard.Placement{Attempt: t.Attempt, Address: a.Address, At: now, Decision: routing.Decision{
-		Request: t.Request, Params: t.Params, Verdict: a.Verdict, Chosen: a.Target, Considered: a.Considered, PrefillTime: a.Reading,
-		Reservations: a.Tickets, RetryAfter: a.ComeBack,
+		Request: t.Request, Params: t.Params, Verdict: a.Verdict, Chosen: a.Target, Considered: a.Considered, PrefillTime: a.PrefillTime,
+		Reservations: a.Reservations, RetryAfter: a.RetryAfter,
 	}}
 	for _, h := range a.Helpers {
 		placement.Decision.Helpers = append(placement.Decision.Helpers, h.Target)
 		placement.Helpers = append(placement.Helpers, blackboard.TargetAddress{ID: h.Target, Address: h.Address})
 	}
 	if a.Verdict == routing.Place {
-		p.countLimited(t.Pool.Name, a, now)
+		p.recordLimitedCall(t.Pool.Name, a, now)
 		placement.Gone = p.cluster.Board.Targets.Adopt(blackboard.StateOf(t.Attempt, &placement.Decision), now)
 	}
 	return placement
 }
 
 // PromptRead tells the coordinator that a call's prompt was read.
-func (p *Placements) ReportPrefillDone(attempt string) {
+func (p *Placer) ReportPrefillDone(attempt string) {
 	p.mu.Lock()
 	name := p.placedBy[attempt]
 	p.mu.Unlock()
 	if name != "" {
-		p.tell(name, peer.KindProgress, callProgress{Attempt: attempt})
+		p.notify(name, peer.KindProgress, callProgress{Attempt: attempt})
 	}
 }
 
 // Finished tells the coordinator that a call has ended, and of a target that turned it
 // away or could not be reached.
-func (p *Placements) ReportFinished(attempt string, result blackboard.CallResult, suspect string, suspectFor time.Duration) {
+func (p *Placer) ReportFinished(attempt string, result blackboard.CallResult, suspect string, suspectFor time.Duration) {
 	p.mu.Lock()
 	name := p.placedBy[attempt]
 	delete(p.placedBy, attempt)
 	p.mu.Unlock()
 	if name != "" {
-		p.tell(name, peer.KindProgress, callProgress{Attempt: attempt, Ended: true, Result: result, Suspect: suspect, SuspectFor: suspectFor})
+		p.notify(name, peer.KindProgress, callProgress{Attempt: attempt, Ended: true, Result: result, Suspect: suspect, SuspectFor: suspectFor})
 	}
 }
 
 // tell sends news of a call over the link that is open. What is lost is forgotten by
 // the coordinator after the call's deadline.
-func (p *Placements) tell(name string, kind peer.Kind, news any) {
+func (p *Placer) notify(name string, kind peer.Kind, news any) {
 	if !slices.Contains(p.cluster.Hub.LinkedPeers(), name) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), placeTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), placementTimeout)
 	defer cancel()
 	if err := p.cluster.Hub.Notify(ctx, p.cluster.address(name), kind, news); err != nil {
-		p.cluster.Record.Log.Debug("a coordinator was not told", "peer", name, "kind", kind.String(), "error", err.Error())
+		p.cluster.Recorder.Log.Debug("a coordinator was not told", "peer", name, "kind", kind.String(), "error", err.Error())
 	}
 }
 
 // servePlaced takes a placement that came after the question was answered with "wait".
-func (p *Placements) servePlaced(_ context.Context, _ string, in placeAnswer) (done, error) {
+func (p *Placer) servePlaced(_ context.Context, _ string, in placeAnswer) (empty, error) {
 	p.mu.Lock()
-	waiting := p.waiting[in.Attempt]
+	waiting := p.pending[in.Attempt]
 	p.mu.Unlock()
 	if waiting != nil {
 		select {
@@ -395,5 +395,5 @@
 		default: // It has an answer already.
 		}
 	}
-	return done{}, nil
+	return empty{}, nil
 }
--- a/node/cluster/seek.go
+++ b/node/cluster/seek.go
@@ -10,16 +10,16 @@
 
 // Bounds of asking for a share out of turn.
 const (
-	seekTimeout = 250 * time.Millisecond
-	// seekEvery is the least time between two such questions for an account, so
+	shareRequestTimeout = 250 * time.Millisecond
+	// minShareRequestInterval is the least time between two such questions for an account, so
 	// that a flood of refused requests does not become a flood of questions.
-	seekEvery = 250 * time.Millisecond
+	minShareRequestInterval = 250 * time.Millisecond
 )
 
-// seek is a question for a share, under way or lately answered.
-type seek struct {
-	asked time.Time
-	done  chan struct{}
+// shareRequest is a question for a share, under way or lately answered.
+type shareRequest struct {
+	sent time.Time
+	done chan struct{}
 }
 
 // Seek implements requestcontrol.ShareRequester: it asks the account's owner for a
@@ -31,13 +31,13 @@
 	if listed <= 1 {
 		return false
 	}
-	s, mine := c.startSeek(account, now)
+	s, mine := c.startShareRequest(account, now)
 	if !mine {
-		return awaitSeek(ctx, s)
+		return awaitShareRequest(ctx, s)
 	}
 	defer close(s.done)
 	demand := max(1/rules.RequestsPerSecond, float64(promptTokens)/rules.PromptTokensPerSecond, 1/float64(rules.Concurrent))
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), seekTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shareRequestTimeout)
 	defer cancel()
 	c.renewAt(ctx, rendezvous.Owner(account, living), []renewal{c.renewalOf(account, min(1, demand), now)}, now)
 	return true
@@ -45,21 +45,21 @@
 
 // startSeek returns the question for an account, and whether it is the caller's
 // to ask; nil means that one was asked too lately.
-func (c *Cluster) startSeek(account string, now time.Time) (s *seek, mine bool) {
-	c.seekMu.Lock()
-	defer c.seekMu.Unlock()
-	last := c.sought[account]
-	if last != nil && now.Sub(last.asked) < seekEvery {
+func (c *Cluster) startShareRequest(account string, now time.Time) (s *shareRequest, mine bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	last := c.shareRequests[account]
+	if last != nil && now.Sub(last.sent) < minShareRequestInterval {
 		return last, false
 	}
-	s = &seek{asked: now, done: make(chan struct{})}
-	c.sought[account] = s
+	s = &shareRequest{sent: now, done: make(chan struct{})}
+	c.shareRequests[account] = s
 	return s, true
 }
 
-// awaitSeek waits for a question's answer, if it is still under way. One that was
+// awaitShareRequest waits for a question's answer, if it is still under way. One that was
 // answered just now may have been answered after the caller was refused.
-func awaitSeek(ctx context.Context, s *seek) bool {
+func awaitShareRequest(ctx context.Context, s *shareRequest) bool {
 	select {
 	case <-s.done:
 		return true
--- a/node/cluster/settingsnews.go
+++ b/node/cluster/settingsnews.go
@@ -16,7 +16,7 @@
 
 // settingsAnswer holds packed changes.
 type settingsAnswer struct {
-	Packed []byte `cbor:"1,keyasint"`
+	Compressed []byte `cbor:"1,keyasint"`
 }
 
 func (c *Cluster) serveChanges(_ context.Context, _ string, in settingsRequest) (settingsAnswer, error) {
@@ -24,7 +24,7 @@
 	if view == nil {
 		return settingsAnswer{}, errors.New("there are no settings here yet")
 	}
-	packed, err := c.packed.get(view.Snapshot, in.Since)
+	packed, err := c.changesCache.get(view.Snapshot, in.Since)
 	return settingsAnswer{packed}, err
 }
 
@@ -37,13 +37,13 @@
 }
 
 // catchUp fetches settings that a peer has and this daemon has not.
-func (c *Cluster) catchUp(ctx context.Context, h heartbeatNews) {
+func (c *Cluster) updateSettings(ctx context.Context, h heartbeatReport) {
 	own := c.revision()
 	if h.revision <= own || h.revision == c.Board.Settings.Rejected().Revision {
 		return
 	}
-	if c.open() && own > 0 {
-		c.leadToWatch(ctx)
+	if c.openFleet() && own > 0 {
+		c.waitForWatch(ctx)
 		if own = c.revision(); h.revision <= own {
 			return
 		}
@@ -51,26 +51,26 @@
 	err := c.fetchSettings(ctx, h, own)
 	if errors.Is(err, settings.ErrDigestMismatch) {
 		// The peer did not see all the changes that this daemon saw.
-		c.Record.Log.Info("a difference of settings does not fit; the whole is fetched", "peer", h.from, "revision", h.revision, "since", own)
+		c.Recorder.Log.Info("a difference of settings does not fit; the whole is fetched", "peer", h.from, "revision", h.revision, "since", own)
 		err = c.fetchSettings(ctx, h, 0)
 	}
 	if err != nil && !errors.Is(err, settings.ErrNotNewer) {
-		c.Record.Log.Warn("settings could not be taken from a peer", "peer", h.from, "revision", h.revision, "error", err.Error())
+		c.Recorder.Log.Warn("settings could not be taken from a peer", "peer", h.from, "revision", h.revision, "error", err.Error())
 	}
 }
 
 // fetchSettings fetches what changed after a revision and offers it.
-func (c *Cluster) fetchSettings(ctx context.Context, h heartbeatNews, since int64) error {
+func (c *Cluster) fetchSettings(ctx context.Context, h heartbeatReport, since int64) error {
 	began := time.Now()
 	var answer settingsAnswer
-	if err := c.settingsNews.fetch(ctx, h.from, peer.KindSettingsChanges, settingsRequest{Since: since}, &answer); err != nil {
+	if err := c.settingsFetcher.fetch(ctx, h.from, peer.KindSettingsChanges, settingsRequest{Since: since}, &answer); err != nil {
 		return err
 	}
-	changes, err := unpackChanges(answer.Packed)
+	changes, err := decompressChanges(answer.Compressed)
 	if err != nil {
 		return err
 	}
-	c.Record.Log.Info("settings were fetched", "peer", h.from, "revision", changes.Revision, "since", changes.Since,
-		"bytes", len(answer.Packed), "unpacked", changes.Size(), "took_ms", time.Since(began).Milliseconds())
+	c.Recorder.Log.Info("settings were fetched", "peer", h.from, "revision", changes.Revision, "since", changes.Since,
+		"bytes", len(answer.Compressed), "unpacked", changes.Size(), "took_ms", time.Since(began).Milliseconds())
 	return c.Settings.Apply(changes, "peer "+h.from)
 }
--- a/node/cluster/shares.go
+++ b/node/cluster/shares.go
@@ -15,10 +15,10 @@
 
 // renewal is a request for a lease on the wire.
 type renewal struct {
-	Account string  `cbor:"1,keyasint"`
-	Demand  float64 `cbor:"2,keyasint"`
-	Holding float64 `cbor:"3,keyasint,omitempty"`
-	Ack     uint64  `cbor:"4,keyasint,omitempty"`
+	Account       string  `cbor:"1,keyasint"`
+	Demand        float64 `cbor:"2,keyasint"`
+	Fraction      float64 `cbor:"3,keyasint,omitempty"`
+	AckedSequence uint64  `cbor:"4,keyasint,omitempty"`
 }
 
 // grantAnswer is a lease on the wire.
@@ -82,14 +82,14 @@
 
 func (c *Cluster) renewalOf(account string, demand float64, now time.Time) renewal {
 	r := c.Board.Shares.Renewal(c.Board.Self.Name, account, demand, now)
-	return renewal{Account: account, Demand: r.Demand, Holding: r.Fraction, Ack: r.AckedSequence}
+	return renewal{Account: account, Demand: r.Demand, Fraction: r.Fraction, AckedSequence: r.AckedSequence}
 }
 
 func (c *Cluster) renewAt(ctx context.Context, owner string, renewals []renewal, asked time.Time) {
 	var grants []grantAnswer
 	if owner == c.Board.Self.Name {
 		grants, _ = c.serveRenew(ctx, owner, renewals)
-	} else if err := c.ask(ctx, owner, peer.KindRenew, renewals, &grants, renewTimeout); err != nil {
+	} else if err := c.call(ctx, owner, peer.KindRenew, renewals, &grants, renewTimeout); err != nil {
 		return // The leases run on until they end; the next round asks again.
 	}
 	for _, g := range grants {
@@ -102,13 +102,13 @@
 	now := time.Now()
 	answers := make([]grantAnswer, 0, len(in))
 	for _, r := range in {
-		g := c.Board.Shares.Renew(r.Account, share.Renewal{Holder: from, Demand: r.Demand, Fraction: r.Holding, AckedSequence: r.Ack}, len(living), listed, now)
+		g := c.Board.Shares.Renew(r.Account, share.Renewal{Holder: from, Demand: r.Demand, Fraction: r.Fraction, AckedSequence: r.AckedSequence}, len(living), listed, now)
 		answers = append(answers, grantAnswer{Account: r.Account, Sequence: g.Sequence, Fraction: g.Fraction})
 	}
 	return answers, nil
 }
 
-func (c *Cluster) serveHoldings(_ context.Context, _ string, _ done) ([]blackboard.Holding, error) {
+func (c *Cluster) serveHoldings(_ context.Context, _ string, _ empty) ([]blackboard.Holding, error) {
 	return c.Board.Shares.Holdings(time.Now()), nil
 }
 
@@ -139,7 +139,7 @@
 
 func (c *Cluster) adoptHoldings(ctx context.Context, name string) bool {
 	var holdings []blackboard.Holding
-	if err := c.ask(ctx, name, peer.KindHoldings, done{}, &holdings, renewTimeout); err != nil {
+	if err := c.call(ctx, name, peer.KindHoldings, empty{}, &holdings, renewTimeout); err != nil {
 		return false
 	}
 	c.Board.Shares.Adopt(name, holdings, time.Now())
@@ -148,7 +148,7 @@
 
 // joined takes in the leases of a daemon that came to life. If it does not tell
 // them, nothing is raised until they have run out.
-func (c *Cluster) joined(ctx context.Context, name string) {
+func (c *Cluster) daemonJoined(ctx context.Context, name string) {
 	if name != c.Board.Self.Name && !c.adoptHoldings(ctx, name) {
 		c.Board.Shares.Joined(time.Now())
 	}
--- a/node/cluster/targetnews.go
+++ b/node/cluster/targetnews.go
@@ -10,9 +10,9 @@
 	"doorstack.dev/node/peer"
 )
 
-// fetchRestOver is the time over which daemons that know the first page of a long list fetch the rest
+// restFetchSpread is the time over which daemons that know the first page of a long list fetch the rest
 // from those that watch the store: these place the calls of all, over the same links.
-const fetchRestOver = 1200 * time.Millisecond
+const restFetchSpread = 1200 * time.Millisecond
 
 // targetsRequest asks for the facts of targets above a position.
 type targetsRequest struct {
@@ -24,21 +24,21 @@
 }
 
 // catchUpTargets fetches what a peer knows of targets and this daemon does not.
-func (c *Cluster) catchUpTargets(ctx context.Context, h heartbeatNews) {
-	if !c.open() || h.targets <= c.Board.Directory.Revision() {
+func (c *Cluster) updateTargets(ctx context.Context, h heartbeatReport) {
+	if !c.openFleet() || h.targets <= c.Board.Directory.Revision() {
 		return
 	}
-	c.leadToWatch(ctx)
+	c.waitForWatch(ctx)
 	if c.Board.Directory.Incomplete() {
-		controller.Sleep(ctx, rand.N(fetchRestOver))
+		controller.Sleep(ctx, rand.N(restFetchSpread))
 	}
 	own := c.Board.Directory.Revision()
 	if h.targets <= own {
 		return
 	}
 	var facts hostlist.Update
-	if err := c.targetNews.fetch(ctx, h.from, peer.KindFacts, targetsRequest{Since: own}, &facts); err != nil {
-		c.Record.Log.Warn("targets could not be fetched from a peer", "peer", h.from, "revision", h.targets.String(), "error", err.Error())
+	if err := c.targetsFetcher.fetch(ctx, h.from, peer.KindFacts, targetsRequest{Since: own}, &facts); err != nil {
+		c.Recorder.Log.Warn("targets could not be fetched from a peer", "peer", h.from, "revision", h.targets.String(), "error", err.Error())
 		return
 	}
 	c.Directory.MergeFromPeer(h.from, facts)
--- a/node/cluster/verdicts.go
+++ b/node/cluster/verdicts.go
@@ -18,7 +18,7 @@
 const (
 	// keepers is how many daemons count the ends under a request. Two of them may be dead or
 	// cut off and not be known to be.
-	keepers = 3
+	trackerCount = 3
 	// crashTimeout bounds a report to a keeper, which may have no link yet.
 	crashTimeout = time.Second
 	// trialTimeout bounds the question for a trial. Its caller waits, and is refused otherwise.
@@ -28,7 +28,7 @@
 // Crashed implements requestcontrol.CrashReporter.
 func (c *Cluster) NotifyCrash(crash poison.Crash) {
 	living, _ := c.Board.Members.Living()
-	for _, name := range rendezvous.Top(crash.Request.String(), living, keepers) {
+	for _, name := range rendezvous.Top(crash.Request.String(), living, trackerCount) {
 		if name != c.Board.Self.Name { // Its own table has it already.
 			go c.reportCrash(name, crash)
 		}
@@ -39,20 +39,20 @@
 	ctx, cancel := context.WithTimeout(context.Background(), crashTimeout)
 	defer cancel()
 	if err := c.Hub.Notify(ctx, c.address(keeper), peer.KindCrash, crash); err != nil {
-		c.Record.Log.Info("an end under a call could not be told to a peer", "peer", keeper, "call", crash.Request.String(),
+		c.Recorder.Log.Info("an end under a call could not be told to a peer", "peer", keeper, "call", crash.Request.String(),
 			"target", crash.Target, "error", err.Error())
 	}
 }
 
 // serveCrash counts an end that another daemon saw.
-func (c *Cluster) serveCrash(_ context.Context, from string, in poison.Crash) (done, error) {
+func (c *Cluster) serveCrash(_ context.Context, from string, in poison.Crash) (empty, error) {
 	if found := c.Board.Poison.Crashed(in, time.Now()); found.Quarantined {
 		v := found.Verdict
-		c.Record.Log.Warn("a call is quarantined", "call", in.Request.String(), "target", in.Target, "count", v.Count,
+		c.Recorder.Log.Warn("a call is quarantined", "call", in.Request.String(), "target", in.Target, "count", v.Count,
 			"reason", "the last of several targets ended under it", "peer", from)
 		c.BroadcastVerdict(v)
 	}
-	return done{}, nil
+	return empty{}, nil
 }
 
 // MayTry implements requestcontrol.CrashReporter: the first keeper decides, so that one daemon
@@ -64,7 +64,7 @@
 		return c.Board.Poison.Try(request, time.Now())
 	}
 	granted := false
-	if err := c.ask(ctx, first, peer.KindTrial, request, &granted, trialTimeout); err != nil || !granted {
+	if err := c.call(ctx, first, peer.KindTrial, request, &granted, trialTimeout); err != nil || !granted {
 		return false // The request is refused, and the next one asks again.
 	}
 	c.Board.Poison.Grant(request, time.Now())
@@ -75,60 +75,60 @@
 func (c *Cluster) serveTrial(_ context.Context, from string, request poison.Key) (bool, error) {
 	granted := c.Board.Poison.Try(request, time.Now())
 	if granted {
-		c.Record.Log.Info("a quarantined call is tried once more", "call", request.String(), "peer", from)
+		c.Recorder.Log.Info("a quarantined call is tried once more", "call", request.String(), "peer", from)
 	}
 	return granted, nil
 }
 
 // Spread implements requestcontrol.CrashReporter.
-func (c *Cluster) BroadcastVerdict(v poison.Verdict) { c.tellVerdicts([]poison.Verdict{v}, "") }
+func (c *Cluster) BroadcastVerdict(v poison.Verdict) { c.sendVerdicts([]poison.Verdict{v}, "") }
 
 // tellVerdicts tells verdicts over all links but the one that they came over. What is lost is
 // repaired when heartbeats are compared.
-func (c *Cluster) tellVerdicts(verdicts []poison.Verdict, from string) {
+func (c *Cluster) sendVerdicts(verdicts []poison.Verdict, from string) {
 	linked := c.Hub.LinkedPeers()
 	for _, name := range c.Board.Members.Links(time.Now()) {
 		if name != from && slices.Contains(linked, name) {
-			go c.tellVerdictsTo(name, verdicts)
+			go c.sendVerdictsTo(name, verdicts)
 		}
 	}
 }
 
-func (c *Cluster) tellVerdictsTo(name string, verdicts []poison.Verdict) {
+func (c *Cluster) sendVerdictsTo(name string, verdicts []poison.Verdict) {
 	ctx, cancel := context.WithTimeout(context.Background(), crashTimeout)
 	defer cancel()
 	if err := c.Hub.Notify(ctx, c.address(name), peer.KindVerdicts, verdicts); err != nil {
-		c.Record.Log.Debug("verdicts could not be told to a peer", "peer", name, "error", err.Error())
+		c.Recorder.Log.Debug("verdicts could not be told to a peer", "peer", name, "error", err.Error())
 	}
 }
 
 // serveVerdicts takes in what a peer holds, and passes on what was not known here.
-func (c *Cluster) serveVerdicts(_ context.Context, from string, in []poison.Verdict) (done, error) {
+func (c *Cluster) serveVerdicts(_ context.Context, from string, in []poison.Verdict) (empty, error) {
 	news := c.Board.Poison.Learn(in, time.Now())
 	if len(news) == 0 {
-		return done{}, nil
+		return empty{}, nil
 	}
 	for _, v := range news {
-		c.Record.Log.Warn("a verdict on a call is learned", "call", v.Request.String(), "lifted", v.Lifted, "count", v.Count,
+		c.Recorder.Log.Warn("a verdict on a call is learned", "call", v.Request.String(), "lifted", v.Lifted, "count", v.Count,
 			"age_s", v.Age.Seconds(), "peer", from)
 	}
 	if slices.ContainsFunc(news, func(v poison.Verdict) bool { return !slices.Contains(in, v) }) {
 		from = "" // What this daemon knows better goes back as well.
 	}
-	c.tellVerdicts(news, from)
-	return done{}, nil
+	c.sendVerdicts(news, from)
+	return empty{}, nil
 }
 
 // compareVerdicts tells a peer all that is held here, if the peer holds something else. The peer
 // does the same, so both end with the union.
-func (c *Cluster) compareVerdicts(from string, theirs uint64) {
+func (c *Cluster) syncVerdicts(from string, theirs uint64) {
 	now := time.Now()
 	if c.Board.Poison.Digest(now) == theirs {
 		return
 	}
 	verdicts := c.Board.Poison.Verdicts(now)
-	if len(verdicts) == 0 || !c.mayTell(c.verdictsTold, from, now) {
+	if len(verdicts) == 0 || !c.maySendAll(c.verdictsSentAt, from, now) {
 		return
 	}
-	go c.tellVerdictsTo(from, verdicts)
+	go c.sendVerdictsTo(from, verdicts)
 }
--- a/node/daemon/daemon.go
+++ b/node/daemon/daemon.go
@@ -141,7 +141,7 @@
 	d.cluster = cluster.New(d.Board, d.hub, d.record, d.settings, client)
 	d.director.Claimer, d.director.ShareRequester, d.director.CrashReporter = d.cluster, d.cluster, d.cluster
 	d.Board.Accounts.SetShares(d.Board.Shares.Share)
-	pause := &controller.PauseDetector{Board: d.Board, Recorder: d.record, SuspendedTime: clock.SuspendedTime, OnPause: d.cluster.Void}
+	pause := &controller.PauseDetector{Board: d.Board, Recorder: d.record, SuspendedTime: clock.SuspendedTime, OnPause: d.cluster.Invalidate}
 	workers := &worker.Pool{Board: d.Board, Size: d.Config.Workers}
 	d.loops = []func(context.Context){d.settings.Run, pause.Run, workers.Run, d.cluster.Run}
 	if d.adapter != nil {
@@ -160,14 +160,14 @@
 // adapt provisions what is different on a platform.
 func (d *Daemon) adapt() {
 	d.settings.MaxHold = feedWait
-	directory := &controller.Directory{Board: d.Board, Source: d.adapter.Targets, Recorder: d.record, ShouldWatch: d.watches, OnChange: d.cluster.Poke, MaxHold: watch.HoldTime(d.adapter.Settles)}
+	directory := &controller.Directory{Board: d.Board, Source: d.adapter.Targets, Recorder: d.record, ShouldWatch: d.watches, OnChange: d.cluster.HeartbeatNow, MaxHold: watch.HoldTime(d.adapter.Settles)}
 	d.cluster.Directory = directory
 	d.Adapt(d.adapter.Seeds, d.adapter.Repeats, d.adapter.Grace)
 	d.Board.Members.Open()
-	d.director.Placer = d.cluster.Placements
-	d.cluster.MembersOnly = true
+	d.director.Placer = d.cluster.Placer
+	d.cluster.DisableLeases = true
 	d.director.Exchanger = target.NewExchanger(d.adapter.Dialect)
-	paces := &controller.SlowdownPoller{Board: d.Board, Exchanger: d.director.Exchanger, Recorder: d.record, Coordinates: d.cluster.Placements.Coordinates}
+	paces := &controller.SlowdownPoller{Board: d.Board, Exchanger: d.director.Exchanger, Recorder: d.record, Coordinates: d.cluster.Placer.Coordinates}
 	lag := &controller.LagMonitor{Board: d.Board, Recorder: d.record}
 	d.loops = append(d.loops, lag.Run, directory.Run, d.director.Exchanger.Run, paces.Run)
 }
@@ -175,7 +175,7 @@
 // adopted takes a new revision to the targets and to the neighbours.
 func (d *Daemon) adopted() {
 	d.Board.SyncTargets()
-	d.cluster.Poke()
+	d.cluster.HeartbeatNow()
 }
 
 // watches tells whether this daemon is one of those that watch the platform's store or the
--- a/node/daemon/drain.go
+++ b/node/daemon/drain.go
@@ -12,7 +12,7 @@
 func (d *Daemon) Drain() {
 	d.drainOne.Do(func() {
 		d.Board.Drain()
-		d.cluster.Poke()
+		d.cluster.HeartbeatNow()
 		d.Log.Info("draining", "in_flight", d.Board.InFlight())
 		go d.waitDrained()
 	})
--- a/node/onplatform/herd_test.go
+++ b/node/onplatform/herd_test.go
@@ -124,11 +124,11 @@
 		d.cluster.SetSeeds([]string{"10.9.9.9:8229"}) // Nobody is there.
 		f.restart(func(int) bool { return true })
 		f.until("service", func(d *spreadDaemon) bool { return d.board.Phase() == blackboard.Serving })
-		if d.cluster.Placements.Coordinates("svc") {
+		if d.cluster.Placer.Coordinates("svc") {
 			t.Error("it coordinates though it has not found anybody")
 		}
 		pass(5 * time.Second)
-		if !d.cluster.Placements.Coordinates("svc") {
+		if !d.cluster.Placer.Coordinates("svc") {
 			t.Error("it does not coordinate though nobody else is there")
 		}
 	})
--- a/node/onplatform/limit_fleet_test.go
+++ b/node/onplatform/limit_fleet_test.go
@@ -159,9 +159,9 @@
 		Request: routing.Request{ID: id, DataCentre: d.centre, Goal: pathGoal.Seconds()},
 		Item:    &admission.Item{ID: id, Account: "/t1", Tokens: 1, Arrived: began},
 	}
-	placement, ok := d.cluster.Placements.Place(ctx, ticket)
+	placement, ok := d.cluster.Placer.Place(ctx, ticket)
 	if !ok {
-		ticket.Request.Uncoordinated = !d.cluster.Placements.Coordinates("svc")
+		ticket.Request.Uncoordinated = !d.cluster.Placer.Coordinates("svc")
 		ticket.Request.DaemonCount = d.board.Members.Sharers()
 		d.board.Queues.Push(ticket)
 		select {
@@ -194,10 +194,10 @@
 	}
 	record := telemetry.Recorder{Board: d.board, Log: slog.New(slog.DiscardHandler), Metrics: d.metrics}
 	if news := record.Notice("svc", id, forward.Notice{Limit: said}, sent); said.Declared || news {
-		d.cluster.Placements.ReportLimit("svc", id, said, sent)
+		d.cluster.Placer.ReportLimit("svc", id, said, sent)
 	}
 	d.board.Targets.Finish(attempt, blackboard.CallSucceeded, time.Now())
-	d.cluster.Placements.ReportFinished(attempt, blackboard.CallSucceeded, "", 0)
+	d.cluster.Placer.ReportFinished(attempt, blackboard.CallSucceeded, "", 0)
 	d.board.Queues.Wake("svc")
 	f.mu.Lock()
 	f.served++
@@ -207,7 +207,7 @@
 // endCoordinator ends the process of the daemon that places the pool's calls.
 func (f *limitFleet) endCoordinator() {
 	for _, d := range f.daemons {
-		if end := f.ends[d.name]; end != nil && d.cluster.Placements.Coordinates("svc") {
+		if end := f.ends[d.name]; end != nil && d.cluster.Placer.Coordinates("svc") {
 			delete(f.ends, d.name)
 			end()
 			return
--- a/node/onplatform/spread_test.go
+++ b/node/onplatform/spread_test.go
@@ -156,11 +156,11 @@
 	d.settings = &controller.Settings{
 		Board: d.board, Recorder: record, ShouldWatch: func() bool { return f.watches(d) },
 		Parse:   f.parseAt(check),
-		OnAdopt: func(*blackboard.SettingsView) { d.cluster.Poke() },
+		OnAdopt: func(*blackboard.SettingsView) { d.cluster.HeartbeatNow() },
 	}
-	d.directory = &controller.Directory{Board: d.board, Recorder: record, OnChange: func() { d.cluster.Poke() }}
+	d.directory = &controller.Directory{Board: d.board, Recorder: record, OnChange: func() { d.cluster.HeartbeatNow() }}
 	d.cluster = cluster.New(d.board, hub, record, d.settings, nil)
-	d.cluster.Directory, d.cluster.MembersOnly = d.directory, true
+	d.cluster.Directory, d.cluster.DisableLeases = d.directory, true
 	d.cluster.SetSeeds([]string{fleetSeed})
 	d.board.Members.Open()
 	return d
