--- a/node/cluster/cost_test.go
+++ b/node/cluster/bench_test.go
@@ -14,7 +14,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// testBoard is the blackboard of one of n daemons.
+// testBoard returns the blackboard of the first of n daemons.
 func testBoard(n int) *blackboard.Blackboard {
 	board := blackboard.New(blackboard.Identity{Name: "daemon-0", Incarnation: 1, DataCentre: "dc0", Region: "r0"}, blackboard.DefaultLimits())
 	list := hostlist.List{Revision: 1, Changed: time.Now().Add(-time.Hour), AsOf: time.Now()}
@@ -41,8 +41,8 @@
 	return float64(len(data))
 }
 
-// benchmarkHeartbeat measures what a second of membership costs: making a heartbeat,
-// hearing it on every link, and looking for silent neighbours.
+// benchmarkHeartbeat measures the cost of one second of membership: making a heartbeat,
+// receiving one on every link, and looking for silent neighbours.
 func benchmarkHeartbeat(b *testing.B, n int) {
 	board := testBoard(n)
 	c := &Cluster{Board: board}
@@ -65,7 +65,7 @@
 func BenchmarkHeartbeat60(b *testing.B)  { benchmarkHeartbeat(b, 60) }
 func BenchmarkHeartbeat520(b *testing.B) { benchmarkHeartbeat(b, 520) }
 
-// benchmarkHostList measures taking over a new host list.
+// benchmarkHostList measures applying a new host list of n daemons.
 func benchmarkHostList(b *testing.B, n int) {
 	board := testBoard(n)
 	list, _ := board.Members.Hosts()
@@ -80,7 +80,7 @@
 func BenchmarkHostList60(b *testing.B)  { benchmarkHostList(b, 60) }
 func BenchmarkHostList520(b *testing.B) { benchmarkHostList(b, 520) }
 
-// benchmarkClaim measures a claim's work at the claiming daemon, and its frames.
+// benchmarkClaim measures a claim at the claiming daemon, and the size of its frames.
 func benchmarkClaim(b *testing.B, n int) {
 	board := testBoard(n)
 	in := claimRequest{Key: "/desks/santa-maria|confirm|01a23743-f425-76a1-9137-74b74ed9f80c", Attempt: "01a23743-f425-76a1-9137-74b74ed9f80d", Holder: "daemon-0", CreationKnown: true, Created: time.Now()}
@@ -92,7 +92,7 @@
 			claimer.Receive(name, claim.Reply{Answer: claim.Granted})
 		}
 		if claimer.State() != claim.Won {
-			b.Fatal("not won")
+			b.Fatal("the claim is not won although all witnesses granted it")
 		}
 	}
 	b.ReportMetric(frameSize(b, peer.KindClaim, in), "B/claim")
--- a/node/cluster/packed.go
+++ b/node/cluster/changescache.go
@@ -11,49 +11,52 @@
 	"github.com/go-faster/errors"
 )
 
-// Changes of settings are sent compressed: routes are much alike, so 1,400 of them take 30 KB
-// in place of 310 KB, which is 12 ms of a link of 20 Mbit/s.
+// Changes of settings are sent compressed: routes are much alike, so 1,400 of them take 30
+// KB instead of 310 KB, which is 12 ms on a link of 20 Mbit/s.
 
-// maxChangesSize bounds what is unpacked, in bytes: the largest settings that a service holds.
+// maxChangesSize bounds the size of decompressed changes, in bytes: the largest settings
+// that a service holds.
 const maxChangesSize = 64 << 20
 
+// compressChanges encodes changes of settings as CBOR and compresses them.
 func compressChanges(changes settings.Changes) ([]byte, error) {
 	var packed bytes.Buffer
 	w, err := flate.NewWriter(&packed, flate.BestSpeed)
 	if err != nil {
-		return nil, errors.Wrap(err, "pack changes of settings")
+		return nil, errors.Wrap(err, "compress changes of settings")
 	}
 	if err := cbor.NewEncoder(w).Encode(changes); err != nil {
-		return nil, errors.Wrap(err, "pack changes of settings")
+		return nil, errors.Wrap(err, "compress changes of settings")
 	}
 	if err := w.Close(); err != nil {
-		return nil, errors.Wrap(err, "pack changes of settings")
+		return nil, errors.Wrap(err, "compress changes of settings")
 	}
 	return packed.Bytes(), nil
 }
 
+// decompressChanges reverses compressChanges.
 func decompressChanges(packed []byte) (settings.Changes, error) {
 	var changes settings.Changes
 	from := io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxChangesSize)
 	if err := cbor.NewDecoder(from).Decode(&changes); err != nil {
-		return settings.Changes{}, errors.Wrap(err, "unpack changes of settings")
+		return settings.Changes{}, errors.Wrap(err, "decompress changes of settings")
 	}
 	return changes, nil
 }
 
-// maxCachedChanges is how many packed differences of a revision are kept: most daemons come from
-// one of the last few revisions.
+// maxCachedChanges is how many compressed changes to a revision are cached: most daemons
+// start from one of the last few revisions.
 const maxCachedChanges = 4
 
-// changesCache keeps the differences that lead to the settings in force, since many peers
-// ask for the same. It is safe for concurrent use.
+// changesCache caches the changes that lead to the settings in force, by the revision they
+// start from, since many peers ask for the same. It is safe for concurrent use.
 type changesCache struct {
 	mu       sync.Mutex
 	revision int64
 	bySince  map[int64][]byte
 }
 
-// get returns what somebody with an earlier revision needs to have a snapshot's.
+// get returns the compressed changes from the revision since to a snapshot's.
 func (p *changesCache) get(snapshot settings.Snapshot, since int64) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/node/cluster/claims.go
+++ b/node/cluster/claims.go
@@ -15,7 +15,7 @@
 	"doorstack.dev/node/requestcontrol"
 )
 
-// claimRequest is a claim on the wire.
+// claimRequest asks a witness for an idempotency key, in wire form.
 type claimRequest struct {
 	Key           string    `cbor:"1,keyasint"`
 	Attempt       string    `cbor:"2,keyasint"`
@@ -24,7 +24,7 @@
 	Created       time.Time `cbor:"5,keyasint,omitempty"`
 }
 
-// claimReply is a witness's answer on the wire.
+// claimReply is a witness's answer to a claim, in wire form.
 type claimReply struct {
 	Answer  claim.Answer        `cbor:"1,keyasint"`
 	Attempt string              `cbor:"2,keyasint,omitempty"`
@@ -32,14 +32,16 @@
 	Outcome *blackboard.Outcome `cbor:"4,keyasint,omitempty"`
 }
 
-// The times of a claim on the wire.
+// Timeouts and delays of claims.
 const (
 	witnessTimeout = 500 * time.Millisecond
-	// maxClaimRetryDelay bounds the random pause after a claim that met another one.
+	// maxClaimRetryDelay bounds the random delay before a claim that met a competing one is
+	// retried.
 	maxClaimRetryDelay = 100 * time.Millisecond
 	notifyTimeout      = 2 * time.Second
 )
 
+// coreRequest returns the request in the form of package claim.
 func (r claimRequest) coreRequest() claim.Request {
 	return claim.Request{Key: r.Key, Attempt: r.Attempt, Holder: r.Holder, Created: claim.CreationTime{Known: r.CreationKnown, At: r.Created}}
 }
@@ -48,24 +50,25 @@
 	return c.answerClaim(in), nil
 }
 
-// witness answers a claim from this daemon's own memory.
+// answerClaim answers a claim as a witness, from this daemon's memory.
 func (c *Cluster) answerClaim(in claimRequest) claimReply {
 	reply, outcome := c.Board.Claims.Ask(in.coreRequest(), time.Now())
 	return claimReply{Answer: reply.Answer, Attempt: reply.Attempt, Holder: reply.Holder, Outcome: outcome}
 }
 
-// witnessAnswer is one witness's answer, or its silence.
+// witnessAnswer is the answer of one witness, or the error of the call to it.
 type witnessAnswer struct {
 	from  string
 	reply claimReply
 	err   error
 }
 
-// Claim implements requestcontrol.Claimer.
+// Claim implements requestcontrol.Claimer. It retries under a new attempt id where the
+// claim and a competing one both gave up.
 func (c *Cluster) Claim(ctx context.Context, in requestcontrol.Claim) (*requestcontrol.Permit, error) {
 	request := claimRequest{Key: in.Key, Holder: c.Board.Self.Name}
-	if birth := claim.CreationTimeOf(in.CallerKey); birth.Known {
-		request.CreationKnown, request.Created = true, birth.At
+	if created := claim.CreationTimeOf(in.CallerKey); created.Known {
+		request.CreationKnown, request.Created = true, created.At
 	}
 	for attempt := in.Attempt; ; attempt = requestcontrol.NewAttemptID() {
 		request.Attempt = attempt
@@ -81,8 +84,8 @@
 	}
 }
 
-// claimOnce makes one round. It tells whether another round makes sense: when
-// two claims met and both gave up.
+// claimOnce makes one round of a claim. It reports whether another round makes sense, which
+// is the case when two claims competed and both gave up.
 func (c *Cluster) claimOnce(ctx context.Context, in claimRequest) (permit *requestcontrol.Permit, retry bool, err error) {
 	now := time.Now()
 	sets := c.Board.Members.WitnessSets(in.coreRequest(), now)
@@ -105,8 +108,9 @@
 	return permit, false, claimError(claimer, sets)
 }
 
-// askWitnesses asks all witnesses at once and counts answers until the claim is
-// decided. It returns the outcome of an earlier call, if a witness knows it.
+// askWitnesses asks all witnesses at the same time and counts their answers until the claim
+// is won or all have answered. It returns the outcome of an earlier call if a witness knows
+// it.
 func (c *Cluster) askWitnesses(ctx context.Context, claimer *claim.Claimer, in claimRequest) *blackboard.Outcome {
 	witnesses := claimer.Witnesses()
 	answers := make(chan witnessAnswer, len(witnesses))
@@ -144,17 +148,17 @@
 	return decision.ClaimTally{Key: key, Witnesses: claimer.Witnesses(), Needed: t.Needed, Granted: t.Granted, Denied: t.Denied, Unanswered: t.Unanswered}
 }
 
-// earlier finds out what became of the call that has the key. It tells whether
-// that call gave up, so that the key is free again.
+// holderOutcome finds the outcome of the call that holds the key, as the error for the
+// duplicate. It reports whether that call gave up, so that the key is free again.
 func (c *Cluster) holderOutcome(ctx context.Context, key, attempt, holder string, known *blackboard.Outcome) (duplicate error, again bool) {
 	if known != nil {
 		return &requestcontrol.DuplicateError{Outcome: *known}, false
 	}
 	var answer outcomeAnswer
-	question := attemptMessage{Key: key, Attempt: attempt}
+	request := attemptMessage{Key: key, Attempt: attempt}
 	if holder == c.Board.Self.Name {
-		answer, _ = c.serveOutcome(ctx, holder, question)
-	} else if c.Hub.Call(ctx, c.address(holder), peer.KindOutcome, question, &answer) != nil {
+		answer, _ = c.serveOutcome(ctx, holder, request)
+	} else if c.Hub.Call(ctx, c.address(holder), peer.KindOutcome, request, &answer) != nil {
 		return &requestcontrol.DuplicateError{Outcome: blackboard.Outcome{Execution: fault.Unknown}}, false
 	}
 	if answer.GaveUp {
@@ -163,16 +167,16 @@
 	return &requestcontrol.DuplicateError{Outcome: answer.Outcome}, false
 }
 
-// outcomeAnswer is what the daemon of a call says of it.
+// outcomeAnswer is what the daemon that made an attempt knows of its call.
 type outcomeAnswer struct {
 	Outcome blackboard.Outcome `cbor:"1,keyasint"`
-	// GaveUp says that the attempt never sent and never will.
+	// GaveUp reports that the attempt has not sent its call and never will.
 	GaveUp bool `cbor:"2,keyasint,omitempty"`
 }
 
-// serveOutcome waits for the end of a call of this daemon and tells it. An
-// attempt that is neither running nor ended here lost its claim and gave up, if
-// this daemon has run since; otherwise nothing is known.
+// serveOutcome waits for the end of a call of this daemon and returns its outcome. An
+// attempt that is neither running nor ended here lost its claim and gave up, if this
+// process made it; otherwise its outcome is unknown.
 func (c *Cluster) serveOutcome(ctx context.Context, _ string, in attemptMessage) (outcomeAnswer, error) {
 	outcome, running := c.Board.Claims.Await(in.Key, in.Attempt)
 	if running != nil {
@@ -189,15 +193,15 @@
 	return outcomeAnswer{Outcome: blackboard.Outcome{Execution: fault.Unknown}, GaveUp: c.createdByThisProcess(in.Attempt)}, nil
 }
 
-// madeHere tells whether an attempt was made by this process, by its time. One
-// that is a little younger than the process is not trusted, for clocks that were
-// set back in between.
+// createdByThisProcess reports whether this process made an attempt, judging by the
+// creation time in the attempt's id. The time must be later than the start of the process
+// by the greatest clock skew, since the clock may have been set back in between.
 func (c *Cluster) createdByThisProcess(attempt string) bool {
-	birth := claim.CreationTimeOf(attempt)
-	return birth.Known && birth.At.After(c.started.Add(claim.MaxClockSkew))
+	created := claim.CreationTimeOf(attempt)
+	return created.Known && created.At.After(c.started.Add(claim.MaxClockSkew))
 }
 
-// attemptMessage names an attempt and, when it has ended, says how.
+// attemptMessage names an attempt for a key and, when its call has ended, the outcome.
 type attemptMessage struct {
 	Key     string             `cbor:"1,keyasint"`
 	Attempt string             `cbor:"2,keyasint"`
@@ -214,8 +218,8 @@
 	return empty{}, nil
 }
 
-// Conclude implements requestcontrol.Claimer. A call that surely did not run
-// frees its key, since its attempt never sends any more.
+// Conclude implements requestcontrol.Claimer. A call that certainly did not run frees its
+// key, since its attempt will not be sent any more.
 func (c *Cluster) RecordOutcome(in requestcontrol.Claim, o blackboard.Outcome) {
 	message := attemptMessage{Key: in.Key, Attempt: in.Attempt, Outcome: o}
 	c.Board.Claims.Conclude(in.Key, in.Attempt, o, time.Now())
@@ -232,7 +236,8 @@
 	c.notifyWitnesses(context.Background(), witnesses, kind, in.Key, message)
 }
 
-// tellWitnesses sends news of a key to its witnesses, without waiting.
+// notifyWitnesses sends a message about a key to its witnesses and does not wait for
+// delivery.
 func (c *Cluster) notifyWitnesses(ctx context.Context, witnesses []string, kind peer.Kind, key string, message attemptMessage) {
 	for _, name := range witnesses {
 		if name != c.Board.Self.Name {
@@ -247,43 +252,44 @@
 	}
 }
 
-// claimError says why a key could not be claimed. It never says "not run" where an
-// earlier call with the same key may have run: without a majority of witnesses,
-// that is all that can be said.
+// claimError returns the error for a key that could not be claimed. It leaves the execution
+// unknown wherever an earlier call with the same key may have run, which cannot be excluded
+// without a majority of the witnesses.
 func claimError(claimer *claim.Claimer, sets [][]string) *fault.Error {
 	t := claimer.Tally()
 	switch {
 	case len(sets) == 0:
 		return fault.New(fault.NoQuorum,
-			"the host list has not been confirmed for too long, so it is not known who keeps keys",
-			"send again with the same key; the list is read every few seconds").
+			"the host list has not been confirmed for too long, so the witnesses of the key are not known",
+			"retry with the same key; the host list is read every few seconds").
 			WithExecution(fault.Unknown).WithRetry(2 * time.Second)
 	case t.KeyFromFuture > 0:
 		return fault.New(fault.KeyFromFuture,
-			"the time in the idempotency key lies ahead", "set the clock of the caller")
+			"the time in the idempotency key is in the future", "correct the clock of the caller")
 	case t.KeyTooOld > 0:
 		return fault.New(fault.KeyTooOld,
 			fmt.Sprintf("the idempotency key is older than %v", claim.ClaimWindow),
-			"find out at the service whether an earlier call ran; use a new key only if none did").
+			"check at the service whether an earlier call ran; use a new key only if none did").
 			WithExecution(fault.Unknown)
 	case t.WitnessTooNew > 0 && claimer.Request.Created.Known:
 		return fault.New(fault.NoQuorum,
-			fmt.Sprintf("%d daemons that keep this key are not older than it, so they may have forgotten it", t.WitnessTooNew),
-			"find out at the service whether an earlier call ran; use a new key only if none did").
+			fmt.Sprintf("%d witnesses of this key started after it was created, so they may have lost an earlier claim", t.WitnessTooNew),
+			"check at the service whether an earlier call ran; use a new key only if none did").
 			WithExecution(fault.Unknown)
 	case t.WitnessTooNew > 0:
 		return fault.New(fault.NoQuorum,
-			fmt.Sprintf("%d daemons that keep this key have restarted and may have forgotten it", t.WitnessTooNew),
-			fmt.Sprintf("send again with the same key; keys that are UUIDv7 work at once, others %v after a restart", claim.RetryWindow)).
+			fmt.Sprintf("%d witnesses of this key have restarted and may have lost an earlier claim", t.WitnessTooNew),
+			fmt.Sprintf("retry with the same key; UUIDv7 keys are accepted at once, other keys %v after a restart", claim.RetryWindow)).
 			WithExecution(fault.Unknown).WithRetry(claim.RetryWindow / 10)
 	default:
 		return noQuorumError(t)
 	}
 }
 
+// noQuorumError returns the error for a claim that too few witnesses granted.
 func noQuorumError(t claim.Tally) *fault.Error {
 	return fault.New(fault.NoQuorum,
-		fmt.Sprintf("%d of the daemons that keep this key granted it, %d are needed", t.Granted, t.Needed),
-		"send again with the same key; this call was not sent, an earlier one with the key may have been").
+		fmt.Sprintf("%d witnesses of this key granted it, %d are needed", t.Granted, t.Needed),
+		"retry with the same key; this call was not sent, but an earlier one with the key may have been").
 		WithExecution(fault.Unknown).WithRetry(time.Second)
 }
--- a/node/cluster/cluster.go
+++ b/node/cluster/cluster.go
@@ -1,7 +1,9 @@
-// Package cluster makes the daemons act as one: heartbeats and rumors, settings
-// passed on from peer to peer, claims of idempotency keys, shares of accounts'
-// limits, leases on targets, and explanations from any host. The decisions are
-// made by the state machines in core; this package carries their messages.
+// Package cluster connects a daemon to the other daemons of its fleet: membership by
+// heartbeats and rumors, settings and target lists passed on between peers, claims of
+// idempotency keys, leases on shares of accounts' limits and on targets, placement by pool
+// coordinators, verdicts on requests that crash targets, and searches for decision records.
+// The state machines in core make the decisions; this package exchanges their messages with
+// peers and keeps their state on the blackboard.
 package cluster
 
 import (
@@ -17,51 +19,54 @@
 	"doorstack.dev/node/telemetry"
 )
 
-// Cluster is a daemon's part in the fleet.
+// Cluster is a daemon's side of the communication with its fleet.
 type Cluster struct {
 	Board    *blackboard.Blackboard
 	Hub      *peer.Hub
 	Recorder *telemetry.Recorder
 	Settings *controller.Settings
 	Targets  *target.Client
-	// MembersOnly leaves out shares of limits and leases on targets, where the
-	// platform has no use for them.
+	// DisableLeases leaves out the leases on shares of limits and on targets, and the
+	// upkeep that only claims need. It is set where the platform needs none of these.
 	DisableLeases bool
-	// Directory takes what peers know of targets; nil where the platform publishes a
-	// list of them.
+	// Directory merges the target updates that peers send; nil where the platform publishes
+	// a list of the targets. A cluster with a directory belongs to an open fleet.
 	Directory *controller.Directory
-	// seeds are addresses of daemons to ask for the others, in an open fleet.
+	// seeds are the addresses of the daemons that introduce this one to an open fleet.
 	seeds atomic.Pointer[[]string]
 
-	// Placements asks coordinators for targets, and answers as one.
+	// Placer asks the pools' coordinators for targets, and answers other daemons as a
+	// coordinator.
 	Placer *Placer
 
 	started        time.Time
 	wake           chan struct{}
-	compared       map[string]bool // neighbours whose revision has been seen
-	heartbeatSent  map[string]bool // neighbours that were asked for it out of turn
-	unresponsive   map[string]bool // neighbours that did not answer
+	compared       map[string]bool // peers whose revision is known
+	heartbeatSent  map[string]bool // neighbours that got a heartbeat before the next regular one
+	unresponsive   map[string]bool // neighbours that did not answer a heartbeat
 	rumorBatch     rumorBatch
 	reports        chan heartbeatReport
-	newestReported heartbeatReport // the newest of which any peer has told
-	// settingsNews and targetNews fetch what peers have and this daemon has not.
+	newestReported heartbeatReport // the highest revision and position that any peer has reported
+	// settingsFetcher and targetsFetcher fetch what peers report to be newer than this
+	// daemon's.
 	settingsFetcher, targetsFetcher *fetcher
 	changesCache                    changesCache
 
-	// searched is true once every seed has answered and knew of nobody else.
+	// seedsAnswered is true once every seed has answered and knew of no other daemon.
 	seedsAnswered atomic.Bool
-	// reconciled is when all members were last sent to a peer, and verdictsTold when all
-	// verdicts were; seekMu guards both.
+	// reconciledAt is when this daemon last sent its members' digests to a peer, and
+	// verdictsSentAt when it last sent all verdicts, by peer. mu guards both, and
+	// shareRequests.
 	reconciledAt, verdictsSentAt map[string]time.Time
 
 	mu            sync.Mutex
-	shareRequests map[string]*shareRequest // the last question for a share out of turn, by account
+	shareRequests map[string]*shareRequest // the last request for a share between renewals, by account
 }
 
-// New returns a cluster and registers its handlers with the hub.
-func New(board *blackboard.Blackboard, hub *peer.Hub, record *telemetry.Recorder, settings *controller.Settings, targets *target.Client) *Cluster {
+// New returns a cluster and registers its message handlers with the hub.
+func New(board *blackboard.Blackboard, hub *peer.Hub, recorder *telemetry.Recorder, settings *controller.Settings, targets *target.Client) *Cluster {
 	c := &Cluster{
-		Board: board, Hub: hub, Recorder: record, Settings: settings, Targets: targets,
+		Board: board, Hub: hub, Recorder: recorder, Settings: settings, Targets: targets,
 		started: time.Now(), wake: make(chan struct{}, 1), compared: map[string]bool{},
 		heartbeatSent: map[string]bool{}, unresponsive: map[string]bool{},
 		reports: make(chan heartbeatReport, maxQueuedReports), shareRequests: map[string]*shareRequest{}, reconciledAt: map[string]time.Time{},
@@ -94,25 +99,26 @@
 	return c
 }
 
-// SetSeeds sets the addresses of daemons to ask for the others, in an open fleet.
+// SetSeeds sets the addresses of the daemons that introduce this one to an open fleet.
 func (c *Cluster) SetSeeds(seeds []string) { c.seeds.Store(&seeds) }
 
-// address finds where a daemon listens for peers.
+// address returns the name and the peer address of a daemon.
 func (c *Cluster) address(name string) peer.Address {
 	return peer.Address{Name: name, Address: c.Board.Members.Address(name)}
 }
 
-// ask sends a question to a daemon, with a bound on the time.
+// call sends a request to a daemon and decodes its answer into out, within timeout.
 func (c *Cluster) call(ctx context.Context, name string, kind peer.Kind, in, out any, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return c.Hub.Call(ctx, c.address(name), kind, in, out)
 }
 
-// empty is the empty answer.
+// empty is the body of requests and answers that carry no data.
 type empty struct{}
 
-// Void drops beliefs after a pause of the process.
+// Invalidate discards the state that may be out of date after the process was paused:
+// timeouts of members, shares of limits and leases on targets.
 func (c *Cluster) Invalidate(time.Duration) {
 	now := time.Now()
 	c.Board.Members.Void(now)
--- a/node/cluster/coordinate.go
+++ b/node/cluster/coordinate.go
@@ -16,11 +16,12 @@
 	"github.com/go-faster/errors"
 )
 
-// The coordinator's side of a placement: questions of other daemons wait in the same
-// queue as the daemon's own calls, and what is placed counts at its target until the
-// asker tells of its end.
+// The coordinator's side of placement. Requests of other daemons wait in the same queue as
+// the daemon's own calls, and a placed call counts as load of its target until the
+// requesting daemon reports its end.
 
-// coordinatedCall is another daemon's call at its coordinator.
+// coordinatedCall is another daemon's placement request, or its call once it is placed, at
+// the coordinator.
 type coordinatedCall struct {
 	requester   string
 	pool        string
@@ -30,7 +31,9 @@
 	expires     time.Time
 }
 
-// servePlace is the coordinator's side of a question.
+// servePlace answers a placement request as the pool's coordinator. The answer is
+// routing.Wait if no target is found within maxAnswerDelay; the placement is then sent
+// later.
 func (p *Placer) servePlace(ctx context.Context, from string, in placeRequest) (placeAnswer, error) {
 	now := time.Now()
 	view := p.cluster.Board.Settings.Current()
@@ -40,33 +43,33 @@
 	p.adoptCalls(from, &in, now)
 	p.mergeLimits(in.Pool, in.Limits, now)
 	p.mu.Lock()
-	held := p.coordinated[in.Attempt]
-	if held != nil {
-		held.lastRenewed = now
-		answer := held.answer
+	call := p.coordinated[in.Attempt]
+	if call != nil {
+		call.lastRenewed = now
+		answer := call.answer
 		p.mu.Unlock()
 		if answer != nil {
 			return *answer, nil
 		}
 		return placeAnswer{Attempt: in.Attempt, Verdict: routing.Wait}, nil
 	}
-	held = &coordinatedCall{requester: from, pool: in.Pool, lastRenewed: now, expires: now.Add(in.UntilDeadline + callExpiryMargin)}
-	held.ticket = p.newTicket(&in, now)
-	p.coordinated[in.Attempt] = held
+	call = &coordinatedCall{requester: from, pool: in.Pool, lastRenewed: now, expires: now.Add(in.UntilDeadline + callExpiryMargin)}
+	call.ticket = p.newTicket(&in, now)
+	p.coordinated[in.Attempt] = call
 	p.mu.Unlock()
-	p.cluster.Board.Queues.Push(held.ticket)
-	soon := time.NewTimer(maxAnswerDelay)
-	defer soon.Stop()
+	p.cluster.Board.Queues.Push(call.ticket)
+	timer := time.NewTimer(maxAnswerDelay)
+	defer timer.Stop()
 	select {
-	case placement := <-held.ticket.Placed():
-		return p.recordPlacement(held, &placement), nil
-	case <-soon.C:
+	case placement := <-call.ticket.Placed():
+		return p.recordPlacement(call, &placement), nil
+	case <-timer.C:
 	}
-	go p.answerLater(ctx, held)
+	go p.answerLater(ctx, call)
 	return placeAnswer{Attempt: in.Attempt, Verdict: routing.Wait}, nil
 }
 
-// adopt counts the calls of a daemon that asks for the first time.
+// adoptCalls counts the running calls that a daemon names with its first placement request.
 func (p *Placer) adoptCalls(from string, in *placeRequest, now time.Time) {
 	for _, c := range in.Calls {
 		p.mu.Lock()
@@ -81,6 +84,7 @@
 	}
 }
 
+// newTicket returns the ticket with which another daemon's request waits in the pool's queue.
 func (p *Placer) newTicket(in *placeRequest, now time.Time) *blackboard.Ticket {
 	board := p.cluster.Board
 	pool := board.Settings.Current().Tree.Pool(in.Pool)
@@ -100,11 +104,11 @@
 	}
 }
 
-// placed keeps the placement of another daemon's call and makes its answer.
-func (p *Placer) recordPlacement(held *coordinatedCall, placement *blackboard.Placement) placeAnswer {
+// recordPlacement records the placement of another daemon's call and returns its answer.
+func (p *Placer) recordPlacement(call *coordinatedCall, placement *blackboard.Placement) placeAnswer {
 	d := &placement.Decision
 	answer := placeAnswer{
-		Attempt: held.ticket.Attempt, Verdict: d.Verdict, Target: d.Chosen, Address: placement.Address,
+		Attempt: call.ticket.Attempt, Verdict: d.Verdict, Target: d.Chosen, Address: placement.Address,
 		PrefillTime: d.PrefillTime, Considered: d.Considered, Reservations: d.Reservations, RetryAfter: d.RetryAfter,
 	}
 	if d.Verdict == routing.Place {
@@ -114,31 +118,31 @@
 		answer.Helpers = append(answer.Helpers, placeHelper{h.ID, h.Address})
 	}
 	p.mu.Lock()
-	held.answer = &answer
+	call.answer = &answer
 	if d.Verdict != routing.Place {
-		delete(p.coordinated, held.ticket.Attempt)
+		delete(p.coordinated, call.ticket.Attempt)
 	}
 	p.mu.Unlock()
 	p.cluster.Recorder.Record(decision.Record{
-		Kind: decision.KindPlace, Outcome: string(d.Verdict), Request: d.Request.ID, Attempt: held.ticket.Attempt,
-		Pool: held.pool, Target: d.Chosen, Routing: d, Reason: "asked by " + held.requester,
+		Kind: decision.KindPlace, Outcome: string(d.Verdict), Request: d.Request.ID, Attempt: call.ticket.Attempt,
+		Pool: call.pool, Target: d.Chosen, Routing: d, Reason: "requested by " + call.requester,
 	})
 	return answer
 }
 
-// answerLater sends the placement of a question that had to wait.
-func (p *Placer) answerLater(ctx context.Context, held *coordinatedCall) {
-	placement, ok := <-held.ticket.Placed()
+// answerLater sends the placement of a request that was answered with routing.Wait.
+func (p *Placer) answerLater(ctx context.Context, call *coordinatedCall) {
+	placement, ok := <-call.ticket.Placed()
 	if !ok {
-		return // It was dropped.
+		return // The request was dropped.
 	}
-	answer := p.recordPlacement(held, &placement)
-	if err := p.cluster.Hub.Notify(ctx, p.cluster.address(held.requester), peer.KindPlaced, answer); err != nil {
-		p.endCall(held.ticket.Attempt, blackboard.CallCancelled)
+	answer := p.recordPlacement(call, &placement)
+	if err := p.cluster.Hub.Notify(ctx, p.cluster.address(call.requester), peer.KindPlaced, answer); err != nil {
+		p.endCall(call.ticket.Attempt, blackboard.CallCancelled)
 	}
 }
 
-// serveProgress takes in what a daemon tells of a call that was placed here.
+// serveProgress handles a daemon's report on a call that was placed here.
 func (p *Placer) serveProgress(_ context.Context, _ string, in callProgress) (empty, error) {
 	if in.Suspect != "" {
 		now := time.Now()
@@ -152,27 +156,29 @@
 	return empty{}, nil
 }
 
-// end forgets another daemon's call or question.
+// endCall removes another daemon's call or waiting request. A placed call no longer counts
+// at its target.
 func (p *Placer) endCall(attempt string, result blackboard.CallResult) {
 	p.mu.Lock()
-	held := p.coordinated[attempt]
+	call := p.coordinated[attempt]
 	delete(p.coordinated, attempt)
 	p.mu.Unlock()
-	if held == nil {
+	if call == nil {
 		return
 	}
-	if held.ticket != nil && p.cluster.Board.Queues.Remove(held.ticket) {
-		held.ticket.Drop()
+	if call.ticket != nil && p.cluster.Board.Queues.Remove(call.ticket) {
+		call.ticket.Drop()
 		return
 	}
 	p.cluster.Board.Targets.Finish(attempt, result, time.Now())
-	p.cluster.Board.Queues.Wake(held.pool)
+	p.cluster.Board.Queues.Wake(call.pool)
 }
 
-// sweepInterval is how often calls of daemons that are gone are looked for.
+// sweepInterval is the time between two searches for calls whose daemons will not report
+// their end.
 const sweepInterval = 250 * time.Millisecond
 
-// run ends the calls and questions of others that will not be ended by themselves.
+// run ends expired calls and requests of other daemons until ctx ends.
 func (p *Placer) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		controller.Sleep(ctx, sweepInterval)
@@ -182,17 +188,19 @@
 	}
 }
 
+// expiredCalls lists the attempts of requests that were not repeated, of calls whose time is over
+// and of dead daemons.
 func (p *Placer) expiredCalls(now time.Time) []string {
-	gone := map[string]bool{}
+	dead := map[string]bool{}
 	for _, m := range p.cluster.Board.Members.Members() {
-		gone[m.Name] = m.State == membership.Dead
+		dead[m.Name] = m.State == membership.Dead
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []string
-	for attempt, held := range p.coordinated {
-		dropped := held.answer == nil && now.Sub(held.lastRenewed) > placementRequestTTL
-		if dropped || now.After(held.expires) || gone[held.requester] {
+	for attempt, call := range p.coordinated {
+		dropped := call.answer == nil && now.Sub(call.lastRenewed) > placementRequestTTL
+		if dropped || now.After(call.expires) || dead[call.requester] {
 			list = append(list, attempt)
 		}
 	}
--- a/node/cluster/explain.go
+++ b/node/cluster/explain.go
@@ -15,12 +15,12 @@
 	Request string `cbor:"1,keyasint"`
 }
 
-// explainAnswer holds the records as JSON, which is their published form.
+// explainAnswer holds the records in JSON, the form in which they are published.
 type explainAnswer struct {
 	JSON []byte `cbor:"1,keyasint"`
 }
 
-// explainTimeout bounds the search for a request over the fleet.
+// explainTimeout bounds the search for a request in the fleet.
 const explainTimeout = 2 * time.Second
 
 // Status implements admin.Fleet.
@@ -54,7 +54,8 @@
 	return s
 }
 
-// HandleExplain lets peers ask for this daemon's records.
+// HandleExplain answers peers that ask for this daemon's records with what explain returns,
+// which is JSON.
 func (c *Cluster) HandleExplain(explain func(request string) ([]byte, error)) {
 	c.Hub.Handle(peer.KindExplain, peer.TypedHandler(func(_ context.Context, _ string, in explainRequest) (explainAnswer, error) {
 		data, err := explain(in.Request)
@@ -62,8 +63,9 @@
 	}))
 }
 
-// Explain implements admin.Fleet: it asks all living daemons at once, a bounded
-// number at a time, and returns the first that knows the request.
+// Explain implements admin.Fleet. It asks all living daemons at the same time, up to
+// maxParallelExplains of them, and returns the first answer that holds records of the
+// request.
 func (c *Cluster) Explain(request string) admin.Explanation {
 	ctx, cancel := context.WithTimeout(context.Background(), explainTimeout)
 	defer cancel()
@@ -90,9 +92,10 @@
 	return admin.Explanation{Request: request, Daemon: c.Board.Self.Name, Note: notFoundNote(silent)}
 }
 
-// maxParallelExplains bounds the daemons asked at one time.
+// maxParallelExplains bounds the number of daemons asked at the same time.
 const maxParallelExplains = 32
 
+// explainAt asks one daemon for its records. The answer names no daemon if the call fails.
 func (c *Cluster) explainAt(ctx context.Context, name, request string) admin.Explanation {
 	if name == c.Board.Self.Name {
 		return admin.Explanation{Daemon: name}
@@ -104,9 +107,10 @@
 	return admin.ParseExplanation(answer.JSON)
 }
 
+// notFoundNote explains why no records were found while so many daemons did not answer.
 func notFoundNote(silent int) string {
 	if silent > 0 {
-		return "no daemon that answered has a record; " + strconv.Itoa(silent) + " daemon(s) did not answer, and their records are gone if they died"
+		return "no daemon that answered has a record; " + strconv.Itoa(silent) + " daemon(s) did not answer, and their records are lost if they died"
 	}
-	return "no daemon has a record; the id is wrong, or the records have been dropped since"
+	return "no daemon has a record; the id is wrong, or the records have been evicted"
 }
--- a/node/cluster/news.go
+++ b/node/cluster/fetch.go
@@ -9,33 +9,35 @@
 	"doorstack.dev/node/peer"
 )
 
-// Heartbeats tell how new the settings and the targets are that a daemon knows. Whoever
-// knows older ones fetches them from the sender.
+// Heartbeats report how recent a daemon's settings and targets are. A daemon with older
+// ones fetches the difference from the sender.
 
 const (
-	// fetchTimeout bounds the fetch of news from a peer. fetchIdleTimeout is how long nothing may
-	// come from a peer that has not failed lately: one that is overloaded or cut off must not
-	// hold up the fetch from another, and news have to be in force 2 s after they were
-	// published. An answer on its way is waited for, since given up it would be sent in vain.
+	// fetchTimeout bounds a fetch from a peer. fetchIdleTimeout is how long nothing may
+	// arrive from a peer that has not failed lately: an overloaded or unreachable peer must
+	// not delay the fetch from another one, since settings have to be in force 2 s after
+	// their publication. An answer in transit is waited for, since the bytes already sent
+	// would be wasted otherwise.
 	fetchTimeout     = 5 * time.Second
 	fetchIdleTimeout = 600 * time.Millisecond
-	// slowPeerPenalty is how long a peer that did not answer a fetch is asked after all others.
+	// slowPeerPenalty is how long a peer that did not answer a fetch ranks behind all
+	// others.
 	slowPeerPenalty = 5 * time.Second
-	// maxQueuedReports bounds the news that wait for a loop.
+	// maxQueuedReports bounds the reports that wait for a loop.
 	maxQueuedReports = 64
 )
 
-// heartbeatReport tells what a peer's heartbeat said.
+// heartbeatReport is what a peer's heartbeat reported.
 type heartbeatReport struct {
 	from     string
 	revision int64
 	targets  hostlist.Position
-	// silent is true where the peer did not answer.
+	// noAnswer is true where the peer did not answer a heartbeat.
 	noAnswer bool
 }
 
-// compareLoop opens the doors of a fresh daemon once it has compared with its neighbours, and
-// hands what heartbeats say to the followers.
+// processReports makes a starting daemon serve once it has compared its state with its
+// neighbours', and passes heartbeat reports to the fetchers.
 func (c *Cluster) processReports(ctx context.Context) {
 	ticker := time.NewTicker(startCheckInterval)
 	defer ticker.Stop()
@@ -59,37 +61,38 @@
 	}
 }
 
-// startCheckInterval is how often a fresh daemon looks whether it may serve.
+// startCheckInterval is the time between two checks whether a starting daemon may serve.
 const startCheckInterval = 50 * time.Millisecond
 
-// fetcher fetches one kind of news from whoever has newer than this daemon. Settings and
-// facts of targets have one each: a target's leaving must not wait behind a fetch of large
-// settings.
+// fetcher fetches settings or targets from a peer that has newer ones than this daemon.
+// Each has its own fetcher, since a target that is draining must become known without
+// waiting for a fetch of large settings.
 type fetcher struct {
 	cluster *Cluster
-	// of is how new a peer's are, own how new this daemon's.
+	// reported returns the peer's revision in a report, own the revision of this daemon.
 	reported func(heartbeatReport) int64
 	own      func() int64
-	// catchUp fetches from a peer.
+	// update fetches from the peer that sent a report, and applies what it gets.
 	update func(ctx context.Context, h heartbeatReport)
 
 	reports chan heartbeatReport
-	// slowUntil is until when peers that did not answer a fetch are asked last.
+	// slowUntil is until when a peer that did not answer a fetch ranks behind all others,
+	// by name.
 	slowUntil map[string]time.Time
 }
 
-func (c *Cluster) newFetcher(of func(heartbeatReport) int64, own func() int64, catchUp func(context.Context, heartbeatReport)) *fetcher {
-	return &fetcher{cluster: c, reported: of, own: own, update: catchUp, reports: make(chan heartbeatReport, maxQueuedReports), slowUntil: map[string]time.Time{}}
+func (c *Cluster) newFetcher(reported func(heartbeatReport) int64, own func() int64, update func(context.Context, heartbeatReport)) *fetcher {
+	return &fetcher{cluster: c, reported: reported, own: own, update: update, reports: make(chan heartbeatReport, maxQueuedReports), slowUntil: map[string]time.Time{}}
 }
 
-// tell passes on what a peer said, if it is news.
+// enqueue queues a report if the peer's revision is newer than this daemon's.
 func (f *fetcher) enqueue(h heartbeatReport) {
 	if f.reported(h) <= f.own() {
 		return
 	}
 	select {
 	case f.reports <- h:
-	default: // The next heartbeat says it again.
+	default: // The next heartbeat repeats the report.
 	}
 }
 
@@ -105,8 +108,9 @@
 	}
 }
 
-// newest takes all news that wait, so that they cannot pile up while one of them is
-// acted on, and returns the newest. Peers that failed lately come last.
+// takeBest empties the queue, so that reports do not pile up during a fetch, and returns
+// the best of its reports and the given one: the newest, with peers that failed lately
+// ranked last.
 func (f *fetcher) takeBest(best heartbeatReport) heartbeatReport {
 	now := time.Now()
 	for {
@@ -125,15 +129,16 @@
 	return candidate{f.isSlow(h.from, now), f.reported(h)}
 }
 
-// candidate is what a peer has that this daemon may fetch.
+// candidate is a peer from which this daemon may fetch.
 type candidate struct {
 	// slow is true for a peer that did not answer a fetch lately.
 	slow     bool
 	revision int64
 }
 
-// over tells whether an offer is taken rather than another, where this daemon has a revision
-// of its own: that of a peer that answers if it is new, or else the newest.
+// preferredTo reports whether a candidate is preferred to another one, given this daemon's
+// own revision. A peer that answers is preferred to a slow one if it has something new;
+// otherwise the newer revision is.
 func (o candidate) preferredTo(other candidate, own int64) bool {
 	switch {
 	case o.slow && !other.slow && other.revision > own:
@@ -144,30 +149,31 @@
 	return o.revision > other.revision
 }
 
-// fetch asks a peer for what it has and this daemon has not, and notes whether it answers.
+// fetch calls a peer for what is newer there, and marks the peer as slow if the call fails.
 func (f *fetcher) fetch(ctx context.Context, from string, kind peer.Kind, in, out any) error {
-	silence := fetchIdleTimeout
+	idleTimeout := fetchIdleTimeout
 	if f.isSlow(from, time.Now()) {
-		silence = fetchTimeout
+		idleTimeout = fetchTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	err := f.cluster.Hub.CallWithIdleTimeout(ctx, f.cluster.address(from), kind, in, out, silence)
+	err := f.cluster.Hub.CallWithIdleTimeout(ctx, f.cluster.address(from), kind, in, out, idleTimeout)
 	if err != nil {
 		f.slowUntil[from] = time.Now().Add(slowPeerPenalty)
 	}
 	return err
 }
 
-// isSlow tells whether a peer did not answer a fetch lately.
+// isSlow reports whether a peer did not answer a fetch lately.
 func (f *fetcher) isSlow(name string, now time.Time) bool { return now.Before(f.slowUntil[name]) }
 
-// watchHeadStart is how long a daemon leaves its own watch of the store to bring what a
-// peer knows already: both hear of a change within some milliseconds, and fetching it
-// from the peer as well would double the bytes between data centres.
+// watchHeadStart is how long a daemon waits for its own watch of the store to bring what a
+// peer reports: both learn of a change within some milliseconds, and fetching it from the
+// peer too would double the bytes between data centres.
 const watchHeadStart = 100 * time.Millisecond
 
-// leadToWatch waits for this daemon's own watch, if it has one.
+// waitForWatch gives this daemon's own watch of the store, if it has one, time to bring a
+// change.
 func (c *Cluster) waitForWatch(ctx context.Context) {
 	if c.Settings.ShouldWatch() {
 		controller.Sleep(ctx, watchHeadStart)
--- a/node/cluster/news_test.go
+++ b/node/cluster/fetch_test.go
@@ -17,8 +17,9 @@
 	"doorstack.dev/node/telemetry"
 )
 
-// TestFetcherTakesBestReportAndEmptiesQueue: while a daemon acted on one peer's news, the others' waited;
-// with one exchange for each, the queue grew to 3.5 s in a fleet of nine.
+// TestFetcherTakesBestReportAndEmptiesQueue guards against a queue that grows while a
+// daemon acts on one peer's report: with one exchange for each report, the delay grew to
+// 3.5 s in a fleet of nine.
 func TestFetcherTakesBestReportAndEmptiesQueue(t *testing.T) {
 	c := newTestPlacer(t, 1).cluster
 	for i := range 20 {
@@ -31,12 +32,12 @@
 	c.targetsFetcher.enqueue(last)
 	revision, targets := c.settingsFetcher.takeBest(<-c.settingsFetcher.reports), c.targetsFetcher.takeBest(<-c.targetsFetcher.reports)
 	if len(c.settingsFetcher.reports)+len(c.targetsFetcher.reports) != 0 || revision.revision != 19 || targets.targets != 200 || targets.from != "b" {
-		t.Fatalf("%d left, settings of %+v, targets of %+v", len(c.settingsFetcher.reports), revision, targets)
+		t.Fatalf("takeBest left %d reports and chose %+v for settings, %+v for targets; want none left, revision 19, position 200 of b", len(c.settingsFetcher.reports), revision, targets)
 	}
 }
 
-// TestEveryReportingPeerCountsAsCompared: a fresh daemon has compared with every peer whose heartbeat
-// waited, also where another's news is taken.
+// TestEveryReportingPeerCountsAsCompared checks that a starting daemon has compared with
+// every peer whose report was queued, also if another peer's report is acted on.
 func TestEveryReportingPeerCountsAsCompared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestPlacer(t, 1).cluster
@@ -49,13 +50,13 @@
 		synctest.Wait()
 		for _, name := range []string{"a", "b", "c"} {
 			if !c.compared[name] {
-				t.Errorf("%s has told its revision and does not count as compared", name)
+				t.Errorf("compared[%q] = false after its report, want true", name)
 			}
 		}
 	})
 }
 
-// startSettingsPeer starts a peer whose settings are served by the function given.
+// startSettingsPeer starts a peer that serves the settings that serve returns.
 func startSettingsPeer(t *testing.T, name string, serve func(context.Context) (settings.Changes, error)) membership.Rumor {
 	t.Helper()
 	hub := peer.NewHub(name, []string{testSecret}, telemetry.NewMetrics())
@@ -72,9 +73,9 @@
 	return membership.Rumor{Name: name, Incarnation: 1, Address: strings.TrimPrefix(server.URL, "http://")}
 }
 
-// TestUnresponsivePeerDoesNotDelaySettings: one peer tells of a new revision and does not answer the
-// fetch; another has it too. A fetch used to wait for 5 s, and the same peer's next
-// heartbeat came first again: two fetches were 10 s.
+// TestUnresponsivePeerDoesNotDelaySettings guards against fetching from a peer that reports
+// a new revision but does not answer, while another peer has the revision too. Such a fetch
+// took 5 s, and the same peer's next report was acted on first again, which made 10 s.
 func TestUnresponsivePeerDoesNotDelaySettings(t *testing.T) {
 	c := newTestPlacer(t, 1).cluster
 	silent := startSettingsPeer(t, "silent", func(ctx context.Context) (settings.Changes, error) {
@@ -98,12 +99,12 @@
 		c.updateSettings(t.Context(), c.settingsFetcher.takeBest(<-c.settingsFetcher.reports))
 	}
 	if took := time.Since(began); took > 2*time.Second {
-		t.Fatalf("the revision was in force after %v", took)
+		t.Fatalf("revision 5 was in force after %v, want at most 2s", took)
 	}
 }
 
-// TestSlowPeerIsChosenIfOnlyItHasAnUpdate: where only a peer that failed lately has something new, it
-// is asked all the same.
+// TestSlowPeerIsChosenIfOnlyItHasAnUpdate checks that a peer that failed lately is asked
+// where no other has a newer revision.
 func TestSlowPeerIsChosenIfOnlyItHasAnUpdate(t *testing.T) {
 	c := newTestPlacer(t, 1).cluster
 	f := c.settingsFetcher
@@ -111,6 +112,6 @@
 	f.reports <- heartbeatReport{from: "good", revision: 1}
 	f.reports <- heartbeatReport{from: "slow", revision: 5}
 	if revision := f.takeBest(<-f.reports); revision.from != "slow" {
-		t.Fatalf("%+v is asked", revision)
+		t.Fatalf("takeBest() = %+v, want the report of the slow peer", revision)
 	}
 }
--- a/node/cluster/gossip.go
+++ b/node/cluster/gossip.go
@@ -11,17 +11,17 @@
 	"doorstack.dev/node/peer"
 )
 
-// rumorBatchInterval is the least time between two frames of rumors on a link. One that comes alone
-// goes on at once; where hundreds of daemons start together what comes meanwhile shares a
-// frame: 180 frames by one of 120 daemons in place of 960.
+// rumorBatchInterval is the least time between two frames of rumors on a link. A single
+// rumor is sent at once; where hundreds of daemons start together, the rumors of an
+// interval share a frame. With 120 daemons that takes one of them from 960 frames to 180.
 const rumorBatchInterval = 20 * time.Millisecond
 
-// rumorBatch gathers the rumors that go on to the links.
+// rumorBatch collects the rumors to be passed on to the neighbours.
 type rumorBatch struct {
 	mu            sync.Mutex
 	pending       []queuedRumor
-	lastSent      time.Time // when rumors last went out
-	sendScheduled bool      // somebody will send what waits
+	lastSent      time.Time // when a batch was last taken
+	sendScheduled bool      // a caller of add will send the batch
 }
 
 // queuedRumor is a rumor and the peer that it came from, which does not get it back.
@@ -30,12 +30,14 @@
 	from  string
 }
 
-// add takes rumors in. It returns true if the caller has to send what waits, after a pause.
+// add queues rumors that came from a peer. It reports whether the caller has to send the
+// batch, and after which pause.
 func (g *rumorBatch) add(rumors []membership.Rumor, from string, now time.Time) (pause time.Duration, mustSend bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, r := range rumors {
-		// A rumor is passed on only if it is newer than what was known.
+		// Only a rumor newer than the known state is passed on, so it replaces the queued
+		// one.
 		g.pending = slices.DeleteFunc(g.pending, func(w queuedRumor) bool { return w.rumor.Name == r.Name })
 		g.pending = append(g.pending, queuedRumor{r, from})
 	}
@@ -46,7 +48,7 @@
 	return max(0, rumorBatchInterval-now.Sub(g.lastSent)), true
 }
 
-// take hands out what waits.
+// take removes and returns the queued rumors.
 func (g *rumorBatch) take(now time.Time) []queuedRumor {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -55,7 +57,7 @@
 	return waiting
 }
 
-// spread passes rumors on to all links but the one that they came from.
+// spreadRumors passes rumors on over all links but the one that they came from.
 func (c *Cluster) spreadRumors(ctx context.Context, rumors []membership.Rumor, from string) {
 	if len(rumors) == 0 {
 		return
@@ -79,7 +81,7 @@
 	}
 }
 
-// sendRumors sends what waits over the links that are open. What is lost is repaired when
+// sendRumors sends the queued rumors over the open links. Lost rumors are repaired when
 // heartbeats are compared.
 func (c *Cluster) sendRumors(ctx context.Context) {
 	waiting := c.rumorBatch.take(time.Now())
@@ -98,13 +100,13 @@
 			continue
 		}
 		if err := c.Hub.Notify(ctx, c.address(name), peer.KindRumor, rumors); err != nil {
-			c.Recorder.Log.Debug("rumors could not be told to a peer", "peer", name, "error", err.Error())
+			c.Recorder.Log.Debug("rumors could not be sent to a peer", "peer", name, "error", err.Error())
 		}
 	}
 }
 
-// logRumors writes a line for each daemon that died or left, and one for all that live: a
-// daemon that joins hears of hundreds at once.
+// logRumors writes a line for each daemon that died or left, and one line for all living
+// ones, since a daemon that joins learns of hundreds at once.
 func (c *Cluster) logRumors(rumors []membership.Rumor) {
 	var living []string
 	for _, r := range rumors {
--- a/node/cluster/leases.go
+++ b/node/cluster/leases.go
@@ -17,12 +17,12 @@
 	"doorstack.dev/node/target"
 )
 
-// acquireRequest asks for leases on targets, on the wire.
+// acquireRequest asks a witness for leases on targets, in wire form.
 type acquireRequest struct {
 	Targets []string `cbor:"1,keyasint"`
 }
 
-// acquireAnswer lists the targets that the witness granted.
+// acquireAnswer lists the targets on which the witness granted a lease.
 type acquireAnswer struct {
 	Granted []string `cbor:"1,keyasint"`
 }
@@ -38,22 +38,22 @@
 	return answer, nil
 }
 
-// runLeases keeps the leases on the targets that fall to this daemon, orders what
-// they should serve, and releases reservations whose owner is gone.
+// runLeases renews the leases on the targets that this daemon owns, orders them to load
+// their models, and releases reservations whose owner is gone.
 func (c *Cluster) runLeases(ctx context.Context) {
 	for ctx.Err() == nil {
 		controller.Sleep(ctx, lease.RenewInterval)
-		mine := c.ownTargets()
-		c.acquireLeases(ctx, mine)
-		for i := range mine {
-			c.maintainTarget(ctx, &mine[i], mine)
+		owned := c.ownTargets()
+		c.acquireLeases(ctx, owned)
+		for i := range owned {
+			c.maintainTarget(ctx, &owned[i], owned)
 		}
 		c.releaseEnded(ctx)
 	}
 }
 
-// ownTargets lists the engines whose first daemon of the rendezvous order among
-// the living of its region is this one.
+// ownTargets lists the engines that this daemon owns: those for which it comes first in the
+// rendezvous order among the living daemons of its region.
 func (c *Cluster) ownTargets() []blackboard.TargetAddress {
 	var candidates []string
 	for _, m := range c.Board.Members.Members() {
@@ -67,7 +67,7 @@
 	})
 }
 
-// acquire asks the witnesses of the targets, all targets of a witness at once.
+// acquireLeases asks the targets' witnesses for leases, with one request to each witness.
 func (c *Cluster) acquireLeases(ctx context.Context, targets []blackboard.TargetAddress) {
 	now := time.Now()
 	byWitness := map[string][]string{}
@@ -85,7 +85,8 @@
 	wg.Wait()
 }
 
-// leaseWitnesses are the first few of a target's order over the list in force.
+// leaseWitnesses returns the first few daemons of a target's rendezvous order over the
+// current host list.
 func (c *Cluster) leaseWitnesses(id string, now time.Time) []string {
 	sets := c.Board.Members.WitnessSets(claim.Request{Key: id, Created: claim.CreationTime{Known: true, At: now}}, now)
 	if len(sets) == 0 {
@@ -95,12 +96,13 @@
 	return newest[:min(len(newest), lease.WitnessCount)]
 }
 
+// acquireFrom asks one witness for leases on several targets and counts the leases granted.
 func (c *Cluster) acquireFrom(ctx context.Context, witness string, ids []string) {
 	var answer acquireAnswer
-	question := acquireRequest{Targets: ids}
+	request := acquireRequest{Targets: ids}
 	if witness == c.Board.Self.Name {
-		answer, _ = c.serveAcquire(ctx, witness, question)
-	} else if err := c.call(ctx, witness, peer.KindAcquire, question, &answer, renewTimeout); err != nil {
+		answer, _ = c.serveAcquire(ctx, witness, request)
+	} else if err := c.call(ctx, witness, peer.KindAcquire, request, &answer, renewTimeout); err != nil {
 		return
 	}
 	for _, id := range answer.Granted {
@@ -108,20 +110,20 @@
 	}
 }
 
-// maxLoadingShare is the share of a pool's targets that may be without the model at
-// one time because of orders: the weight store is rate-limited, and the others
-// must go on serving.
+// maxLoadingShare is the share of a pool's targets that may load the model on an order at
+// the same time: the weight store is rate-limited, and the other targets must go on
+// serving.
 const maxLoadingShare = 0.25
 
-// tend does for a target what only its owner may do.
-func (c *Cluster) maintainTarget(ctx context.Context, t *blackboard.TargetAddress, mine []blackboard.TargetAddress) {
-	c.orderModel(ctx, t, mine)
+// maintainTarget does for a target what only its owner may do.
+func (c *Cluster) maintainTarget(ctx context.Context, t *blackboard.TargetAddress, owned []blackboard.TargetAddress) {
+	c.orderModel(ctx, t, owned)
 	c.releaseOrphans(ctx, t)
 }
 
-// orderModel orders a target to serve its pool's model, if it says that it does
-// not. The order states the end, so giving it twice is harmless.
-func (c *Cluster) orderModel(ctx context.Context, t *blackboard.TargetAddress, mine []blackboard.TargetAddress) {
+// orderModel orders a target to serve its pool's model if the target reports that it does
+// not. The order names the wanted state, so a repeated order is harmless.
+func (c *Cluster) orderModel(ctx context.Context, t *blackboard.TargetAddress, owned []blackboard.TargetAddress) {
 	view := c.Board.Settings.Current()
 	if view == nil {
 		return
@@ -130,16 +132,16 @@
 	if pool == nil || pool.Model == "" || len(t.Models) == 0 || slices.Contains(t.Models, pool.Model) {
 		return
 	}
-	if !c.mayLoad(t, pool.Model, mine) {
+	if !c.mayLoad(t, pool.Model, owned) {
 		return
 	}
 	fence, ok := c.Board.Leases.MayOrder(t.ID, pool.Kind.ChecksFencing, time.Now())
 	if !ok {
 		return
 	}
-	sending, cancel := context.WithTimeout(ctx, lease.SendTimeout)
+	sendCtx, cancel := context.WithTimeout(ctx, lease.SendTimeout)
 	defer cancel()
-	err := c.Targets.Order(sending, t.Address, target.Order{Fence: fence, Owner: c.Board.Self.Name, Models: []string{pool.Model}})
+	err := c.Targets.Order(sendCtx, t.Address, target.Order{Fence: fence, Owner: c.Board.Self.Name, Models: []string{pool.Model}})
 	rec := decision.Record{Kind: decision.KindOrder, Pool: t.Pool, Target: t.ID, Revision: view.Revision, Outcome: "ordered", Reason: "load " + pool.Model}
 	if err != nil {
 		rec.Outcome, rec.Reason = decision.OutcomeFailed, err.Error()
@@ -148,27 +150,28 @@
 	c.Recorder.Metrics.Orders.WithLabelValues(rec.Outcome).Inc()
 }
 
-// mayLoad lets the first few of this daemon's targets that lack the model load it.
-func (c *Cluster) mayLoad(t *blackboard.TargetAddress, model string, mine []blackboard.TargetAddress) bool {
+// mayLoad reports whether a target is among the first of this daemon's targets that lack
+// the model.
+func (c *Cluster) mayLoad(t *blackboard.TargetAddress, model string, owned []blackboard.TargetAddress) bool {
 	pool, before := 0, 0
-	for i := range mine {
-		if mine[i].Pool != t.Pool {
+	for i := range owned {
+		if owned[i].Pool != t.Pool {
 			continue
 		}
 		pool++
-		if mine[i].ID < t.ID && len(mine[i].Models) > 0 && !slices.Contains(mine[i].Models, model) {
+		if owned[i].ID < t.ID && len(owned[i].Models) > 0 && !slices.Contains(owned[i].Models, model) {
 			before++
 		}
 	}
 	return before < max(1, int(maxLoadingShare*float64(pool)))
 }
 
-// orphanGrace is how long after its owner's end of interest a reservation is
-// left alone even if the owner seems to live.
+// orphanGrace is how long after its request's deadline a reservation is kept even if its
+// owner seems to be alive.
 const orphanGrace = 10 * time.Second
 
-// releaseOrphans gives back what a target holds for daemons that are gone, that
-// have restarted, or whose request has long ended.
+// releaseOrphans releases a target's reservations whose daemon is gone or has restarted, or
+// whose request ended long ago.
 func (c *Cluster) releaseOrphans(ctx context.Context, t *blackboard.TargetAddress) {
 	if _, ok := c.Board.Leases.MayOrder(t.ID, false, time.Now()); !ok {
 		return
@@ -181,35 +184,35 @@
 	}
 }
 
-// releaseOwn gives back what targets hold for requests of this daemon that have
-// ended: a release may not have reached an engine that was frozen or cut off.
+// releaseEnded releases reservations of this daemon's requests that have ended: an earlier
+// release may not have reached an engine that was frozen or unreachable.
 func (c *Cluster) releaseEnded(ctx context.Context) {
 	for _, t := range c.Board.Targets.Addresses() {
 		for i := range t.Reservations {
 			r := &t.Reservations[i]
-			mine := r.Owner == c.Board.Self.Name && r.Incarnation == c.Board.Self.Incarnation
-			if mine && !c.Board.Targets.Active(r.ID) {
+			own := r.Owner == c.Board.Self.Name && r.Incarnation == c.Board.Self.Incarnation
+			if own && !c.Board.Targets.Active(r.ID) {
 				c.release(ctx, &t, r, "its request has ended")
 			}
 		}
 	}
 }
 
-// releaseAt releases a reservation and records why.
+// release releases a reservation at a target and records the reason.
 func (c *Cluster) release(ctx context.Context, t *blackboard.TargetAddress, r *target.Reservation, reason string) {
-	sending, cancel := context.WithTimeout(ctx, lease.SendTimeout)
+	sendCtx, cancel := context.WithTimeout(ctx, lease.SendTimeout)
 	defer cancel()
-	if err := c.Targets.Release(sending, t.Address, r.ID); err != nil {
-		return // The next round asks again.
+	if err := c.Targets.Release(sendCtx, t.Address, r.ID); err != nil {
+		return // The next round retries.
 	}
 	c.Recorder.Metrics.Released.Inc()
 	c.Recorder.Record(decision.Record{Kind: decision.KindSweep, Request: r.Request, Pool: t.Pool, Target: t.ID, Outcome: "released", Reason: reason})
 }
 
-// orphaned says why a reservation has no owner any more, or "".
+// orphanReason returns why a reservation has no owner any more, or the empty string.
 func (c *Cluster) orphanReason(r *target.Reservation, now time.Time) string {
 	if now.After(r.Expires.Add(orphanGrace)) {
-		return "its request's deadline has passed"
+		return "the deadline of its request has passed"
 	}
 	if r.Owner == c.Board.Self.Name {
 		if r.Incarnation != c.Board.Self.Incarnation {
@@ -222,7 +225,7 @@
 	c.Board.Members.View(func(t *membership.Table) { m, listed = t.Member(r.Owner) })
 	switch {
 	case !listed:
-		return "its daemon is not on the host list any more"
+		return "its daemon is no longer on the host list"
 	case m.State == membership.Dead:
 		return "its daemon is dead"
 	case m.StartIncarnation > r.Incarnation:
--- a/node/cluster/limits.go
+++ b/node/cluster/limits.go
@@ -9,19 +9,20 @@
 	"doorstack.dev/node/peer"
 )
 
-// A target names a limit to the daemon whose call it answers. That daemon tells the pool's
-// coordinator, which places all calls and so keeps to the limit for all. A coordinator that is asked
-// for the first time is told of all limits that the asker knows, and tells the limit of each target
-// that it places a call at, so that whoever gets the answer knows what it lifts.
+// A target declares a rate limit in its answer to a daemon's call. That daemon notifies the
+// pool's coordinator, which places all calls and so keeps to the limit for the fleet. The
+// first placement request to a coordinator carries all limits that the daemon knows. The
+// coordinator names a target's limit with each call that it places there, so that the
+// daemon that gets the answer can recognize that the limit is lifted.
 
-// limitNotice tells a coordinator what a target of a pool has said of its limit.
+// limitNotice tells a coordinator what a target declared about its rate limit.
 type limitNotice struct {
 	Pool  string                `cbor:"1,keyasint"`
 	Limit blackboard.LimitState `cbor:"2,keyasint"`
 }
 
-// LimitSaid tells the pool's coordinator what a target said of its limit in the answer to a call that
-// was sent then.
+// LimitSaid tells the pool's coordinator what a target declared about its rate limit in the
+// answer to a call sent at the given time.
 func (p *Placer) ReportLimit(pool, target string, said forward.Limit, sent time.Time) {
 	now := time.Now()
 	c := p.coordinatorOf(pool, now)
@@ -35,20 +36,21 @@
 	p.notify(c.name, peer.KindLimit, limitNotice{Pool: pool, Limit: state})
 }
 
-// serveLimit takes in what a target has said to another daemon.
+// serveLimit handles what a target declared to another daemon.
 func (p *Placer) serveLimit(_ context.Context, _ string, in limitNotice) (empty, error) {
 	p.mergeLimits(in.Pool, []blackboard.LimitState{in.Limit}, time.Now())
 	return empty{}, nil
 }
 
-// takeLimits takes in what another daemon knows of targets' limits.
+// mergeLimits takes over what another daemon knows of targets' rate limits.
 func (p *Placer) mergeLimits(pool string, limits []blackboard.LimitState, now time.Time) {
 	for i := range limits {
 		p.cluster.Recorder.TakeWord(pool, limits[i].Target, limits[i].Word(now))
 	}
 }
 
-// countLimited counts a call that a coordinator placed, at a target whose limit it tells.
+// recordLimitedCall counts a call that a coordinator placed toward its target's rate limit,
+// after taking over the limit that the answer names.
 func (p *Placer) recordLimitedCall(pool string, a *placeAnswer, now time.Time) {
 	if a.Limit != nil {
 		p.mergeLimits(pool, []blackboard.LimitState{*a.Limit}, now)
--- a/node/cluster/members.go
+++ b/node/cluster/members.go
@@ -13,39 +13,41 @@
 	"doorstack.dev/node/peer"
 )
 
-// heartbeat is sent on each link once a second, and answered by the same. Links
-// of neighbours carry them in both directions.
+// heartbeat is sent over each link once a second and answered by the receiver's own
+// heartbeat. A link between neighbours of each other carries requests in both directions.
 type heartbeat struct {
 	Incarnation int64 `cbor:"1,keyasint"`
-	// Revision is the settings revision in force.
+	// SettingsRevision is the settings revision in force.
 	SettingsRevision int64 `cbor:"2,keyasint"`
-	// News is what the sender knows of the fleet, on some heartbeats.
+	// Rumors is what the sender knows of the fleet's members, on some heartbeats.
 	Rumors []membership.Rumor `cbor:"3,keyasint,omitempty"`
-	// Leaving says that the sender drains.
+	// Leaving reports that the sender is draining.
 	Leaving bool `cbor:"4,keyasint,omitempty"`
-	// Started is the incarnation that the sender's process began with.
+	// StartIncarnation is the incarnation with which the sender's process started.
 	StartIncarnation int64 `cbor:"5,keyasint,omitempty"`
-	// Digest identifies who is alive in an open fleet, as the sender knows it.
+	// MembersDigest is a digest of the members of an open fleet that are alive, as the
+	// sender knows them.
 	MembersDigest uint64 `cbor:"6,keyasint,omitempty"`
-	// Targets is the position up to which the sender knows all facts of targets. Field 7 held
-	// bare revisions, which do not compare with positions.
+	// TargetsPosition is the position up to which the sender knows all updates of targets.
+	// Field 7 held plain revisions, which cannot be compared with positions.
 	TargetsPosition hostlist.Position `cbor:"9,keyasint,omitempty"`
-	// Verdicts identifies what the sender holds of requests that end their targets.
+	// VerdictsDigest is a digest of the sender's verdicts on requests that crash targets.
 	VerdictsDigest uint64 `cbor:"8,keyasint,omitempty"`
 }
 
-// The pace and the bounds of the members' loop.
+// Intervals and timeouts of the heartbeat loop.
 const (
 	heartbeatTimeout = membership.HeartbeatInterval
-	// heartbeatsPerSync is the number of heartbeats between those that carry all news, to
-	// repair rumors that got lost.
+	// heartbeatsPerSync is the number of heartbeats of which one carries all rumors, to
+	// repair rumors that were lost.
 	heartbeatsPerSync = 10
-	// compareTimeout is how long a fresh daemon waits for neighbours that do not
-	// answer, before it trusts what it read itself.
+	// compareTimeout is how long a starting daemon waits for neighbours that do not answer
+	// before it relies on what it read itself.
 	compareTimeout = 5 * time.Second
 )
 
-// Run keeps links, heartbeats and the settings of the neighbours in step.
+// Run sends heartbeats, renews leases and fetches newer settings and targets from peers
+// until ctx ends.
 func (c *Cluster) Run(ctx context.Context) {
 	var work sync.WaitGroup
 	if !c.DisableLeases {
@@ -72,7 +74,8 @@
 	work.Wait()
 }
 
-// Poke sends a heartbeat now, because there is something new to say.
+// HeartbeatNow sends heartbeats without waiting for the next interval, since this daemon's
+// state changed.
 func (c *Cluster) HeartbeatNow() {
 	select {
 	case c.wake <- struct{}{}:
@@ -80,10 +83,10 @@
 	}
 }
 
-// beat sends one heartbeat to each link and looks for silent neighbours.
-func (c *Cluster) sendHeartbeats(ctx context.Context, withNews bool) {
+// sendHeartbeats sends a heartbeat over each link and looks for silent neighbours.
+func (c *Cluster) sendHeartbeats(ctx context.Context, withRumors bool) {
 	now := time.Now()
-	h := c.newHeartbeat(withNews)
+	h := c.newHeartbeat(withRumors)
 	for _, name := range c.Board.Members.Links(now) {
 		if c.Board.Members.Address(name) == "" {
 			continue
@@ -100,7 +103,9 @@
 	}
 }
 
-func (c *Cluster) newHeartbeat(withNews bool) heartbeat {
+// newHeartbeat returns this daemon's heartbeat. In a listed fleet it carries the rumors if
+// withRumors is set; in an open fleet it carries a digest of the members instead.
+func (c *Cluster) newHeartbeat(withRumors bool) heartbeat {
 	h := heartbeat{Leaving: c.Board.Phase() == blackboard.Draining, StartIncarnation: c.Board.Self.Incarnation, SettingsRevision: c.revision()}
 	c.Board.Members.View(func(t *membership.Table) {
 		if h.Leaving {
@@ -109,7 +114,7 @@
 		h.Incarnation = t.Incarnation()
 		if c.openFleet() {
 			h.MembersDigest = t.Digest()
-		} else if withNews {
+		} else if withRumors {
 			h.Rumors = t.SyncRumors()
 		}
 	})
@@ -120,25 +125,26 @@
 	return h
 }
 
+// sendHeartbeat sends a heartbeat to one neighbour and handles the answer.
 func (c *Cluster) sendHeartbeat(ctx context.Context, name string, h heartbeat) {
 	var answer heartbeat
 	if err := c.call(ctx, name, peer.KindHeartbeat, h, &answer, heartbeatTimeout); err != nil {
-		c.recordNoAnswer(name) // Silence is what Tick looks for.
+		c.recordNoAnswer(name) // Tick detects silent members.
 		return
 	}
 	c.receiveHeartbeat(ctx, name, answer)
 }
 
-// unanswered tells a fresh daemon of an open fleet that it need not wait for a neighbour: what
-// the store says is never older than what a silent neighbour could tell, and hosts that lost
-// power together with this one would hold it up for compareTimeout.
+// recordNoAnswer lets a starting daemon of an open fleet stop waiting for a neighbour. The
+// store is never behind what a silent neighbour could report, and hosts that lost power
+// together with this one would delay its start by compareTimeout.
 func (c *Cluster) recordNoAnswer(name string) {
 	if !c.openFleet() || c.Board.Phase() != blackboard.Starting {
 		return
 	}
 	select {
 	case c.reports <- heartbeatReport{from: name, noAnswer: true}:
-	default: // The next heartbeat says it again.
+	default: // The next heartbeat repeats the report.
 	}
 }
 
@@ -148,11 +154,11 @@
 	return c.newHeartbeat(len(in.Rumors) > 0), nil
 }
 
-// hear takes a heartbeat in.
+// receiveHeartbeat handles a heartbeat or the answer to one.
 func (c *Cluster) receiveHeartbeat(ctx context.Context, from string, h heartbeat) {
 	var rumors []membership.Rumor
-	add := func(r membership.Rumor, news bool) {
-		if news {
+	add := func(r membership.Rumor, isNew bool) {
+		if isNew {
 			rumors = append(rumors, r)
 		}
 	}
@@ -171,7 +177,7 @@
 	c.syncVerdicts(from, h.VerdictsDigest)
 	select {
 	case c.reports <- heartbeatReport{from: from, revision: h.SettingsRevision, targets: h.TargetsPosition}:
-	default: // The next heartbeat says it again.
+	default: // The next heartbeat repeats the report.
 	}
 }
 
@@ -180,9 +186,10 @@
 	return empty{}, nil
 }
 
-// compareWithNew asks neighbours that a fresh daemon has just come to know, rather than at
-// the next heartbeat: where all daemons start at once its neighbours change with each that it
-// hears of, and it would wait for the last of them.
+// contactNewNeighbours sends a heartbeat to each neighbour that a starting daemon has just
+// learned of. Where all daemons start together the neighbours change with each daemon that
+// becomes known, and waiting for the next heartbeat would delay the start until the last of
+// them.
 func (c *Cluster) contactNewNeighbours(ctx context.Context) {
 	if c.Board.Phase() != blackboard.Starting {
 		return
@@ -201,8 +208,8 @@
 	return names
 }
 
-// serveWhenCompared opens the doors once every neighbour has told its revision,
-// or has been silent for long enough.
+// startIfCompared makes a starting daemon serve once every neighbour has reported its
+// revision or has been silent for long enough.
 func (c *Cluster) startIfCompared(ctx context.Context) {
 	if c.Board.Phase() != blackboard.Starting || c.Board.Settings.Current() == nil {
 		return
@@ -215,22 +222,22 @@
 		c.startServing(ctx, neighbours)
 		return
 	}
-	patient := time.Since(c.started) < compareTimeout
-	if c.openFleet() && len(neighbours) == 0 && !c.seedsAnswered.Load() && patient {
-		return // Nobody has been found yet to compare with.
+	mayWait := time.Since(c.started) < compareTimeout
+	if c.openFleet() && len(neighbours) == 0 && !c.seedsAnswered.Load() && mayWait {
+		return // No neighbour is known yet to compare with.
 	}
 	for _, name := range neighbours {
-		if patient && !c.compared[name] && !c.unresponsive[name] {
+		if mayWait && !c.compared[name] && !c.unresponsive[name] {
 			return
 		}
 	}
-	if patient && c.behindPeers() {
+	if mayWait && c.behindPeers() {
 		return
 	}
 	c.startServing(ctx, neighbours)
 }
 
-// openDoors makes a starting daemon serve.
+// startServing makes a starting daemon serve.
 func (c *Cluster) startServing(ctx context.Context, neighbours []string) {
 	if !c.DisableLeases {
 		c.fetchHostLists(ctx, neighbours)
@@ -241,9 +248,9 @@
 	c.Recorder.Log.Info("serving", "revision", c.Board.Settings.Current().Revision, "compared_with", len(c.compared))
 }
 
-// readItself tells whether this daemon has read the store of an open fleet, which never tells
-// of anything older than a peer could: there is nothing to compare. The seeds may be the last
-// to be back after a loss of power, and until then no neighbour is known.
+// hasReadStore reports whether this daemon has read the store of an open fleet. The store
+// is never behind a peer, so there is nothing to compare. After a loss of power the seeds
+// may be the last to return, and until then no neighbour is known.
 func (c *Cluster) hasReadStore() bool {
 	if !c.openFleet() {
 		return false
@@ -253,7 +260,8 @@
 	return read
 }
 
-// behind tells whether a peer has told of something newer that this daemon can still take.
+// behindPeers reports whether a peer has reported something newer that this daemon can
+// still apply.
 func (c *Cluster) behindPeers() bool {
 	if c.newestReported.revision > max(c.revision(), c.Board.Settings.Rejected().Revision) {
 		return true
@@ -261,11 +269,12 @@
 	return c.openFleet() && c.newestReported.targets > c.Board.Directory.Revision()
 }
 
-// hostLists is a host list's history on the wire.
+// hostLists is the history of the host list, in wire form.
 type hostLists struct {
 	Lists []hostListRecord `cbor:"1,keyasint"`
 }
 
+// hostListRecord is one version of the host list, in wire form.
 type hostListRecord struct {
 	Revision  int64     `cbor:"1,keyasint"`
 	Published time.Time `cbor:"2,keyasint"`
@@ -281,8 +290,8 @@
 	return answer, nil
 }
 
-// learnHostLists asks one neighbour for the lists that were in force before this
-// daemon started, which claims of older keys need.
+// fetchHostLists asks one neighbour for the host lists that were in force before this
+// daemon started. They are needed for claims of keys created then.
 func (c *Cluster) fetchHostLists(ctx context.Context, neighbours []string) {
 	for _, name := range neighbours {
 		var answer hostLists
--- a/node/cluster/open.go
+++ b/node/cluster/open.go
@@ -14,28 +14,31 @@
 	"github.com/go-faster/errors"
 )
 
-// An open fleet is one that the platform does not list: its daemons introduce
-// themselves to a few seeds and learn of the others from them.
+// An open fleet is one whose daemons the platform does not list: each daemon introduces
+// itself to a few seeds and learns of the others from them.
 
-// The pace of looking for other daemons.
+// Timeouts and intervals of the search for other daemons.
 const (
 	// joinTimeout bounds one introduction: a seed may be dead and its host silent.
 	joinTimeout = 500 * time.Millisecond
-	// joinBackoffInitial is the pause after a first introduction that nobody answers, and joinBackoffMax the
-	// longest that it grows to: where all hosts start together the seeds may listen half a
-	// second later than the first daemons look for them.
+	// joinBackoffInitial is the pause after a first introduction without an answer, and
+	// joinBackoffMax the greatest pause: where all hosts start together the seeds may
+	// listen half a second later than the first daemons call them.
 	joinBackoffInitial = 50 * time.Millisecond
 	joinBackoffMax     = 400 * time.Millisecond
-	// rejoinInterval is the mean pause between tries to find a daemon that was lost, or a
-	// seed, which is what joins two parts of a fleet again after a cut.
+	// rejoinInterval is the mean pause between attempts to reach a dead member or a seed
+	// that is not a member. Such attempts join the parts of a fleet again after a network
+	// partition.
 	rejoinInterval = 2 * time.Second
-	// minReconcileInterval is the least time between two comparisons of members with one peer.
+	// minReconcileInterval is the least time between two comparisons of members with one
+	// peer.
 	minReconcileInterval = 2 * time.Second
 )
 
+// openFleet reports whether the fleet is one whose daemons the platform does not list.
 func (c *Cluster) openFleet() bool { return c.Directory != nil }
 
-// join looks for other daemons until ctx ends.
+// join introduces this daemon to others until ctx ends.
 func (c *Cluster) join(ctx context.Context) {
 	pause := joinBackoffInitial
 	for round := 0; ctx.Err() == nil; round++ {
@@ -50,8 +53,9 @@
 	}
 }
 
-// introduceTo introduces this daemon to all seeds while it is alone, later to one
-// daemon that was lost or one seed that is not linked. It tells whether it is alone.
+// introduceRound introduces this daemon to all seeds while it has no neighbour, and
+// otherwise to one dead member or one seed that is not a member. It reports whether this
+// daemon has no neighbour.
 func (c *Cluster) introduceRound(ctx context.Context, round int) (alone bool) {
 	var addresses []string
 	seeds := *c.seeds.Load()
@@ -83,16 +87,17 @@
 	return alone
 }
 
-// knowsFleet tells whether this daemon has found others, or has looked for them and there are
-// none.
+// discoveryDone reports whether this daemon knows other daemons, or has looked for them and
+// found none.
 func (c *Cluster) discoveryDone() bool {
 	others := 0
 	c.Board.Members.View(func(t *membership.Table) { others, _ = t.CountOthers() })
 	return others > 0 || c.seedsAnswered.Load() || time.Since(c.started) > compareTimeout
 }
 
-// introduceToAll introduces this daemon at several addresses at once, so that a seed without
-// power holds up none of the others, and counts who answers; its own address does.
+// introduceToAll introduces this daemon at several addresses at the same time, so that an
+// unreachable seed does not delay the others. It returns the number that answered, to which
+// this daemon's own address counts.
 func (c *Cluster) introduceToAll(ctx context.Context, addresses []string) int {
 	var answered atomic.Int64
 	var asking sync.WaitGroup
@@ -107,7 +112,8 @@
 	return int(answered.Load())
 }
 
-// introduce makes this daemon known at an address and learns who else is there.
+// introduce introduces this daemon at an address and learns of the other members. It
+// reports whether the daemon there answered.
 func (c *Cluster) introduce(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
@@ -116,7 +122,7 @@
 	var all []membership.Rumor
 	name, err := c.Hub.CallAt(ctx, address, peer.KindJoin, own, &all)
 	if err != nil {
-		c.Recorder.Log.Debug("no daemon answers an introduction", "address", address, "error", err.Error())
+		c.Recorder.Log.Debug("introduction was not answered", "address", address, "error", err.Error())
 		return false
 	}
 	c.Recorder.Reach(blackboard.StagePeer)
@@ -125,10 +131,10 @@
 	return true
 }
 
-// serveJoin takes in a daemon that introduces itself and tells it of all others.
+// serveJoin handles the introduction of a daemon and answers with all members.
 func (c *Cluster) serveJoin(ctx context.Context, from string, in membership.Rumor) ([]membership.Rumor, error) {
 	if !c.openFleet() {
-		return nil, errors.New("this fleet is listed by the platform and takes no introductions")
+		return nil, errors.New("the platform lists the daemons of this fleet; introductions are not accepted")
 	}
 	c.receiveRumors(ctx, []membership.Rumor{in}, from)
 	var all []membership.Rumor
@@ -136,7 +142,7 @@
 	return all, nil
 }
 
-// receive takes rumors in and passes news on.
+// receiveRumors applies rumors and passes on those that are new here.
 func (c *Cluster) receiveRumors(ctx context.Context, in []membership.Rumor, from string) {
 	var news []membership.Rumor
 	c.Board.Members.View(func(t *membership.Table) {
@@ -149,9 +155,9 @@
 	c.spreadRumors(ctx, news, from)
 }
 
-// reconcile sends the digests of all members to a peer that knows of other daemons than this
-// one does, and gets what the peer knows where they differ. The peer does the same, so both
-// end with the union.
+// reconcile sends the digests of all members to a peer whose members digest differs, so
+// that the peer sends what it knows where they differ. The peer does the same, and both end
+// with the union.
 func (c *Cluster) reconcile(ctx context.Context, from string, digest uint64) {
 	if !c.openFleet() {
 		return
@@ -166,11 +172,11 @@
 		return
 	}
 	if err := c.Hub.Notify(ctx, c.address(from), peer.KindDigests, digests); err != nil {
-		c.Recorder.Log.Debug("digests of members could not be told to a peer", "peer", from, "error", err.Error())
+		c.Recorder.Log.Debug("digests of members could not be sent to a peer", "peer", from, "error", err.Error())
 	}
 }
 
-// serveDigests tells a peer what this daemon knows where their digests differ.
+// serveDigests sends a peer the rumors of the members on which the digests differ.
 func (c *Cluster) serveDigests(ctx context.Context, from string, theirs []uint64) (empty, error) {
 	var rumors []membership.Rumor
 	c.Board.Members.View(func(t *membership.Table) { rumors = t.DifferingRumors(theirs) })
@@ -184,13 +190,14 @@
 	return c.maySendAll(c.reconciledAt, peerName, now)
 }
 
-// mayTell tells whether all of something may be told to a peer again, and notes that it is.
-func (c *Cluster) maySendAll(told map[string]time.Time, peerName string, now time.Time) bool {
+// maySendAll reports whether a complete state may be sent to a peer again, and records that
+// it is sent.
+func (c *Cluster) maySendAll(sentAt map[string]time.Time, peerName string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now.Sub(told[peerName]) < minReconcileInterval {
+	if now.Sub(sentAt[peerName]) < minReconcileInterval {
 		return false
 	}
-	told[peerName] = now
+	sentAt[peerName] = now
 	return true
 }
--- a/node/cluster/placement.go
+++ b/node/cluster/placement.go
@@ -14,36 +14,40 @@
 	"github.com/go-faster/errors"
 )
 
-// One daemon of the fleet coordinates each pool: the first of the rendezvous order
-// among the living. The others ask it where a call should go, so that every choice
-// knows of all calls. Its word is advice: who gets none in time decides alone, from
-// its own calls, and nothing but the quality of the choice depends on it.
+// One daemon of the fleet coordinates each pool: the first in the pool's rendezvous order
+// of the living ones. The others ask it where to send a call, so that each choice takes all
+// calls into account. Its placement is advice: a daemon that gets none in time decides from
+// the calls that it knows itself, and only the quality of the choice suffers.
 
-// The times of a question to a coordinator.
+// Timeouts and intervals of placement requests.
 const (
 	// placementTimeout is how long a daemon waits for the first answer: a round trip takes
 	// up to 2 ms, and a caller's shortest goal is 300 ms.
 	placementTimeout = 40 * time.Millisecond
-	// maxAnswerDelay is how long the coordinator holds a question that can be answered
-	// soon; later answers are sent by themselves.
+	// maxAnswerDelay is how long the coordinator holds a request to answer it with a
+	// placement; later placements are sent as messages of their own.
 	maxAnswerDelay = 5 * time.Millisecond
-	// placementRenewInterval is how often a daemon repeats a question that waits, so that each
-	// side notices the other's end.
+	// placementRenewInterval is the interval at which a daemon repeats a waiting request,
+	// so that each side notices the end of the other.
 	placementRenewInterval = 250 * time.Millisecond
-	// placementRequestTTL is when a coordinator drops a question that was not repeated.
+	// placementRequestTTL is the time after which a coordinator drops a request that is not
+	// repeated.
 	placementRequestTTL = time.Second
-	// avoidFailed is how long a coordinator that did not answer is passed over, avoidRefused one that
-	// says that it does not coordinate: where all hosts start together it will, some milliseconds later,
-	// and until all ask the same one the pool is placed by several.
+	// avoidFailed is how long a coordinator that did not answer is passed over,
+	// avoidRefused one that answers that it does not coordinate: where all hosts start
+	// together it will some milliseconds later, and until all daemons ask the same
+	// coordinator several place the pool's calls.
 	avoidFailed  = time.Second
 	avoidRefused = 100 * time.Millisecond
-	// callExpiryMargin bounds how long a coordinator counts a call beyond its deadline, in case
-	// the word of its end was lost.
+	// callExpiryMargin is how long a coordinator counts a call beyond its deadline, in case
+	// the report of its end was lost.
 	callExpiryMargin = time.Second
-	// adoptedCallTTL is the same for a call that was under way when the coordinator began:
-	// its deadline is not told, and the longest timeout of the users' routes is 15 s.
+	// adoptedCallTTL is how long a coordinator counts a call that was running when the
+	// coordinator began: its deadline is not reported, and the longest timeout of the
+	// users' routes is 15 s.
 	adoptedCallTTL = 15 * time.Second
-	// maxSuspectDuration bounds how long a target is kept out on one daemon's word.
+	// maxSuspectDuration bounds how long a target is excluded because one daemon reported a
+	// failure.
 	maxSuspectDuration = 5 * time.Second
 )
 
@@ -63,16 +67,17 @@
 	Waited        time.Duration `cbor:"12,keyasint,omitempty"`
 	UntilDeadline time.Duration `cbor:"13,keyasint"`
 	Retry         bool          `cbor:"14,keyasint,omitempty"`
-	// Calls are the asker's calls in the pool, for a coordinator that it asks first.
+	// Calls are the requesting daemon's calls in the pool, on its first request to a
+	// coordinator.
 	Calls []blackboard.CallState `cbor:"15,keyasint,omitempty"`
-	// Begun is true where the caller has a part of the answer.
+	// AnswerStarted is true where the caller has received a part of the answer.
 	AnswerStarted bool `cbor:"16,keyasint,omitempty"`
-	// Limits are the limits of the pool's targets that the asker knows, for a coordinator that it
-	// asks first.
+	// Limits are the rate limits of the pool's targets that the requesting daemon knows, on
+	// its first request to a coordinator.
 	Limits []blackboard.LimitState `cbor:"17,keyasint,omitempty"`
 }
 
-// placeAnswer is a placement, or the word that the call waits.
+// placeAnswer is a placement, a refusal, or routing.Wait for a call that waits.
 type placeAnswer struct {
 	Attempt     string          `cbor:"1,keyasint"`
 	Verdict     routing.Verdict `cbor:"2,keyasint"`
@@ -82,47 +87,50 @@
 	PrefillTime float64         `cbor:"6,keyasint,omitempty"`
 	// Considered is the number of targets looked at.
 	Considered int `cbor:"7,keyasint,omitempty"`
-	// Tickets are what helpers are asked to set aside.
+	// Reservations are the memory reservations to be made at helpers.
 	Reservations []routing.MemoryReservation `cbor:"8,keyasint,omitempty"`
-	// ComeBack is the time, in seconds, after which a refused call's turn would have come.
+	// RetryAfter is the time, in seconds, after which a refused call's turn would have
+	// come.
 	RetryAfter float64 `cbor:"9,keyasint,omitempty"`
-	// Limit is the limit that the target has named.
+	// Limit is the rate limit that the target has declared, if any.
 	Limit *blackboard.LimitState `cbor:"10,keyasint,omitempty"`
 }
 
+// placeHelper is a helper of a placed call and its address.
 type placeHelper struct {
 	Target  string `cbor:"1,keyasint"`
 	Address string `cbor:"2,keyasint"`
 }
 
-// callProgress tells a coordinator that a call's prompt was read or that it ended.
+// callProgress tells a coordinator that a call's prompt was read or that the call ended.
 type callProgress struct {
 	Attempt string                `cbor:"1,keyasint"`
 	Ended   bool                  `cbor:"2,keyasint,omitempty"`
 	Result  blackboard.CallResult `cbor:"3,keyasint,omitempty"`
-	// Suspect is a target that nothing is to be sent to for some time.
+	// Suspect is a target that gets no calls for SuspectFor.
 	Suspect    string        `cbor:"4,keyasint,omitempty"`
 	SuspectFor time.Duration `cbor:"5,keyasint,omitempty"`
 }
 
-// Placer asks coordinators and is one. It implements requestcontrol.Placer.
+// Placer asks the pools' coordinators and acts as one. It implements requestcontrol.Placer.
 type Placer struct {
 	cluster *Cluster
 
 	mu sync.Mutex
-	// placedBy is who placed each of this daemon's calls.
+	// placedBy is the coordinator that placed each of this daemon's calls, by attempt.
 	placedBy map[string]string
-	// waiting are this daemon's questions that a coordinator holds.
+	// pending are this daemon's requests that wait at a coordinator, by attempt.
 	pending map[string]chan placeAnswer
-	// avoid are coordinators that did not answer, until when.
+	// avoidUntil is until when a coordinator that failed is passed over, by name.
 	avoidUntil map[string]time.Time
-	// told are the coordinators that know of this daemon's calls, by pool.
+	// informed are the coordinators that know of this daemon's calls, by pool.
 	informed map[string]coordinator
-	// held are the questions and calls of others that this daemon coordinates.
+	// coordinated are the other daemons' requests and calls that this daemon coordinates,
+	// by attempt.
 	coordinated map[string]*coordinatedCall
 }
 
-// coordinator is a daemon in one life of its process.
+// coordinator is a daemon in one incarnation.
 type coordinator struct {
 	name        string
 	incarnation int64
@@ -135,8 +143,8 @@
 	}
 }
 
-// coordinatorOf finds who coordinates a pool: one of the strong daemons, since whoever does
-// takes two to four frames for each call of the fleet.
+// coordinatorOf returns a pool's coordinator. Only strong daemons are considered, since a
+// coordinator handles two to four frames for each call of the fleet.
 func (p *Placer) coordinatorOf(pool string, now time.Time) coordinator {
 	p.mu.Lock()
 	avoid := make(map[string]bool, len(p.avoidUntil))
@@ -145,15 +153,15 @@
 	}
 	p.mu.Unlock()
 	self := p.cluster.Board.Self.Name
-	able := slices.DeleteFunc(p.cluster.Board.Members.Members(), func(m membership.Member) bool {
+	eligible := slices.DeleteFunc(p.cluster.Board.Members.Members(), func(m membership.Member) bool {
 		return m.Name != self && (m.State != membership.Alive || m.Leaving || avoid[m.Name])
 	})
-	if p.cluster.Board.Phase() == blackboard.Draining && len(able) > 1 {
-		able = slices.DeleteFunc(able, func(m membership.Member) bool { return m.Name == self })
+	if p.cluster.Board.Phase() == blackboard.Draining && len(eligible) > 1 {
+		eligible = slices.DeleteFunc(eligible, func(m membership.Member) bool { return m.Name == self })
 	}
 	incarnations := map[string]int64{}
 	var names []string
-	for _, m := range membership.StrongMembers(able) {
+	for _, m := range membership.StrongMembers(eligible) {
 		names = append(names, m.Name)
 		incarnations[m.Name] = m.Incarnation
 	}
@@ -161,19 +169,20 @@
 	return coordinator{owner, incarnations[owner]}
 }
 
-// Coordinates tells whether this daemon places a pool's calls for all. One that has not found
-// the others yet does not: where all hosts start together each would take itself for the
-// coordinator and ask every engine how fast it works.
+// Coordinates reports whether this daemon places a pool's calls for the fleet. A daemon
+// that has not found the others yet does not: where all hosts start together each would
+// take itself for the coordinator and poll every engine for its slowdown.
 func (p *Placer) Coordinates(pool string) bool {
 	return p.cluster.Board.Phase() == blackboard.Serving && p.cluster.discoveryDone() &&
 		p.coordinatorOf(pool, time.Now()).name == p.cluster.Board.Self.Name
 }
 
-// maxCoordinatorAttempts is how many coordinators are asked for one call: the second where the
-// first says at once that it leaves.
+// maxCoordinatorAttempts is how many coordinators are asked for one call: the second one
+// where the first refuses at once because it is draining.
 const maxCoordinatorAttempts = 2
 
-// Place asks the pool's coordinator. It returns false where this daemon decides.
+// Place implements requestcontrol.Placer. It asks the pool's coordinator, and returns false
+// where this daemon decides itself.
 func (p *Placer) Place(ctx context.Context, t *blackboard.Ticket) (blackboard.Placement, bool) {
 	for range maxCoordinatorAttempts {
 		c := p.coordinatorOf(t.Pool.Name, time.Now())
@@ -190,18 +199,20 @@
 		}
 		p.recordLostCoordinator(c.name, t, err)
 		if errors.Is(err, context.DeadlineExceeded) {
-			break // Time has been lost already.
+			break // Asking another coordinator would delay the call further.
 		}
 	}
 	return blackboard.Placement{}, false
 }
 
-// follow takes a coordinator's placement over, unless this daemon knows better.
+// acceptAnswer returns a coordinator's placement, or false if a target would not get the
+// call by what this daemon knows.
 func (p *Placer) acceptAnswer(c coordinator, t *blackboard.Ticket, answer *placeAnswer) (blackboard.Placement, bool) {
 	if answer.Verdict == routing.Place && !p.targetsAccept(answer) {
-		// The coordinator lags behind what is known here, which binds.
-		p.cluster.Recorder.Log.Info("placement is not followed", "request", t.Request.ID, "peer", c.name, "target", answer.Target,
-			"reason", "the target or a helper leaves, rests or is not known here, or the call would pass the target's limit")
+		// What this daemon knows of its targets takes precedence over the coordinator's
+		// older state.
+		p.cluster.Recorder.Log.Info("placement is not accepted", "request", t.Request.ID, "peer", c.name, "target", answer.Target,
+			"reason", "the target or a helper is draining, in backoff or unknown here, or the call would exceed the target's rate limit")
 		p.notify(c.name, peer.KindProgress, callProgress{Attempt: t.Attempt, Ended: true, Result: blackboard.CallCancelled})
 		return blackboard.Placement{}, false
 	}
@@ -215,32 +226,35 @@
 	return placement, true
 }
 
-// sendable tells whether this daemon itself would send to all targets of a placement.
+// targetsAccept reports whether this daemon itself would send to all targets of a
+// placement.
 func (p *Placer) targetsAccept(a *placeAnswer) bool {
 	targets, now := p.cluster.Board.Targets, time.Now()
 	incomplete := p.cluster.Board.Directory.Incomplete()
-	willing := func(id string) bool {
-		// A coordinator knows more targets than a daemon that has only a part of their list.
+	accepts := func(id string) bool {
+		// A coordinator knows more targets than a daemon that has read only a part of the
+		// list.
 		return targets.Willing(id, now) || incomplete && targets.Address(id) == ""
 	}
 	for _, h := range a.Helpers {
-		if !willing(h.Target) {
+		if !accepts(h.Target) {
 			return false
 		}
 	}
-	return willing(a.Target) && !targets.OverLimit(a.Target, now)
+	return accepts(a.Target) && !targets.OverLimit(a.Target, now)
 }
 
-// Why a coordinator counts as lost: it did not answer in time, the link failed, or the coordinator
-// itself said no.
+// Reasons for which a coordinator counts as lost: it did not answer in time, the link
+// failed, or it refused the request.
 const (
 	lostTimeout = "timeout"
 	lostError   = "error"
 	lostRefused = "refused"
 )
 
-// lost notes that a coordinator did not answer. For a while this daemon asks another one, and
-// the pool is placed by two that do not know of each other's calls.
+// recordLostCoordinator records that a coordinator failed to answer. For a while this
+// daemon asks another one, and the pool is placed by two that do not know of each other's
+// calls.
 func (p *Placer) recordLostCoordinator(name string, t *blackboard.Ticket, err error) {
 	reason, avoid := lostError, avoidFailed
 	var refused *peer.RemoteError
@@ -264,7 +278,7 @@
 	p.notify(name, peer.KindProgress, callProgress{Attempt: t.Attempt, Ended: true, Result: blackboard.CallCancelled})
 }
 
-// ask puts the question and waits for the placement.
+// requestPlacement sends the placement request and waits for the placement.
 func (p *Placer) requestPlacement(ctx context.Context, c coordinator, t *blackboard.Ticket) (placeAnswer, error) {
 	later := make(chan placeAnswer, 1)
 	p.mu.Lock()
@@ -297,8 +311,8 @@
 	}
 }
 
-// testRequest makes the wire form of a ticket. A coordinator that is asked for the first
-// time is told of all calls that this daemon has in the pool.
+// newRequest returns the wire form of a ticket. The first request to a coordinator carries
+// all calls that this daemon has in the pool.
 func (p *Placer) newRequest(c coordinator, t *blackboard.Ticket) placeRequest {
 	q := placeRequest{
 		Attempt: t.Attempt, Request: t.Request.ID, Pool: t.Pool.Name, Account: t.Item.Account, Level: t.Item.Level,
@@ -317,9 +331,10 @@
 	return q
 }
 
-// handOver lists the calls that this daemon itself makes, for a coordinator that does
-// not know them. It is told of their ends from now on; what it never heard the end of,
-// it would count until the callers' deadlines.
+// handOverCalls lists this daemon's calls in a pool, without those that it coordinates for
+// others, for a coordinator that does not know them. From now on it gets the reports of
+// their ends; a call whose end is never reported would count there until the caller's
+// deadline.
 func (p *Placer) handOverCalls(pool, coordinator string) []blackboard.CallState {
 	calls := p.cluster.Board.Targets.Calls(pool, time.Now())
 	p.mu.Lock()
@@ -331,7 +346,8 @@
 	return calls
 }
 
-// placement counts the call at its target here too, and returns it.
+// applyPlacement counts a placed call at its target on this daemon too, and returns the
+// placement.
 func (p *Placer) applyPlacement(t *blackboard.Ticket, a *placeAnswer) blackboard.Placement {
 	now := time.Now()
 	placement := blackboard.Placement{Attempt: t.Attempt, Address: a.Address, At: now, Decision: routing.Decision{
@@ -359,8 +375,8 @@
 	}
 }
 
-// Finished tells the coordinator that a call has ended, and of a target that turned it
-// away or could not be reached.
+// Finished tells the coordinator that a call has ended, and which target, if any, rejected
+// the call or could not be reached.
 func (p *Placer) ReportFinished(attempt string, result blackboard.CallResult, suspect string, suspectFor time.Duration) {
 	p.mu.Lock()
 	name := p.placedBy[attempt]
@@ -371,8 +387,8 @@
 	}
 }
 
-// tell sends news of a call over the link that is open. What is lost is forgotten by
-// the coordinator after the call's deadline.
+// notify sends a message about a call over an open link. Where the message is lost the
+// coordinator drops the call after its deadline.
 func (p *Placer) notify(name string, kind peer.Kind, news any) {
 	if !slices.Contains(p.cluster.Hub.LinkedPeers(), name) {
 		return
@@ -380,11 +396,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), placementTimeout)
 	defer cancel()
 	if err := p.cluster.Hub.Notify(ctx, p.cluster.address(name), kind, news); err != nil {
-		p.cluster.Recorder.Log.Debug("a coordinator was not told", "peer", name, "kind", kind.String(), "error", err.Error())
+		p.cluster.Recorder.Log.Debug("message could not be sent to a coordinator", "peer", name, "kind", kind.String(), "error", err.Error())
 	}
 }
 
-// servePlaced takes a placement that came after the question was answered with "wait".
+// servePlaced handles a placement that came after the request was answered with
+// routing.Wait.
 func (p *Placer) servePlaced(_ context.Context, _ string, in placeAnswer) (empty, error) {
 	p.mu.Lock()
 	waiting := p.pending[in.Attempt]
@@ -392,7 +409,7 @@
 	if waiting != nil {
 		select {
 		case waiting <- in:
-		default: // It has an answer already.
+		default: // The request has an answer already.
 		}
 	}
 	return empty{}, nil
--- a/node/cluster/placement_test.go
+++ b/node/cluster/placement_test.go
@@ -29,7 +29,7 @@
 
 const testSecret = "a key of sixteen characters"
 
-// newTestPlacer returns the placements of a daemon that knows so many targets.
+// newTestPlacer returns the placer of a daemon that knows the given number of targets.
 func newTestPlacer(t *testing.T, targets int) *Placer {
 	t.Helper()
 	tree, err := settings.Parse([]byte(testSettings))
@@ -71,7 +71,8 @@
 	return calls
 }
 
-// TestRefusedPlacementsAreNotKept: refused questions were remembered for ever.
+// TestRefusedPlacementsAreNotKept guards against entries for refused requests that were
+// never removed.
 func TestRefusedPlacementsAreNotKept(t *testing.T) {
 	p := newTestPlacer(t, 1)
 	ticket := &blackboard.Ticket{
@@ -81,13 +82,14 @@
 		p.acceptAnswer(coordinator{name: "other"}, ticket, &placeAnswer{Attempt: "a", Verdict: verdict})
 	}
 	if len(p.placedBy) != 0 {
-		t.Fatalf("%v", p.placedBy)
+		t.Fatalf("placedBy = %v after refusals, want none", p.placedBy)
 	}
 }
 
-// TestCoordinatorCountsEachCallOnce: whatever order questions, their repetitions, calls
-// handed over and ends come in, what has ended is not counted. A question is held for 5 ms and
-// then answered later; in virtual time that does not pass before the answer is there.
+// TestCoordinatorCountsEachCallOnce checks that a call counts once while it runs and not
+// after its end, in whatever order requests, repeated requests, calls handed over and ends
+// arrive. A request is held for 5 ms and then answered later; virtual time keeps those 5 ms
+// from passing before the answer is there.
 func TestCoordinatorCountsEachCallOnce(t *testing.T) {
 	synctest.Test(t, testCountsEachCallOnce)
 }
@@ -96,9 +98,9 @@
 	p := newTestPlacer(t, 2)
 	ctx := context.Background()
 	answers := make(chan placeAnswer, 4)
-	for range 2 { // The second repeats the first.
+	for range 2 { // The second request repeats the first.
 		go func() {
-			answer, err := p.servePlace(ctx, "asker", testRequest("a"))
+			answer, err := p.servePlace(ctx, "requester", testRequest("a"))
 			if err != nil {
 				t.Error(err)
 			}
@@ -120,47 +122,48 @@
 		}
 	}
 	if placed == 0 || p.runningCalls() != 1 {
-		t.Fatalf("%d answers with a place, %d calls count", placed, p.runningCalls())
+		t.Fatalf("%d answers place the call and %d calls count, want at least 1 and 1", placed, p.runningCalls())
 	}
 	handed := testRequest("b")
 	handed.Calls = []blackboard.CallState{{Attempt: "a", Target: "t0"}, {Attempt: "old", Target: "t1"}}
-	p.adoptCalls("asker", &handed, time.Now())
-	p.adoptCalls("asker", &handed, time.Now())
+	p.adoptCalls("requester", &handed, time.Now())
+	p.adoptCalls("requester", &handed, time.Now())
 	if p.runningCalls() != 2 {
-		t.Fatalf("%d calls count after a hand-over", p.runningCalls())
+		t.Fatalf("%d calls count after two hand-overs of the same calls, want 2", p.runningCalls())
 	}
-	for _, attempt := range []string{"a", "old", "a", "never heard of"} {
+	for _, attempt := range []string{"a", "old", "a", "unknown"} {
 		p.endCall(attempt, blackboard.CallSucceeded)
 	}
 	if p.runningCalls() != 0 || len(p.coordinated) != 0 {
-		t.Fatalf("%d calls count, %d are held", p.runningCalls(), len(p.coordinated))
+		t.Fatalf("%d calls count and %d are coordinated after all ended, want none", p.runningCalls(), len(p.coordinated))
 	}
 }
 
-// TestCallsOfLostDaemonsExpire: calls and questions of a daemon that is not heard of any
-// more do not count for ever.
+// TestCallsOfLostDaemonsExpire guards against calls and requests of a lost daemon that
+// count for ever.
 func TestCallsOfLostDaemonsExpire(t *testing.T) {
 	p := newTestPlacer(t, 2)
 	now := time.Now()
 	in := testRequest("b")
 	in.Calls = []blackboard.CallState{{Attempt: "old", Target: "t1"}}
-	p.adoptCalls("asker", &in, now)
+	p.adoptCalls("requester", &in, now)
 	waiting := testRequest("waits")
 	ticket := p.newTicket(&waiting, now)
-	p.coordinated["waits"] = &coordinatedCall{requester: "asker", pool: "svc", ticket: ticket, lastRenewed: now, expires: now.Add(time.Hour)}
+	p.coordinated["waits"] = &coordinatedCall{requester: "requester", pool: "svc", ticket: ticket, lastRenewed: now, expires: now.Add(time.Hour)}
 	if list := p.expiredCalls(now.Add(placementRequestTTL / 2)); len(list) != 0 {
-		t.Fatalf("too early: %v", list)
+		t.Fatalf("expiredCalls() before the request's TTL = %v, want none", list)
 	}
 	if list := p.expiredCalls(now.Add(placementRequestTTL + time.Millisecond)); len(list) != 1 || list[0] != "waits" {
-		t.Fatalf("a question that is not repeated: %v", list)
+		t.Fatalf("expiredCalls() after the request's TTL = %v, want only the request", list)
 	}
 	if list := p.expiredCalls(now.Add(adoptedCallTTL + time.Millisecond)); len(list) != 2 {
-		t.Fatalf("%v", list)
+		t.Fatalf("expiredCalls() after the adopted call's TTL = %v, want both", list)
 	}
 }
 
-// TestLostCoordinatorIsCountedAndAvoided: which of an overloaded coordinator and a broken link it was
-// shows in the metric, and another coordinator is asked for a while.
+// TestLostCoordinatorIsCountedAndAvoided checks that the metric distinguishes an overloaded
+// coordinator from a broken link and from a refusal, and that the coordinator is passed
+// over for a while.
 func TestLostCoordinatorIsCountedAndAvoided(t *testing.T) {
 	for reason, c := range map[string]struct {
 		err   error
@@ -174,25 +177,26 @@
 		ticket := &blackboard.Ticket{Attempt: "a", Pool: p.cluster.Board.Settings.Current().Tree.Pool("svc"), Item: &admission.Item{}}
 		p.recordLostCoordinator("other", ticket, errors.Wrap(err, "ask"))
 		if n := testutil.ToFloat64(p.cluster.Recorder.Metrics.CoordinatorLost.WithLabelValues("svc", reason)); n != 1 {
-			t.Errorf("%v was counted %v times as %s", err, n, reason)
+			t.Errorf("%v was counted %v times as %s, want once", err, n, reason)
 		}
 		if left := time.Until(p.avoidUntil["other"]); left <= 0 || left > c.avoid || left < c.avoid/2 {
-			t.Errorf("after %v it is avoided for %v, want %v", err, left, c.avoid)
+			t.Errorf("after %v the coordinator is avoided for %v, want %v", err, left, c.avoid)
 		}
 	}
 }
 
-// testLimit is a limit that a target named a moment ago.
+// testLimit returns a rate limit that a target declared 1 ms ago.
 func testLimit(target string, perSecond float64) blackboard.LimitState {
 	return blackboard.LimitState{Target: target, PerSecond: perSecond, Ago: time.Millisecond}
 }
 
-// placeOne lets a coordinator answer a question of another daemon, in virtual time.
+// placeOne returns the coordinator's answer to a request of another daemon, in virtual
+// time.
 func (p *Placer) placeOne(t *testing.T, in placeRequest) placeAnswer {
 	t.Helper()
 	answers := make(chan placeAnswer, 1)
 	go func() {
-		answer, err := p.servePlace(t.Context(), "asker", in)
+		answer, err := p.servePlace(t.Context(), "requester", in)
 		if err != nil {
 			t.Error(err)
 		}
@@ -203,8 +207,8 @@
 	return <-answers
 }
 
-// placeSome lets a coordinator place questions of a daemon, which tells the limits that it knows with the
-// first of them, and counts the calls by target.
+// placeSome has a coordinator place n requests of another daemon, the first of which
+// carries the known limits, and counts the calls by target.
 func (p *Placer) placeSome(t *testing.T, known []blackboard.LimitState, n int) map[string]int {
 	t.Helper()
 	got := map[string]int{}
@@ -220,19 +224,21 @@
 	return got
 }
 
-// TestNewCoordinatorLearnsLimitsFromRequests: it has heard of none itself.
+// TestNewCoordinatorLearnsLimitsFromRequests checks that a coordinator without limits of
+// its own keeps to those that the first request carries.
 func TestNewCoordinatorLearnsLimitsFromRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPlacer(t, 2)
 		got := p.placeSome(t, []blackboard.LimitState{testLimit("t0", 1)}, 20)
 		if got["t0"] > 1 || got["t0"]+got["t1"] != 20 {
-			t.Errorf("%v", got)
+			t.Errorf("calls by target = %v, want 20 in all and at most 1 at t0", got)
 		}
 	})
 }
 
-// TestPlacementCarriesTargetLimit: the asker may not have heard of it, and is the one
-// who hears that it is lifted.
+// TestPlacementCarriesTargetLimit checks that the requesting daemon learns the limit of the
+// chosen target: it may not know the limit, and only its call can show that the limit is
+// lifted.
 func TestPlacementCarriesTargetLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPlacer(t, 1)
@@ -241,48 +247,50 @@
 		}
 		answer := p.placeOne(t, testRequest("a"))
 		if answer.Limit == nil || answer.Limit.PerSecond != 3 {
-			t.Fatalf("%+v", answer.Limit)
+			t.Fatalf("limit in the answer = %+v, want 3 a second", answer.Limit)
 		}
-		asker := newTestPlacer(t, 1)
-		ticket := &blackboard.Ticket{Attempt: "a", Pool: asker.cluster.Board.Settings.Current().Tree.Pool("svc"), Item: &admission.Item{}}
-		asker.acceptAnswer(coordinator{name: "other"}, ticket, &answer)
-		if limits := asker.cluster.Board.Targets.Limits("svc", time.Now()); len(limits) != 1 || limits[0].PerSecond != 3 {
-			t.Errorf("the asker knows %+v", limits)
+		requester := newTestPlacer(t, 1)
+		ticket := &blackboard.Ticket{Attempt: "a", Pool: requester.cluster.Board.Settings.Current().Tree.Pool("svc"), Item: &admission.Item{}}
+		requester.acceptAnswer(coordinator{name: "other"}, ticket, &answer)
+		if limits := requester.cluster.Board.Targets.Limits("svc", time.Now()); len(limits) != 1 || limits[0].PerSecond != 3 {
+			t.Errorf("limits known to the requesting daemon = %+v, want 3 a second of t0", limits)
 		}
 	})
 }
 
-// TestPlacementOverKnownLimitIsNotAccepted: a daemon's own calls never pass a limit that it knows.
+// TestPlacementOverKnownLimitIsNotAccepted checks that a daemon's calls keep to a limit
+// that it knows where the coordinator does not know it.
 func TestPlacementOverKnownLimitIsNotAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPlacer(t, 1)
 		p.mergeLimits("svc", []blackboard.LimitState{testLimit("t0", 1)}, time.Now())
-		followed := 0
+		accepted := 0
 		const seconds, perSecond = 10, 20
 		for i := range seconds * perSecond {
 			ticket := &blackboard.Ticket{Attempt: fmt.Sprint("a", i), Pool: p.cluster.Board.Settings.Current().Tree.Pool("svc"), Item: &admission.Item{}}
 			if _, ok := p.acceptAnswer(coordinator{name: "other"}, ticket, &placeAnswer{Attempt: ticket.Attempt, Verdict: routing.Place, Target: "t0"}); ok {
-				followed++
+				accepted++
 			}
 			controller.Sleep(t.Context(), time.Second/perSecond)
 		}
-		if followed < seconds || followed > seconds+3 {
-			t.Errorf("%d calls followed in %d s, named is 1 a second", followed, seconds)
+		if accepted < seconds || accepted > seconds+3 {
+			t.Errorf("%d placements accepted in %d s, want about 1 a second", accepted, seconds)
 		}
 	})
 }
 
-// TestLimitIsLiftedOnlyByLaterCall: a word that is older than the limit lifts nothing.
+// TestLimitIsLiftedOnlyByLaterCall checks that the answer to a call sent before the limit
+// was declared does not lift it.
 func TestLimitIsLiftedOnlyByLaterCall(t *testing.T) {
 	p := newTestPlacer(t, 1)
 	now := time.Now()
 	p.mergeLimits("svc", []blackboard.LimitState{testLimit("t0", 1)}, now)
 	p.mergeLimits("svc", []blackboard.LimitState{{Target: "t0", Lifted: true, Ago: time.Second}}, now.Add(100*time.Millisecond))
 	if len(p.cluster.Board.Targets.Limits("svc", now)) != 1 {
-		t.Error("a call sent before the limit was named lifts it")
+		t.Error("a call sent before the limit was declared lifted it")
 	}
 	p.mergeLimits("svc", []blackboard.LimitState{{Target: "t0", Lifted: true, Ago: 50 * time.Millisecond}}, now.Add(100*time.Millisecond))
 	if len(p.cluster.Board.Targets.Limits("svc", now)) != 0 {
-		t.Error("the limit is not lifted")
+		t.Error("a call sent after the limit was declared did not lift it")
 	}
 }
--- a/node/cluster/settingsnews.go
+++ b/node/cluster/settingsfetch.go
@@ -9,12 +9,13 @@
 	"github.com/go-faster/errors"
 )
 
-// settingsRequest asks for what changed after a revision; zero asks for the whole.
+// settingsRequest asks for the changes after a revision; zero asks for the complete
+// settings.
 type settingsRequest struct {
 	Since int64 `cbor:"1,keyasint"`
 }
 
-// settingsAnswer holds packed changes.
+// settingsAnswer holds compressed changes of settings.
 type settingsAnswer struct {
 	Compressed []byte `cbor:"1,keyasint"`
 }
@@ -22,13 +23,13 @@
 func (c *Cluster) serveChanges(_ context.Context, _ string, in settingsRequest) (settingsAnswer, error) {
 	view := c.Board.Settings.Current()
 	if view == nil {
-		return settingsAnswer{}, errors.New("there are no settings here yet")
+		return settingsAnswer{}, errors.New("this daemon has no settings yet")
 	}
 	packed, err := c.changesCache.get(view.Snapshot, in.Since)
 	return settingsAnswer{packed}, err
 }
 
-// revision is the settings revision in force, zero before the first.
+// revision returns the settings revision in force, zero before the first.
 func (c *Cluster) revision() int64 {
 	if view := c.Board.Settings.Current(); view != nil {
 		return view.Revision
@@ -36,7 +37,7 @@
 	return 0
 }
 
-// catchUp fetches settings that a peer has and this daemon has not.
+// updateSettings fetches and applies settings that are newer at a peer.
 func (c *Cluster) updateSettings(ctx context.Context, h heartbeatReport) {
 	own := c.revision()
 	if h.revision <= own || h.revision == c.Board.Settings.Rejected().Revision {
@@ -50,18 +51,18 @@
 	}
 	err := c.fetchSettings(ctx, h, own)
 	if errors.Is(err, settings.ErrDigestMismatch) {
-		// The peer did not see all the changes that this daemon saw.
-		c.Recorder.Log.Info("a difference of settings does not fit; the whole is fetched", "peer", h.from, "revision", h.revision, "since", own)
+		// The peer has not seen all the changes that this daemon has seen.
+		c.Recorder.Log.Info("changes of settings do not apply; fetching the complete settings", "peer", h.from, "revision", h.revision, "since", own)
 		err = c.fetchSettings(ctx, h, 0)
 	}
 	if err != nil && !errors.Is(err, settings.ErrNotNewer) {
-		c.Recorder.Log.Warn("settings could not be taken from a peer", "peer", h.from, "revision", h.revision, "error", err.Error())
+		c.Recorder.Log.Warn("settings could not be fetched from a peer", "peer", h.from, "revision", h.revision, "error", err.Error())
 	}
 }
 
-// fetchSettings fetches what changed after a revision and offers it.
+// fetchSettings fetches the changes after a revision from a peer and applies them.
 func (c *Cluster) fetchSettings(ctx context.Context, h heartbeatReport, since int64) error {
-	began := time.Now()
+	start := time.Now()
 	var answer settingsAnswer
 	if err := c.settingsFetcher.fetch(ctx, h.from, peer.KindSettingsChanges, settingsRequest{Since: since}, &answer); err != nil {
 		return err
@@ -71,6 +72,6 @@
 		return err
 	}
 	c.Recorder.Log.Info("settings were fetched", "peer", h.from, "revision", changes.Revision, "since", changes.Since,
-		"bytes", len(answer.Compressed), "unpacked", changes.Size(), "took_ms", time.Since(began).Milliseconds())
+		"bytes", len(answer.Compressed), "unpacked", changes.Size(), "took_ms", time.Since(start).Milliseconds())
 	return c.Settings.Apply(changes, "peer "+h.from)
 }
--- a/node/cluster/seek.go
+++ b/node/cluster/sharerequest.go
@@ -8,31 +8,31 @@
 	"doorstack.dev/core/settings"
 )
 
-// Bounds of asking for a share out of turn.
+// Bounds of requests for a share between renewals.
 const (
 	shareRequestTimeout = 250 * time.Millisecond
-	// minShareRequestInterval is the least time between two such questions for an account, so
-	// that a flood of refused requests does not become a flood of questions.
+	// minShareRequestInterval is the least time between two such requests for an account,
+	// so that many rejected calls do not cause as many requests.
 	minShareRequestInterval = 250 * time.Millisecond
 )
 
-// shareRequest is a question for a share, under way or lately answered.
+// shareRequest is a request for a share, in flight or recently answered.
 type shareRequest struct {
 	sent time.Time
 	done chan struct{}
 }
 
-// Seek implements requestcontrol.ShareRequester: it asks the account's owner for a
-// lease at once, instead of at the next renewal. Requests that come while the
-// question is under way wait for the same answer.
+// Seek implements requestcontrol.ShareRequester. It asks the account's owner for a lease at
+// once instead of at the next renewal. Calls that come while the request is in flight wait
+// for the same answer.
 func (c *Cluster) RequestShare(ctx context.Context, account string, rules *settings.Rules, promptTokens int64) bool {
 	now := time.Now()
 	living, listed := c.Board.Members.Living()
 	if listed <= 1 {
 		return false
 	}
-	s, mine := c.startShareRequest(account, now)
-	if !mine {
+	s, isNew := c.startShareRequest(account, now)
+	if !isNew {
 		return awaitShareRequest(ctx, s)
 	}
 	defer close(s.done)
@@ -43,9 +43,10 @@
 	return true
 }
 
-// startSeek returns the question for an account, and whether it is the caller's
-// to ask; nil means that one was asked too lately.
-func (c *Cluster) startShareRequest(account string, now time.Time) (s *shareRequest, mine bool) {
+// startShareRequest returns the current request for an account, and whether it is a new
+// one, which the caller has to send. A request sent within minShareRequestInterval is
+// returned instead of a new one.
+func (c *Cluster) startShareRequest(account string, now time.Time) (s *shareRequest, isNew bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	last := c.shareRequests[account]
@@ -57,8 +58,9 @@
 	return s, true
 }
 
-// awaitShareRequest waits for a question's answer, if it is still under way. One that was
-// answered just now may have been answered after the caller was refused.
+// awaitShareRequest waits for the answer of a request in flight, and reports whether there
+// is one. A request answered just now counts, since the answer may have come after the
+// caller was refused.
 func awaitShareRequest(ctx context.Context, s *shareRequest) bool {
 	select {
 	case <-s.done:
--- a/node/cluster/shares.go
+++ b/node/cluster/shares.go
@@ -13,7 +13,7 @@
 	"doorstack.dev/node/peer"
 )
 
-// renewal is a request for a lease on the wire.
+// renewal asks an account's owner to renew a lease, in wire form.
 type renewal struct {
 	Account       string  `cbor:"1,keyasint"`
 	Demand        float64 `cbor:"2,keyasint"`
@@ -21,16 +21,18 @@
 	AckedSequence uint64  `cbor:"4,keyasint,omitempty"`
 }
 
-// grantAnswer is a lease on the wire.
+// grantAnswer is a granted lease, in wire form.
 type grantAnswer struct {
 	Account  string  `cbor:"1,keyasint"`
 	Sequence uint64  `cbor:"2,keyasint"`
 	Fraction float64 `cbor:"3,keyasint"`
 }
 
+// renewTimeout bounds a request for leases on shares or targets, or for the leases that a
+// daemon holds.
 const renewTimeout = time.Second
 
-// runShares renews the leases on the limits of accounts in use.
+// runShares renews the leases on the limits of accounts in use until ctx ends.
 func (c *Cluster) runShares(ctx context.Context) {
 	last := time.Now()
 	for ctx.Err() == nil {
@@ -42,7 +44,7 @@
 	}
 }
 
-// demandOf turns what callers asked for into a part of the account's limits.
+// demandOf returns the callers' demand in a period as a fraction of the account's limits.
 func demandOf(a *blackboard.AccountDemand, r *settings.Rules, period time.Duration) float64 {
 	seconds := period.Seconds()
 	return max(
@@ -52,6 +54,8 @@
 	)
 }
 
+// renewShares renews this daemon's leases with the accounts' owners, with one request to each.
+// period is the time since the last renewal, in which the demand arose.
 func (c *Cluster) renewShares(ctx context.Context, now time.Time, period time.Duration) {
 	view := c.Board.Settings.Current()
 	if view == nil {
@@ -85,15 +89,15 @@
 	return renewal{Account: account, Demand: r.Demand, Fraction: r.Fraction, AckedSequence: r.AckedSequence}
 }
 
-func (c *Cluster) renewAt(ctx context.Context, owner string, renewals []renewal, asked time.Time) {
+func (c *Cluster) renewAt(ctx context.Context, owner string, renewals []renewal, requestedAt time.Time) {
 	var grants []grantAnswer
 	if owner == c.Board.Self.Name {
 		grants, _ = c.serveRenew(ctx, owner, renewals)
 	} else if err := c.call(ctx, owner, peer.KindRenew, renewals, &grants, renewTimeout); err != nil {
-		return // The leases run on until they end; the next round asks again.
+		return // The leases stay valid until they expire; the next round retries.
 	}
 	for _, g := range grants {
-		c.Board.Shares.Accept(g.Account, share.Grant{Sequence: g.Sequence, Fraction: g.Fraction}, asked)
+		c.Board.Shares.Accept(g.Account, share.Grant{Sequence: g.Sequence, Fraction: g.Fraction}, requestedAt)
 	}
 }
 
@@ -112,8 +116,8 @@
 	return c.Board.Shares.Holdings(time.Now()), nil
 }
 
-// collectHoldings asks all listed daemons, once at the start, for the leases they
-// have. If all answer, this daemon need not wait before it leases out limits.
+// collectHoldings asks all listed daemons for the leases that they hold, once at the start.
+// If all answer, this daemon need not wait before it grants leases.
 func (c *Cluster) collectHoldings(ctx context.Context) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -137,6 +141,7 @@
 	}
 }
 
+// adoptHoldings takes over the leases that a daemon reports, and reports whether it answered.
 func (c *Cluster) adoptHoldings(ctx context.Context, name string) bool {
 	var holdings []blackboard.Holding
 	if err := c.call(ctx, name, peer.KindHoldings, empty{}, &holdings, renewTimeout); err != nil {
@@ -146,8 +151,8 @@
 	return true
 }
 
-// joined takes in the leases of a daemon that came to life. If it does not tell
-// them, nothing is raised until they have run out.
+// daemonJoined takes over the leases of a daemon that became alive. If that daemon does not
+// report them, no grant is raised until they have expired.
 func (c *Cluster) daemonJoined(ctx context.Context, name string) {
 	if name != c.Board.Self.Name && !c.adoptHoldings(ctx, name) {
 		c.Board.Shares.Joined(time.Now())
--- a/node/cluster/targetnews.go
+++ b/node/cluster/targetsfetch.go
@@ -10,11 +10,12 @@
 	"doorstack.dev/node/peer"
 )
 
-// restFetchSpread is the time over which daemons that know the first page of a long list fetch the rest
-// from those that watch the store: these place the calls of all, over the same links.
+// restFetchSpread is the time over which daemons that know only the first page of a long
+// list spread their fetches of the rest. They fetch it from the daemons that watch the
+// store, which also place the calls of the fleet over the same links.
 const restFetchSpread = 1200 * time.Millisecond
 
-// targetsRequest asks for the facts of targets above a position.
+// targetsRequest asks for the updates of targets above a position.
 type targetsRequest struct {
 	Since hostlist.Position `cbor:"1,keyasint"`
 }
@@ -23,7 +24,7 @@
 	return c.Board.Directory.Since(in.Since), nil
 }
 
-// catchUpTargets fetches what a peer knows of targets and this daemon does not.
+// updateTargets fetches and applies target updates that are newer at a peer.
 func (c *Cluster) updateTargets(ctx context.Context, h heartbeatReport) {
 	if !c.openFleet() || h.targets <= c.Board.Directory.Revision() {
 		return
