--- a/node/cluster/claims.go
+++ b/node/cluster/claims.go
@@ -218,7 +218,7 @@
 	return empty{}, nil
 }
 
-// Conclude implements requestcontrol.Claimer. A call that certainly did not run frees its
+// RecordOutcome implements requestcontrol.Claimer. A call that certainly did not run frees its
 // key, since its attempt will not be sent any more.
 func (c *Cluster) RecordOutcome(in requestcontrol.Claim, o blackboard.Outcome) {
 	message := attemptMessage{Key: in.Key, Attempt: in.Attempt, Outcome: o}
--- a/node/cluster/limits.go
+++ b/node/cluster/limits.go
@@ -21,7 +21,7 @@
 	Limit blackboard.LimitState `cbor:"2,keyasint"`
 }
 
-// LimitSaid tells the pool's coordinator what a target declared about its rate limit in the
+// ReportLimit tells the pool's coordinator what a target declared about its rate limit in the
 // answer to a call sent at the given time.
 func (p *Placer) ReportLimit(pool, target string, said forward.Limit, sent time.Time) {
 	now := time.Now()
--- a/node/cluster/placement.go
+++ b/node/cluster/placement.go
@@ -365,7 +365,7 @@
 	return placement
 }
 
-// PromptRead tells the coordinator that a call's prompt was read.
+// ReportPrefillDone tells the coordinator that a call's prompt was read.
 func (p *Placer) ReportPrefillDone(attempt string) {
 	p.mu.Lock()
 	name := p.placedBy[attempt]
@@ -375,7 +375,7 @@
 	}
 }
 
-// Finished tells the coordinator that a call has ended, and which target, if any, rejected
+// ReportFinished tells the coordinator that a call has ended, and which target, if any, rejected
 // the call or could not be reached.
 func (p *Placer) ReportFinished(attempt string, result blackboard.CallResult, suspect string, suspectFor time.Duration) {
 	p.mu.Lock()
--- a/node/cluster/sharerequest.go
+++ b/node/cluster/sharerequest.go
@@ -22,7 +22,7 @@
 	done chan struct{}
 }
 
-// Seek implements requestcontrol.ShareRequester. It asks the account's owner for a lease at
+// RequestShare implements requestcontrol.ShareRequester. It asks the account's owner for a lease at
 // once instead of at the next renewal. Calls that come while the request is in flight wait
 // for the same answer.
 func (c *Cluster) RequestShare(ctx context.Context, account string, rules *settings.Rules, promptTokens int64) bool {
--- a/node/cluster/verdicts.go
+++ b/node/cluster/verdicts.go
@@ -27,7 +27,7 @@
 	trialTimeout = 100 * time.Millisecond
 )
 
-// Crashed implements requestcontrol.CrashReporter. It reports a crash to the request's
+// NotifyCrash implements requestcontrol.CrashReporter. It reports a crash to the request's
 // trackers.
 func (c *Cluster) NotifyCrash(crash poison.Crash) {
 	living, _ := c.Board.Members.Living()
@@ -58,7 +58,7 @@
 	return empty{}, nil
 }
 
-// MayTry implements requestcontrol.CrashReporter. The request's first tracker decides, so
+// RequestTrial implements requestcontrol.CrashReporter. The request's first tracker decides, so
 // that only one daemon of the fleet tries the request.
 func (c *Cluster) RequestTrial(ctx context.Context, request poison.Key) bool {
 	living, _ := c.Board.Members.Living()
@@ -83,7 +83,7 @@
 	return granted, nil
 }
 
-// Spread implements requestcontrol.CrashReporter. It sends a verdict to all neighbours.
+// BroadcastVerdict implements requestcontrol.CrashReporter. It sends a verdict to all neighbours.
 func (c *Cluster) BroadcastVerdict(v poison.Verdict) { c.sendVerdicts([]poison.Verdict{v}, "") }
 
 // sendVerdicts sends verdicts over all open links but the one that they came over. Lost
