--- a/node/api/paths.go
+++ b/node/api/paths.go
@@ -70,7 +70,7 @@
 	if err := s.take(c); err != nil {
 		return err
 	}
-	defer s.board.End()
+	defer s.board.EndRequest()
 	c.view = s.board.Settings.Current()
 	if err := s.resolve(c); err != nil {
 		return err
@@ -127,7 +127,7 @@
 
 // checkLag refuses a call that this daemon, behind its own events, cannot serve in time.
 func (s *pathServer) checkLag(c *pathCall) error {
-	behind := admission.OverloadCheck{Lag: s.board.Lag.Standing(time.Now()), Goal: c.path.Goal}
+	behind := admission.OverloadCheck{Lag: s.board.Lag.Sustained(time.Now()), Goal: c.path.Goal}
 	if !behind.Refuse() {
 		return nil
 	}
@@ -150,7 +150,7 @@
 // starting gathers what is known for a call that comes before the daemon serves.
 func (s *pathServer) starting(c *pathCall) admission.Starting {
 	known := admission.Starting{Age: s.board.Age(), CallerTimeout: c.Timeout}
-	s.board.Members.View(func(t *membership.Table) { known.OtherDaemons, known.OthersServe = t.CountOthers() })
+	s.board.Members.WithLock(func(t *membership.Table) { known.OtherDaemons, known.OthersServe = t.CountOthers() })
 	return known
 }
 
--- a/node/api/server.go
+++ b/node/api/server.go
@@ -109,10 +109,10 @@
 }
 
 func (s *Server) run(x *exchange, serve func(*exchange) error) error {
-	if !s.board.Begin() {
+	if !s.board.BeginRequest() {
 		return s.notServing(x)
 	}
-	defer s.board.End()
+	defer s.board.EndRequest()
 	x.view = s.board.Settings.Current()
 	key, found := strings.CutPrefix(x.r.Header.Get("Authorization"), "Bearer ")
 	if !found {
--- a/node/blackboard/accounts.go
+++ b/node/blackboard/accounts.go
@@ -11,7 +11,7 @@
 type AccountTable struct {
 	mu       Mutex
 	accounts map[string]*accountState
-	fallback ShareFunc
+	shareOf  ShareFunc
 }
 
 // ShareFunc says which part of an account's limits this daemon may use. It is
@@ -19,17 +19,17 @@
 type ShareFunc func(account string, rules *settings.Rules) admission.Share
 
 type accountState struct {
-	usage  *admission.Usage
-	retry  *admission.RetryBudget
-	active time.Time
+	usage       *admission.Usage
+	retryBudget *admission.RetryBudget
+	lastUsed    time.Time
 }
 
 func newAccountTable() *AccountTable {
-	return &AccountTable{mu: NewMutex(RankAccounts), accounts: map[string]*accountState{}, fallback: wholeShare}
+	return &AccountTable{mu: NewMutex(RankAccounts), accounts: map[string]*accountState{}, shareOf: fullShare}
 }
 
-// wholeShare is the share of a daemon that is alone.
-func wholeShare(_ string, r *settings.Rules) admission.Share {
+// fullShare is the share of a daemon that is alone.
+func fullShare(_ string, r *settings.Rules) admission.Share {
 	return admission.Share{
 		RequestsPerSecond:     r.RequestsPerSecond,
 		PromptTokensPerSecond: r.PromptTokensPerSecond,
@@ -38,19 +38,19 @@
 }
 
 // SetShares sets where shares come from. It is called before requests are taken.
-func (t *AccountTable) SetShares(f ShareFunc) { t.fallback = f }
+func (t *AccountTable) SetShareFunc(f ShareFunc) { t.shareOf = f }
 
 // Admit takes a request into the limits of its account.
 func (t *AccountTable) Admit(account string, rules *settings.Rules, promptTokens int64, at time.Time) admission.Verdict {
-	share := t.fallback(account, rules)
+	share := t.shareOf(account, rules)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	a := t.state(account, share, at)
 	a.usage.SetShare(share, at)
-	a.active = at
+	a.lastUsed = at
 	v := a.usage.Admit(promptTokens, at)
 	if v.Limit == admission.LimitNone {
-		a.retry.CountRequest(rules.RetryShare)
+		a.retryBudget.CountRequest(rules.RetryShare)
 	}
 	return v
 }
@@ -58,7 +58,7 @@
 func (t *AccountTable) state(account string, share admission.Share, at time.Time) *accountState {
 	a := t.accounts[account]
 	if a == nil {
-		a = &accountState{usage: admission.NewUsage(share, at), retry: admission.NewRetryBudget()}
+		a = &accountState{usage: admission.NewUsage(share, at), retryBudget: admission.NewRetryBudget()}
 		t.accounts[account] = a
 	}
 	return a
@@ -74,11 +74,11 @@
 }
 
 // Retry takes a retry out of the account's budget.
-func (t *AccountTable) Retry(account string) bool {
+func (t *AccountTable) TakeRetry(account string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	a := t.accounts[account]
-	return a != nil && a.retry.TakeRetry()
+	return a != nil && a.retryBudget.TakeRetry()
 }
 
 // AccountDemand is the demand of an account at this daemon since the last look.
@@ -88,8 +88,8 @@
 	Running int
 }
 
-// idleAfter is how long an unused account keeps its state.
-const idleAfter = 10 * time.Minute
+// idleRetention is how long an unused account keeps its state.
+const idleRetention = 10 * time.Minute
 
 // TakeDemand returns the demand of all accounts in use and forgets idle ones.
 func (t *AccountTable) TakeDemand(at time.Time) []AccountDemand {
@@ -97,7 +97,7 @@
 	defer t.mu.Unlock()
 	var list []AccountDemand
 	for name, a := range t.accounts {
-		if a.usage.Running == 0 && at.Sub(a.active) > idleAfter {
+		if a.usage.Running == 0 && at.Sub(a.lastUsed) > idleRetention {
 			delete(t.accounts, name)
 			continue
 		}
--- a/node/blackboard/blackboard.go
+++ b/node/blackboard/blackboard.go
@@ -23,7 +23,7 @@
 	// DataCentre and Region say where the daemon stands.
 	DataCentre, Region string
 	// Peer is the address of its listener for peers.
-	Peer string
+	PeerAddress string
 	// Cores is how much of a processor the host gives the daemon, in cores; zero where that
 	// is not known.
 	Cores float64
@@ -65,13 +65,13 @@
 	Lag       *LagTable
 	Poison    *PoisonTable
 
-	sync     Mutex // makes SyncTargets one step
-	phase    atomic.Int32
-	startup  startup
-	began    time.Time     // when the process started
-	started  chan struct{} // closed at the end of Starting
-	inFlight atomic.Int64
-	closed   atomic.Bool
+	syncMu        Mutex // makes SyncTargets one step
+	phase         atomic.Int32
+	reachedStages stageSet
+	processStart  time.Time     // when the process started
+	started       chan struct{} // closed at the end of Starting
+	inFlight      atomic.Int64
+	forwardClosed atomic.Bool
 }
 
 // Limits bound the memory of the blackboard.
@@ -90,24 +90,24 @@
 // New returns an empty blackboard for a daemon that is starting.
 func New(self Identity, limits Limits) *Blackboard {
 	return &Blackboard{
-		sync:      NewMutex(RankSync),
-		Self:      self,
-		Queues:    newQueueTable(),
-		Targets:   newTargetTable(),
-		Accounts:  newAccountTable(),
-		Repeats:   newRepeatTable(),
-		Prefixes:  newPrefixTable(limits.PrefixEntries),
-		Settings:  newSettingsTable(),
-		Directory: newDirectoryTable(),
-		Members:   newMemberTable(self),
-		Claims:    newClaimTable(time.Now()),
-		Shares:    newShareTable(),
-		Leases:    newLeaseTable(time.Now()),
-		Decisions: newDecisionTable(limits.DecisionBytes),
-		Lag:       newLagTable(),
-		Poison:    newPoisonTable(),
-		began:     time.Now(),
-		started:   make(chan struct{}),
+		syncMu:       NewMutex(RankSync),
+		Self:         self,
+		Queues:       newQueueTable(),
+		Targets:      newTargetTable(),
+		Accounts:     newAccountTable(),
+		Repeats:      newRepeatTable(),
+		Prefixes:     newPrefixTable(limits.PrefixEntries),
+		Settings:     newSettingsTable(),
+		Directory:    newDirectoryTable(),
+		Members:      newMemberTable(self),
+		Claims:       newClaimTable(time.Now()),
+		Shares:       newShareTable(),
+		Leases:       newLeaseTable(time.Now()),
+		Decisions:    newDecisionTable(limits.DecisionBytes),
+		Lag:          newLagTable(),
+		Poison:       newPoisonTable(),
+		processStart: time.Now(),
+		started:      make(chan struct{}),
 	}
 }
 
@@ -115,8 +115,8 @@
 // step: two of them, after a list and after settings that came at one time, must
 // not end with the older one's view.
 func (b *Blackboard) SyncTargets() {
-	b.sync.Lock()
-	defer b.sync.Unlock()
+	b.syncMu.Lock()
+	defer b.syncMu.Unlock()
 	view := b.Settings.Current()
 	if view == nil {
 		return
@@ -147,11 +147,11 @@
 func (b *Blackboard) Started() <-chan struct{} { return b.started }
 
 // Age is how long ago the process started.
-func (b *Blackboard) Age() time.Duration { return time.Since(b.began) }
+func (b *Blackboard) Age() time.Duration { return time.Since(b.processStart) }
 
 // Begin counts a request in, unless the daemon takes nothing new. Each Begin
 // that returned true needs one End.
-func (b *Blackboard) Begin() bool {
+func (b *Blackboard) BeginRequest() bool {
 	b.inFlight.Add(1)
 	if b.Phase() == Serving {
 		return true
@@ -166,7 +166,7 @@
 // needs one End.
 func (b *Blackboard) BeginForward() bool {
 	b.inFlight.Add(1)
-	if b.Phase() != Starting && !b.closed.Load() && b.Settings.Current() != nil {
+	if b.Phase() != Starting && !b.forwardClosed.Load() && b.Settings.Current() != nil {
 		return true
 	}
 	b.inFlight.Add(-1)
@@ -174,10 +174,10 @@
 }
 
 // CloseForward makes a leaving daemon refuse forwarded calls.
-func (b *Blackboard) CloseForward() { b.closed.Store(true) }
+func (b *Blackboard) CloseForward() { b.forwardClosed.Store(true) }
 
 // End counts a request out.
-func (b *Blackboard) End() { b.inFlight.Add(-1) }
+func (b *Blackboard) EndRequest() { b.inFlight.Add(-1) }
 
 // InFlight is the number of requests between Begin and End.
 func (b *Blackboard) InFlight() int64 { return b.inFlight.Load() }
--- a/node/blackboard/claims.go
+++ b/node/blackboard/claims.go
@@ -21,7 +21,7 @@
 	mu       Mutex
 	witness  *claim.Witness
 	outcomes map[string]*list.Element // by key
-	recent   *list.List               // of *outcomeEntry, the oldest first
+	byAge    *list.List               // of *outcomeEntry, the oldest first
 	bytes    int64
 	running  map[string]*runningCall // by attempt
 }
@@ -49,13 +49,13 @@
 func newClaimTable(now time.Time) *ClaimTable {
 	return &ClaimTable{
 		mu: NewMutex(RankClaims), witness: claim.NewWitness(now),
-		outcomes: map[string]*list.Element{}, recent: list.New(), running: map[string]*runningCall{},
+		outcomes: map[string]*list.Element{}, byAge: list.New(), running: map[string]*runningCall{},
 	}
 }
 
 // Ask answers a claim as a witness, with the outcome where the key is taken and
 // it is known.
-func (t *ClaimTable) Ask(r claim.Request, at time.Time) (claim.Reply, *Outcome) {
+func (t *ClaimTable) AnswerClaim(r claim.Request, at time.Time) (claim.Reply, *Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	reply := t.witness.Claim(r, at)
@@ -86,7 +86,7 @@
 }
 
 // Conclude keeps an outcome, as its daemon or as a witness.
-func (t *ClaimTable) Conclude(key, attempt string, o Outcome, at time.Time) {
+func (t *ClaimTable) RecordOutcome(key, attempt string, o Outcome, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	entry := &outcomeEntry{key: key, attempt: attempt, outcome: o, at: at, bytes: outcomeOverhead + int64(len(key))}
@@ -97,24 +97,24 @@
 			entry.bytes += int64(len(o.Answer.Body))
 		}
 	}
-	t.drop(t.outcomes[key])
-	t.outcomes[key] = t.recent.PushBack(entry)
+	t.removeOutcome(t.outcomes[key])
+	t.outcomes[key] = t.byAge.PushBack(entry)
 	t.bytes += entry.bytes
-	for front := t.recent.Front(); front != nil; front = t.recent.Front() {
+	for front := t.byAge.Front(); front != nil; front = t.byAge.Front() {
 		old := front.Value.(*outcomeEntry)
 		if t.bytes <= maxOutcomeBytes && at.Sub(old.at) < claim.ClaimWindow {
 			break
 		}
-		t.drop(front)
+		t.removeOutcome(front)
 	}
 }
 
-func (t *ClaimTable) drop(e *list.Element) {
+func (t *ClaimTable) removeOutcome(e *list.Element) {
 	if e == nil {
 		return
 	}
 	entry := e.Value.(*outcomeEntry)
-	t.recent.Remove(e)
+	t.byAge.Remove(e)
 	delete(t.outcomes, entry.key)
 	t.bytes -= entry.bytes
 }
--- a/node/blackboard/cost_test.go
+++ b/node/blackboard/cost_test.go
@@ -11,7 +11,7 @@
 	"doorstack.dev/node/target"
 )
 
-const poolDocument = `
+const testSettings = `
 engine_kinds: {k: {protocol: engine, memory_tokens: 450000, prefill_tokens_per_second: 20000}}
 pools: {llm: {kind: k, model: m}}
 tree: {routes: {chat: {pool: llm}}}
@@ -27,7 +27,7 @@
 
 // benchmarkReport measures taking in a load report, and the memory of a target.
 func benchmarkReport(b *testing.B, n int) {
-	tree, err := settings.Parse([]byte(poolDocument))
+	tree, err := settings.Parse([]byte(testSettings))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -38,14 +38,14 @@
 	table.Sync(targetHosts(n), tree, time.Now())
 	report := target.LoadReport{Running: 12, UsedTokens: 100_000, MemoryTokens: 450_000, Models: []string{"m"}}
 	for i := range n {
-		table.Report(fmt.Sprint("t", i), report, time.Now())
+		table.RecordReport(fmt.Sprint("t", i), report, time.Now())
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	i := 0
 	for b.Loop() {
 		i++
-		table.Report(fmt.Sprint("t", i%n), report, time.Now())
+		table.RecordReport(fmt.Sprint("t", i%n), report, time.Now())
 	}
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(n), "B/target")
 }
--- a/node/blackboard/directory.go
+++ b/node/blackboard/directory.go
@@ -18,7 +18,7 @@
 }
 
 // View runs f on the table under its lock. f must not keep it.
-func (t *DirectoryTable) View(f func(*hostlist.Table)) {
+func (t *DirectoryTable) WithLock(f func(*hostlist.Table)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f(t.table)
@@ -47,28 +47,28 @@
 
 // MergeFacts takes facts in and puts a changed list in force. It tells whether the
 // list has changed.
-func (b *Blackboard) MergeFacts(f hostlist.Update, at time.Time) bool {
-	return b.changeDirectory(at, func(t *hostlist.Table) bool { return t.Merge(f, at) })
+func (b *Blackboard) MergeUpdate(f hostlist.Update, at time.Time) bool {
+	return b.updateDirectory(at, func(t *hostlist.Table) bool { return t.Merge(f, at) })
 }
 
 // TickDirectory ends doubts about targets whose entries ran out.
-func (b *Blackboard) TickDirectory(at time.Time) bool {
-	return b.changeDirectory(at, func(t *hostlist.Table) bool { return t.Tick(at) })
+func (b *Blackboard) ConfirmRemovals(at time.Time) bool {
+	return b.updateDirectory(at, func(t *hostlist.Table) bool { return t.Tick(at) })
 }
 
-func (b *Blackboard) changeDirectory(at time.Time, change func(*hostlist.Table) bool) bool {
+func (b *Blackboard) updateDirectory(at time.Time, change func(*hostlist.Table) bool) bool {
 	changed := false
-	b.Directory.View(func(t *hostlist.Table) { changed = change(t) })
+	b.Directory.WithLock(func(t *hostlist.Table) { changed = change(t) })
 	if changed || !b.Members.HasHosts() {
-		b.syncDirectory(at)
+		b.publishDirectory(at)
 	}
 	return changed
 }
 
 // syncDirectory takes the directory's list to the tables that work with it.
-func (b *Blackboard) syncDirectory(at time.Time) {
+func (b *Blackboard) publishDirectory(at time.Time) {
 	list := hostlist.List{AsOf: at}
-	b.Directory.View(func(t *hostlist.Table) { list.Hosts, list.Revision = t.Hosts(), int64(t.Revision()) })
+	b.Directory.WithLock(func(t *hostlist.Table) { list.Hosts, list.Revision = t.Hosts(), int64(t.Revision()) })
 	b.Members.SetTargets(list, at)
 	b.SyncTargets()
 }
--- a/node/blackboard/lag.go
+++ b/node/blackboard/lag.go
@@ -37,7 +37,7 @@
 }
 
 // Standing is how long what arrives has to wait at least.
-func (t *LagTable) Standing(now time.Time) time.Duration {
+func (t *LagTable) Sustained(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lag.Sustained(now)
--- a/node/blackboard/leases.go
+++ b/node/blackboard/leases.go
@@ -21,14 +21,14 @@
 }
 
 // Ask answers a request as a witness.
-func (t *LeaseTable) Ask(r lease.Request, at time.Time) bool {
+func (t *LeaseTable) Acquire(r lease.Request, at time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.witness.Acquire(r, at)
 }
 
 // Start begins a round of requests for a target.
-func (t *LeaseTable) Start(id string, witnesses int, at time.Time) {
+func (t *LeaseTable) StartRound(id string, witnesses int, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	o := t.owners[id]
@@ -40,7 +40,7 @@
 }
 
 // Granted counts a witness's grant and tells whether it made a majority.
-func (t *LeaseTable) Granted(id string, at time.Time) bool {
+func (t *LeaseTable) AddGrant(id string, at time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	o := t.owners[id]
@@ -60,7 +60,7 @@
 }
 
 // Void ends all leases, after a pause.
-func (t *LeaseTable) Void() {
+func (t *LeaseTable) Invalidate() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, o := range t.owners {
@@ -70,9 +70,9 @@
 
 // OwnedTarget is a lease of this daemon.
 type OwnedTarget struct {
-	Target string
-	Fence  int64
-	Until  time.Time
+	Target    string
+	Fence     int64
+	ExpiresAt time.Time
 }
 
 // Owned lists the leases in force.
@@ -82,7 +82,7 @@
 	var list []OwnedTarget
 	for _, id := range slices.Sorted(maps.Keys(t.owners)) {
 		if o := t.owners[id]; o.Holds(at) {
-			list = append(list, OwnedTarget{Target: id, Fence: o.FencingToken(), Until: o.ExpiresAt()})
+			list = append(list, OwnedTarget{Target: id, Fence: o.FencingToken(), ExpiresAt: o.ExpiresAt()})
 		}
 	}
 	return list
--- a/node/blackboard/members.go
+++ b/node/blackboard/members.go
@@ -12,21 +12,21 @@
 // MemberTable holds the daemons of the fleet: the platform's list, what links
 // and rumors say of it, and the lists that were in force before.
 type MemberTable struct {
-	mu      Mutex
-	self    Identity
-	hosts   hostlist.List
-	read    time.Time
-	members *membership.Table
-	history claim.History
-	partner map[string]time.Time // peers that sent a heartbeat, and when
+	mu             Mutex
+	self           Identity
+	hosts          hostlist.List
+	readAt         time.Time
+	members        *membership.Table
+	hostLists      claim.History
+	heartbeatPeers map[string]time.Time // peers that sent a heartbeat, and when
 }
 
 func newMemberTable(self Identity) *MemberTable {
 	return &MemberTable{
-		mu:      NewMutex(RankMembers),
-		self:    self,
-		members: membership.NewTable(self.Name, self.Incarnation),
-		partner: map[string]time.Time{},
+		mu:             NewMutex(RankMembers),
+		self:           self,
+		members:        membership.NewTable(self.Name, self.Incarnation),
+		heartbeatPeers: map[string]time.Time{},
 	}
 }
 
@@ -37,18 +37,18 @@
 	if list.Revision < t.hosts.Revision {
 		return
 	}
-	if list.Revision > t.hosts.Revision || t.read.IsZero() {
+	if list.Revision > t.hosts.Revision || t.readAt.IsZero() {
 		t.members.SetHosts(daemonsOf(list.Hosts), at)
 	}
-	t.hosts, t.read = list, at
-	t.history.Add(claim.HostList{Revision: list.Revision, Published: list.Changed, Hosts: t.regional(list.Hosts)}, list.AsOf)
+	t.hosts, t.readAt = list, at
+	t.hostLists.Add(claim.HostList{Revision: list.Revision, Published: list.Changed, Hosts: t.daemonsOfRegion(list.Hosts)}, list.AsOf)
 }
 
 // Open makes the fleet one whose daemons the platform does not list.
-func (t *MemberTable) Open() {
+func (t *MemberTable) OpenFleet() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	own := membership.Host{Name: t.self.Name, Address: t.self.Peer, DataCentre: t.self.DataCentre, Region: t.self.Region, Cores: t.self.Cores}
+	own := membership.Host{Name: t.self.Name, Address: t.self.PeerAddress, DataCentre: t.self.DataCentre, Region: t.self.Region, Cores: t.self.Cores}
 	t.members = membership.NewOpenTable(own, t.self.Incarnation)
 }
 
@@ -56,14 +56,14 @@
 func (t *MemberTable) SetTargets(list hostlist.List, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.hosts, t.read = list, at
+	t.hosts, t.readAt = list, at
 }
 
 // HasHosts tells whether a list has been read.
 func (t *MemberTable) HasHosts() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !t.read.IsZero()
+	return !t.readAt.IsZero()
 }
 
 func daemonsOf(hosts []hostlist.Host) []membership.Host {
@@ -80,7 +80,7 @@
 }
 
 // regional lists the daemons of this one's region, which witness its keys.
-func (t *MemberTable) regional(hosts []hostlist.Host) []string {
+func (t *MemberTable) daemonsOfRegion(hosts []hostlist.Host) []string {
 	var names []string
 	for _, h := range hosts {
 		if h.Role == hostlist.RoleDaemon && h.Region == t.self.Region {
@@ -95,26 +95,26 @@
 func (t *MemberTable) Hosts() (hostlist.List, time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.hosts, t.read
+	return t.hosts, t.readAt
 }
 
 // Sharers is the number of living daemons that share the targets with this one,
 // itself included.
-func (t *MemberTable) Sharers() int {
+func (t *MemberTable) DaemonCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.members.AliveCount()
 }
 
 // View runs f on the membership under the table's lock. f must not keep it.
-func (t *MemberTable) View(f func(*membership.Table)) {
+func (t *MemberTable) WithLock(f func(*membership.Table)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f(t.members)
 }
 
 // Living lists the living daemons and counts the listed ones.
-func (t *MemberTable) Living() (living []string, listed int) {
+func (t *MemberTable) AliveNames() (living []string, listed int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.members.AliveNames(), t.members.ListedCount()
@@ -137,21 +137,21 @@
 }
 
 // Partner records a heartbeat from a peer.
-func (t *MemberTable) Partner(name string, at time.Time) {
+func (t *MemberTable) RecordHeartbeat(name string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.partner[name] = at
+	t.heartbeatPeers[name] = at
 }
 
 // Links lists the peers that rumors go to: those that this daemon keeps links to
 // and those that lately kept one to it.
-func (t *MemberTable) Links(at time.Time) []string {
+func (t *MemberTable) GossipPeers(at time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	names := slices.Clone(t.members.NeighbourNames())
-	for name, heard := range t.partner {
+	for name, heard := range t.heartbeatPeers {
 		if at.Sub(heard) > membership.DeadAfter {
-			delete(t.partner, name)
+			delete(t.heartbeatPeers, name)
 			continue
 		}
 		if !slices.Contains(names, name) {
@@ -166,17 +166,17 @@
 func (t *MemberTable) WitnessSets(r claim.Request, at time.Time) [][]string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.history.Fresh(at) {
+	if !t.hostLists.Fresh(at) {
 		return nil
 	}
-	return t.history.Sets(r, at)
+	return t.hostLists.Sets(r, at)
 }
 
 // HostLists returns the lists that were in force lately.
 func (t *MemberTable) HostLists() ([]claim.HostList, time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return slices.Clone(t.history.Lists()), t.history.Confirmed()
+	return slices.Clone(t.hostLists.Lists()), t.hostLists.Confirmed()
 }
 
 // AddHostLists takes over lists that a peer has read, for what was in force
@@ -185,12 +185,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, l := range lists {
-		t.history.Add(l, time.Time{})
+		t.hostLists.Add(l, time.Time{})
 	}
 }
 
 // Void gives neighbours their full time again, after a pause of the process.
-func (t *MemberTable) Void(at time.Time) {
+func (t *MemberTable) ResetTimeouts(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.members.ResetTimeouts(at)
--- a/node/blackboard/pace_test.go
+++ b/node/blackboard/pace_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// TestAPaceIsUsedForATime: what a target told of its pace is forgotten when it is too old,
+// TestSlowdownReportExpires: what a target told of its pace is forgotten when it is too old,
 // so that one that is not asked any more is not avoided for ever.
-func TestAPaceIsUsedForATime(t *testing.T) {
+func TestSlowdownReportExpires(t *testing.T) {
 	now := time.Now()
-	p := pace{}
-	if got := p.now(now); got != 1 {
+	p := slowdownReport{}
+	if got := p.valueAt(now); got != 1 {
 		t.Errorf("before the first report: %v", got)
 	}
-	p = pace{factor: 4.5, until: now.Add(time.Second)}
-	if got := p.now(now); got != 4.5 {
+	p = slowdownReport{factor: 4.5, validUntil: now.Add(time.Second)}
+	if got := p.valueAt(now); got != 4.5 {
 		t.Errorf("after a report: %v", got)
 	}
-	if got := p.now(now.Add(1100 * time.Millisecond)); got != 1 {
+	if got := p.valueAt(now.Add(1100 * time.Millisecond)); got != 1 {
 		t.Errorf("later: %v", got)
 	}
 }
--- a/node/blackboard/prefixes.go
+++ b/node/blackboard/prefixes.go
@@ -15,11 +15,11 @@
 	mu      Mutex
 	limit   int
 	entries map[uint64]*list.Element
-	recent  *list.List // of *prefixEntry, the most recent first
+	byUse   *list.List // of *prefixEntry, the most recent first
 }
 
-// maxHolders bounds the targets remembered for one prefix.
-const maxHolders = 4
+// maxHoldersPerPrefix bounds the targets remembered for one prefix.
+const maxHoldersPerPrefix = 4
 
 type prefixEntry struct {
 	hash    uint64
@@ -27,7 +27,7 @@
 }
 
 func newPrefixTable(limit int) *PrefixTable {
-	return &PrefixTable{mu: NewMutex(RankPrefixes), limit: limit, entries: map[uint64]*list.Element{}, recent: list.New()}
+	return &PrefixTable{mu: NewMutex(RankPrefixes), limit: limit, entries: map[uint64]*list.Element{}, byUse: list.New()}
 }
 
 // Stored records that a target holds prefixes.
@@ -41,15 +41,15 @@
 
 func (t *PrefixTable) entry(h uint64) *prefixEntry {
 	if e := t.entries[h]; e != nil {
-		t.recent.MoveToFront(e)
+		t.byUse.MoveToFront(e)
 		return e.Value.(*prefixEntry)
 	}
 	entry := &prefixEntry{hash: h}
-	t.entries[h] = t.recent.PushFront(entry)
+	t.entries[h] = t.byUse.PushFront(entry)
 	for len(t.entries) > t.limit {
-		last := t.recent.Back()
+		last := t.byUse.Back()
 		delete(t.entries, last.Value.(*prefixEntry).hash)
-		t.recent.Remove(last)
+		t.byUse.Remove(last)
 	}
 	return entry
 }
@@ -57,7 +57,7 @@
 func (e *prefixEntry) add(id string) {
 	e.holders = slices.DeleteFunc(e.holders, func(h string) bool { return h == id })
 	e.holders = append(e.holders, id)
-	if len(e.holders) > maxHolders {
+	if len(e.holders) > maxHoldersPerPrefix {
 		e.holders = e.holders[1:]
 	}
 }
@@ -75,7 +75,7 @@
 		entry.holders = slices.DeleteFunc(entry.holders, func(holder string) bool { return holder == id })
 		if len(entry.holders) == 0 {
 			delete(t.entries, h)
-			t.recent.Remove(e)
+			t.byUse.Remove(e)
 		}
 	}
 }
@@ -102,7 +102,7 @@
 				holders = append(holders, Holder{Target: id, Tokens: target.PrefixTokens(i)})
 			}
 		}
-		if len(holders) >= maxHolders {
+		if len(holders) >= maxHoldersPerPrefix {
 			break
 		}
 	}
--- a/node/blackboard/queues.go
+++ b/node/blackboard/queues.go
@@ -10,18 +10,18 @@
 
 // QueueTable holds the waiting requests of each pool.
 type QueueTable struct {
-	mu    Mutex
-	pools map[string]*poolQueue
-	dirty chan string
+	mu      Mutex
+	pools   map[string]*poolQueue
+	wakeups chan string
 }
 
 type poolQueue struct {
-	queue  *admission.Queue
-	marked bool
+	queue        *admission.Queue
+	wakeupQueued bool
 	// restUntil is when the next look at a long queue may be, and resting is true while
 	// a timer waits for that.
-	restUntil time.Time
-	resting   bool
+	nextDispatch time.Time
+	throttled    bool
 	// reservedFor is the long request that a target is being emptied for.
 	reservedFor string
 }
@@ -42,10 +42,10 @@
 	placed chan Placement
 	// waited is a late decision that found no room, with its candidates, and recorded
 	// when it was made.
-	waited   *routing.Decision
-	recorded time.Time
-	looks    int
-	since    time.Time // when the ticket began to find no target at all
+	waitDecision       *routing.Decision
+	candidatesRecorded time.Time
+	dispatchAttempts   int
+	noTargetSince      time.Time // when the ticket began to find no target at all
 }
 
 // Placed delivers the ticket's placement.
@@ -53,13 +53,13 @@
 
 // Drop tells whoever waits for the placement that there will be none. The ticket has
 // been removed from its queue.
-func (t *Ticket) Drop() { close(t.placed) }
+func (t *Ticket) Cancel() { close(t.placed) }
 
-// dirtyQueue bounds the pools that wait for a worker; each is in it once.
-const dirtyQueue = 1024
+// maxWakeups bounds the pools that wait for a worker; each is in it once.
+const maxWakeups = 1024
 
 func newQueueTable() *QueueTable {
-	return &QueueTable{mu: NewMutex(RankQueues), pools: map[string]*poolQueue{}, dirty: make(chan string, dirtyQueue)}
+	return &QueueTable{mu: NewMutex(RankQueues), pools: map[string]*poolQueue{}, wakeups: make(chan string, maxWakeups)}
 }
 
 // Push puts a request into its pool's queue and calls for a worker.
@@ -70,7 +70,7 @@
 	p.queue.AgeingPerLevel = time.Duration(ticket.Pool.Policy.AgeingPerLevel)
 	ticket.Item.Value = ticket
 	p.queue.Push(ticket.Item)
-	t.mark(ticket.Pool.Name, p)
+	t.queueWakeup(ticket.Pool.Name, p)
 	t.mu.Unlock()
 }
 
@@ -83,38 +83,38 @@
 	return p
 }
 
-// A look at a queue of restFrom requests or more is followed by a rest: each looks at
+// A look at a queue of throttleMinLength requests or more is followed by a rest: each looks at
 // every request, and under overload events come faster than that. The rest is short
 // against the least goal of callers, 300 ms.
 const (
-	restFrom = 8
-	rest     = 8 * time.Millisecond
+	throttleMinLength = 8
+	throttleInterval  = 8 * time.Millisecond
 )
 
 // mark puts a pool on the workers' list, unless it is there or rests; the lock is held.
-func (t *QueueTable) mark(name string, p *poolQueue) {
-	if p.marked || p.resting || p.queue.Len() == 0 {
+func (t *QueueTable) queueWakeup(name string, p *poolQueue) {
+	if p.wakeupQueued || p.throttled || p.queue.Len() == 0 {
 		return
 	}
-	if left := time.Until(p.restUntil); left > 0 {
-		p.resting = true
-		time.AfterFunc(left, func() { t.endRest(name) })
+	if left := time.Until(p.nextDispatch); left > 0 {
+		p.throttled = true
+		time.AfterFunc(left, func() { t.endThrottle(name) })
 		return
 	}
 	select {
-	case t.dirty <- name:
-		p.marked = true
+	case t.wakeups <- name:
+		p.wakeupQueued = true
 	default:
 	}
 }
 
 // endRest calls for a worker, for the events of the time of rest.
-func (t *QueueTable) endRest(pool string) {
+func (t *QueueTable) endThrottle(pool string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if p := t.pools[pool]; p != nil {
-		p.resting = false
-		t.mark(pool, p)
+		p.throttled = false
+		t.queueWakeup(pool, p)
 	}
 }
 
@@ -123,7 +123,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if p := t.pools[pool]; p != nil {
-		t.mark(pool, p)
+		t.queueWakeup(pool, p)
 	}
 }
 
@@ -132,12 +132,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, p := range t.pools {
-		t.mark(name, p)
+		t.queueWakeup(name, p)
 	}
 }
 
 // Dirty delivers the pools that a worker should look at.
-func (t *QueueTable) Dirty() <-chan string { return t.dirty }
+func (t *QueueTable) Wakeups() <-chan string { return t.wakeups }
 
 // Remove takes a request out that no longer waits. It tells whether it waited;
 // if not, its placement is in the ticket's channel.
@@ -185,11 +185,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.pool(pool)
-	p.marked = false
-	t.emptyTargetForOldest(p, pool, targets, at)
+	p.wakeupQueued = false
+	t.reserveTargetForOldest(p, pool, targets, at)
 	defer func() {
-		if p.queue.Len() >= restFrom {
-			p.restUntil = at.Add(rest)
+		if p.queue.Len() >= throttleMinLength {
+			p.nextDispatch = at.Add(throttleInterval)
 		}
 	}()
 	ahead := 0.0 // reading time of the long prompts that wait before the next one
@@ -204,13 +204,13 @@
 		}
 		return false
 	})
-	p.refuseExhausted(targets.Limited(pool, at), at)
+	p.refuseRateLimited(targets.AllRateLimited(pool, at), at)
 	return placed
 }
 
 // refuseExhausted refuses the waiting requests whose turn comes too late, where all targets of the pool
 // have named limits.
-func (p *poolQueue) refuseExhausted(limited []routing.Target, at time.Time) {
+func (p *poolQueue) refuseRateLimited(limited []routing.Target, at time.Time) {
 	if len(limited) == 0 {
 		return
 	}
@@ -226,7 +226,7 @@
 			continue
 		}
 		p.queue.Remove(it)
-		ticket.placed <- Placement{Decision: d, Attempt: ticket.Attempt, At: at}
+		ticket.placed <- Placement{Decision: d, Attempt: ticket.Attempt, DecidedAt: at}
 	}
 }
 
@@ -235,20 +235,20 @@
 	params := ticket.Params
 	params.LongTargets += ageingSteps(ticket, at)
 	ticket.Request.Waited = at.Sub(ticket.Item.Arrived).Seconds()
-	ticket.Request.OmitCandidates = at.Sub(ticket.recorded) < recordEvery
+	ticket.Request.OmitCandidates = at.Sub(ticket.candidatesRecorded) < candidateRecordInterval
 	placement := targets.Place(ticket.Pool.Name, ticket.Attempt, &ticket.Request, &params, ticket.Holders, at)
-	ticket.looks++
+	ticket.dispatchAttempts++
 	switch placement.Decision.Verdict {
 	case routing.Wait:
-		ticket.note(&placement.Decision, at)
-		ticket.since = time.Time{}
+		ticket.recordWait(&placement.Decision, at)
+		ticket.noTargetSince = time.Time{}
 		return false
 	case routing.None:
-		ticket.note(&placement.Decision, at)
-		if ticket.since.IsZero() {
-			ticket.since = at
+		ticket.recordWait(&placement.Decision, at)
+		if ticket.noTargetSince.IsZero() {
+			ticket.noTargetSince = at
 		}
-		if at.Sub(ticket.since) < noTargetGrace {
+		if at.Sub(ticket.noTargetSince) < noTargetGrace {
 			return false
 		}
 	case routing.Place, routing.Group:
@@ -257,14 +257,14 @@
 	return true
 }
 
-// recordEvery is how often the candidates of a decision to wait are recorded: a ticket is
+// candidateRecordInterval is how often the candidates of a decision to wait are recorded: a ticket is
 // looked at with each event of its pool.
-const recordEvery = 100 * time.Millisecond
+const candidateRecordInterval = 100 * time.Millisecond
 
 // note keeps a decision to wait that has its candidates, for the explanation.
-func (t *Ticket) note(d *routing.Decision, at time.Time) {
-	if !t.Request.OmitCandidates || t.waited == nil {
-		t.waited, t.recorded = d, at
+func (t *Ticket) recordWait(d *routing.Decision, at time.Time) {
+	if !t.Request.OmitCandidates || t.waitDecision == nil {
+		t.waitDecision, t.candidatesRecorded = d, at
 	}
 }
 
@@ -279,16 +279,16 @@
 	return int(at.Sub(ticket.Item.Arrived) / step)
 }
 
-// patience is how many ageing steps a long request waits before a target is
+// reserveAfterSteps is how many ageing steps a long request waits before a target is
 // emptied for it.
-const patience = 2
+const reserveAfterSteps = 2
 
 // emptyTargetForOldest keeps a target free of new short requests once the
 // longest-waiting long request has waited too long, so that short ones cannot
 // fill every gap before it for ever. One target a pool is emptied at a time.
-func (t *QueueTable) emptyTargetForOldest(p *poolQueue, pool string, targets *TargetTable, at time.Time) {
+func (t *QueueTable) reserveTargetForOldest(p *poolQueue, pool string, targets *TargetTable, at time.Time) {
 	oldest := p.queue.Oldest(true)
-	if oldest == nil || p.queue.AgeingPerLevel <= 0 || at.Sub(oldest.Arrived) < patience*p.queue.AgeingPerLevel {
+	if oldest == nil || p.queue.AgeingPerLevel <= 0 || at.Sub(oldest.Arrived) < reserveAfterSteps*p.queue.AgeingPerLevel {
 		if p.reservedFor != "" {
 			targets.Unreserve(p.reservedFor, at)
 			p.reservedFor = ""
@@ -300,13 +300,13 @@
 	}
 	targets.Unreserve(p.reservedFor, at)
 	p.reservedFor = oldest.ID
-	if id := emptiest(targets.Views(pool, at)); id != "" {
+	if id := mostFreeMemory(targets.Views(pool, at)); id != "" {
 		targets.Reserve(id, oldest.ID, at)
 	}
 }
 
-// emptiest finds the live target with the most free memory.
-func emptiest(views []routing.Target) string {
+// mostFreeMemory finds the live target with the most free memory.
+func mostFreeMemory(views []routing.Target) string {
 	best, free := "", int64(-1)
 	for i := range views {
 		v := &views[i]
@@ -320,9 +320,9 @@
 	return best
 }
 
-// Waited is a late decision that found no room, at most recordEvery before the last. It is read by the ticket's
+// Waited is a late decision that found no room, at most candidateRecordInterval before the last. It is read by the ticket's
 // owner after the ticket was placed or removed.
-func (t *Ticket) Waited() *routing.Decision { return t.waited }
+func (t *Ticket) WaitDecision() *routing.Decision { return t.waitDecision }
 
 // Looks is how often targets were looked at for the ticket.
-func (t *Ticket) Looks() int { return t.looks }
+func (t *Ticket) DispatchAttempts() int { return t.dispatchAttempts }
--- a/node/blackboard/queues_test.go
+++ b/node/blackboard/queues_test.go
@@ -11,8 +11,8 @@
 	"doorstack.dev/core/settings"
 )
 
-// waitingTicket is a ticket of a pool without targets, which waits for some seconds.
-func waitingTicket(i int) *Ticket {
+// newTestTicket is a ticket of a pool without targets, which waits for some seconds.
+func newTestTicket(i int) *Ticket {
 	id := fmt.Sprint("r", i)
 	return &Ticket{
 		Pool: &settings.ResolvedPool{Name: "pool"}, Attempt: id, Request: routing.Request{ID: id},
@@ -20,12 +20,12 @@
 	}
 }
 
-// looks takes the calls for a worker that are there and dispatches for each.
-func looks(q *QueueTable, targets *TargetTable) int {
+// dispatchAll takes the calls for a worker that are there and dispatches for each.
+func dispatchAll(q *QueueTable, targets *TargetTable) int {
 	n := 0
 	for {
 		select {
-		case pool := <-q.Dirty():
+		case pool := <-q.Wakeups():
 			q.Dispatch(pool, targets, time.Now())
 			n++
 		default:
@@ -34,52 +34,52 @@
 	}
 }
 
-// TestALongQueueRests: at the coordinator of a large pool under overload each event led
+// TestLongQueueIsThrottled: at the coordinator of a large pool under overload each event led
 // to a look at all waiting requests, until it answered nobody in time.
-func TestALongQueueRests(t *testing.T) {
+func TestLongQueueIsThrottled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q, targets := newQueueTable(), newTargetTable()
-		for i := range restFrom {
-			q.Push(waitingTicket(i))
-			looks(q, targets)
+		for i := range throttleMinLength {
+			q.Push(newTestTicket(i))
+			dispatchAll(q, targets)
 		}
 		total := 0
 		const events = 1000
 		for range events {
 			q.Wake("pool")
-			total += looks(q, targets)
-			<-time.After(rest / 10)
+			total += dispatchAll(q, targets)
+			<-time.After(throttleInterval / 10)
 			synctest.Wait()
 		}
 		if total > events/10+1 {
-			t.Errorf("%d looks in %v", total, events*rest/10)
+			t.Errorf("%d looks in %v", total, events*throttleInterval/10)
 		}
 		if total < events/20 {
 			t.Errorf("only %d looks", total)
 		}
 		// The last event is not lost.
-		looks(q, targets)
+		dispatchAll(q, targets)
 		q.Wake("pool")
-		if n := looks(q, targets); n != 0 {
+		if n := dispatchAll(q, targets); n != 0 {
 			t.Errorf("%d looks during the rest", n)
 		}
-		<-time.After(rest)
+		<-time.After(throttleInterval)
 		synctest.Wait()
-		if n := looks(q, targets); n != 1 {
+		if n := dispatchAll(q, targets); n != 1 {
 			t.Errorf("%d looks after the rest, want one for the event during it", n)
 		}
 	})
 }
 
-// TestAShortQueueIsLookedAtAtOnce: rests are for overload alone.
-func TestAShortQueueIsLookedAtAtOnce(t *testing.T) {
+// TestShortQueueIsDispatchedAtOnce: rests are for overload alone.
+func TestShortQueueIsDispatchedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q, targets := newQueueTable(), newTargetTable()
-		q.Push(waitingTicket(0))
-		looks(q, targets)
+		q.Push(newTestTicket(0))
+		dispatchAll(q, targets)
 		for range 10 {
 			q.Wake("pool")
-			if looks(q, targets) != 1 {
+			if dispatchAll(q, targets) != 1 {
 				t.Error("an event is not followed by a look at once")
 			}
 		}
--- a/node/blackboard/repeats.go
+++ b/node/blackboard/repeats.go
@@ -39,14 +39,14 @@
 }
 
 // Call counts the first send of a call.
-func (t *RepeatTable) Call(pool string, at time.Time) {
+func (t *RepeatTable) CountCall(pool string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.pool(pool).CountCall(&t.limit, at)
 }
 
 // Take asks for one more send, when so many daemons share the limit.
-func (t *RepeatTable) Take(pool string, daemons int, at time.Time) bool {
+func (t *RepeatTable) TakeRepeat(pool string, daemons int, at time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.pool(pool).TakeRepeat(&t.limit, daemons, at)
--- a/node/blackboard/settings.go
+++ b/node/blackboard/settings.go
@@ -21,9 +21,9 @@
 
 // SettingsTable holds the settings in force.
 type SettingsTable struct {
-	current atomic.Pointer[SettingsView]
-	mu      Mutex
-	reject  Rejection
+	current   atomic.Pointer[SettingsView]
+	mu        Mutex
+	rejection Rejection
 }
 
 // Rejection is the last revision that was not adopted, and why.
@@ -46,8 +46,8 @@
 		return false
 	}
 	t.current.Store(v)
-	if t.reject.Revision <= v.Revision {
-		t.reject = Rejection{}
+	if t.rejection.Revision <= v.Revision {
+		t.rejection = Rejection{}
 	}
 	return true
 }
@@ -56,12 +56,12 @@
 func (t *SettingsTable) Reject(r Rejection) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.reject = r
+	t.rejection = r
 }
 
 // Rejected is the last revision that was not adopted.
 func (t *SettingsTable) Rejected() Rejection {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.reject
+	return t.rejection
 }
--- a/node/blackboard/shares.go
+++ b/node/blackboard/shares.go
@@ -13,13 +13,13 @@
 // ShareTable holds this daemon's leases on accounts' limits, and what it leases
 // out as the owner of accounts.
 type ShareTable struct {
-	mu       Mutex
-	holders  map[string]*share.Holder
-	owners   map[string]*share.Owner
-	settled  bool
-	adopted  map[string][]adoptedLease // told by holders before the first renewal
-	listed   int
-	adoptEnd time.Time
+	mu            Mutex
+	holders       map[string]*share.Holder
+	owners        map[string]*share.Owner
+	leasesKnown   bool
+	adoptedLeases map[string][]adoptedLease // told by holders before the first renewal
+	listedDaemons int
+	adoptUntil    time.Time
 }
 
 type adoptedLease struct {
@@ -30,7 +30,7 @@
 func newShareTable() *ShareTable {
 	return &ShareTable{
 		mu: NewMutex(RankShares), holders: map[string]*share.Holder{}, owners: map[string]*share.Owner{},
-		adopted: map[string][]adoptedLease{}, listed: 1,
+		adoptedLeases: map[string][]adoptedLease{}, listedDaemons: 1,
 	}
 }
 
@@ -38,7 +38,7 @@
 func (t *ShareTable) SetListed(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.listed = n
+	t.listedDaemons = n
 }
 
 // Share is the part of an account's limits that this daemon may use now.
@@ -59,10 +59,10 @@
 func (t *ShareTable) Fraction(account string, at time.Time) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.listed <= 1 {
+	if t.listedDaemons <= 1 {
 		return 1
 	}
-	fraction := share.Floor(t.listed)
+	fraction := share.Floor(t.listedDaemons)
 	if h := t.holders[account]; h != nil {
 		fraction += h.LeasedFraction(at)
 	}
@@ -96,9 +96,9 @@
 	defer t.mu.Unlock()
 	o := t.owners[account]
 	if o == nil {
-		o = share.NewOwner(t.settled, at)
-		if at.Before(t.adoptEnd) {
-			for _, a := range t.adopted[account] {
+		o = share.NewOwner(t.leasesKnown, at)
+		if at.Before(t.adoptUntil) {
+			for _, a := range t.adoptedLeases[account] {
 				o.Adopt(a.holder, a.fraction, at)
 			}
 		}
@@ -130,39 +130,39 @@
 func (t *ShareTable) Adopt(holder string, holdings []Holding, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.adoptEnd = at.Add(share.LeaseTTL)
+	t.adoptUntil = at.Add(share.LeaseTTL)
 	for _, h := range holdings {
 		if o := t.owners[h.Account]; o != nil {
 			o.Adopt(holder, h.Fraction, at)
 			continue
 		}
-		t.adopted[h.Account] = append(t.adopted[h.Account], adoptedLease{holder, h.Fraction})
+		t.adoptedLeases[h.Account] = append(t.adoptedLeases[h.Account], adoptedLease{holder, h.Fraction})
 	}
 }
 
 // Settle says that all listed daemons have told their leases, so that new owners
 // need not wait.
-func (t *ShareTable) Settle() {
+func (t *ShareTable) SetLeasesKnown() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.settled = true
+	t.leasesKnown = true
 }
 
 // Joined says that daemons came to life whose leases are not known.
-func (t *ShareTable) Joined(at time.Time) {
+func (t *ShareTable) DaemonJoined(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.settled = false
+	t.leasesKnown = false
 	for _, o := range t.owners {
 		o.DaemonJoined(at)
 	}
 }
 
 // Void ends all leases, after a pause.
-func (t *ShareTable) Void(at time.Time) {
+func (t *ShareTable) Invalidate(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.settled = false
+	t.leasesKnown = false
 	for _, h := range t.holders {
 		h.Invalidate()
 	}
@@ -172,18 +172,18 @@
 }
 
 // Trim forgets accounts that nobody uses any more.
-func (t *ShareTable) Trim(at time.Time) {
+func (t *ShareTable) RemoveExpired(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	maps.DeleteFunc(t.owners, func(_ string, o *share.Owner) bool { return o.Idle(at) })
 	maps.DeleteFunc(t.holders, func(_ string, h *share.Holder) bool { return at.Sub(h.Expires()) > share.LeaseTTL })
-	if at.After(t.adoptEnd) {
-		clear(t.adopted)
+	if at.After(t.adoptUntil) {
+		clear(t.adoptedLeases)
 	}
 }
 
 // Leases lists the accounts that this daemon has a lease on.
-func (t *ShareTable) Leases() []string {
+func (t *ShareTable) LeasedAccounts() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Sorted(maps.Keys(t.holders))
--- a/node/blackboard/started_anew_test.go
+++ b/node/blackboard/started_anew_test.go
@@ -10,10 +10,10 @@
 	"doorstack.dev/core/settings"
 )
 
-// TestATargetThatStartedAnewIsUnknown: a target's process crashed and another started under
+// TestRestartResetsTargetState: a target's process crashed and another started under
 // its id before its entry ran out. What was believed of the first, a breaker that is open,
 // calls that fill it, a slow pace, kept calls from the second or sent it too many.
-func TestATargetThatStartedAnewIsUnknown(t *testing.T) {
+func TestRestartResetsTargetState(t *testing.T) {
 	tree, err := settings.Parse([]byte("engine_kinds: {rest: {protocol: service, max_concurrent: 2}}\npools: {svc: {kind: rest}}\ntree: {}\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -34,9 +34,9 @@
 			host := hostlist.Host{ID: "a", Role: hostlist.RoleTarget, Address: "10.0.0.1:80", Pool: "svc", State: hostlist.Live, Incarnation: 100}
 			table.Sync([]hostlist.Host{host}, tree, now)
 			for _, attempt := range []string{"x", "y"} {
-				table.Occupy("a", attempt, routing.Load{Requests: 1}, now)
+				table.BeginPart("a", attempt, routing.Load{Requests: 1}, now)
 			}
-			table.SetPace("a", 4, now.Add(time.Minute), now)
+			table.SetSlowdown("a", 4, now.Add(time.Minute), now)
 			table.Suspect("a", now.Add(time.Minute), now)
 			host.Incarnation = c.incarnation
 			table.Sync([]hostlist.Host{host}, tree, now)
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestCallsOfAnEarlierProcessAreTold: a call that was sent before the process started waits for
+// TestRestartEndsEarlierCalls: a call that was sent before the process started waits for
 // an answer that cannot come; one that was sent after it is the new process's.
-func TestCallsOfAnEarlierProcessAreTold(t *testing.T) {
+func TestRestartEndsEarlierCalls(t *testing.T) {
 	tree, err := settings.Parse([]byte("engine_kinds: {rest: {protocol: service}}\npools: {svc: {kind: rest}}\ntree: {}\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -73,7 +73,7 @@
 			table.Sync([]hostlist.Host{later}, tree, after)
 		},
 		"from its report": func(table *TargetTable) {
-			if !table.Started("a", started, after) {
+			if !table.RecordStart("a", started, after) {
 				t.Error("it is not believed")
 			}
 		},
@@ -82,8 +82,8 @@
 		t.Run(name, func(t *testing.T) {
 			table := newTargetTable()
 			table.Sync([]hostlist.Host{host}, tree, before)
-			early := table.Occupy("a", "early", routing.Load{Requests: 1}, before)
-			late := table.Occupy("a", "late", routing.Load{Requests: 1}, after)
+			early := table.BeginPart("a", "early", routing.Load{Requests: 1}, before)
+			late := table.BeginPart("a", "late", routing.Load{Requests: 1}, after)
 			learned(table)
 			select {
 			case <-early:
@@ -99,20 +99,20 @@
 				t.Errorf("%+v", view)
 			}
 			table.Finish("early", CallFailed, after)
-			table.Occupy("a", "next", routing.Load{Requests: 1}, after)
+			table.BeginPart("a", "next", routing.Load{Requests: 1}, after)
 			if view := table.Views("svc", after)[0]; view.Load.Requests != 1 || view.RecentFailures != 0 {
 				t.Errorf("%+v", view)
 			}
-			if table.Started("a", 100, after) || table.Started("a", 0, after) || table.Started("nobody", started, after) {
+			if table.RecordStart("a", 100, after) || table.RecordStart("a", 0, after) || table.RecordStart("nobody", started, after) {
 				t.Error("an earlier start, none, or an unknown target's is believed")
 			}
 		})
 	}
 }
 
-// TestALimitOutlivesItsTargetsProcess: a process that crashes and starts again is most likely still in need;
+// TestRateLimitSurvivesRestart: a process that crashes and starts again is most likely still in need;
 // its first answer lifts the limit if not.
-func TestALimitOutlivesItsTargetsProcess(t *testing.T) {
+func TestRateLimitSurvivesRestart(t *testing.T) {
 	tree, err := settings.Parse([]byte("engine_kinds: {rest: {protocol: service, max_concurrent: 2}}\npools: {svc: {kind: rest}}\ntree: {}\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -120,7 +120,7 @@
 	now := time.Unix(1000, 0)
 	host := hostlist.Host{ID: "a", Role: hostlist.RoleTarget, Address: "10.0.0.1:80", Pool: "svc", State: hostlist.Live, Incarnation: 100}
 	for name, startAnew := range map[string]func(*TargetTable){
-		"by its report": func(table *TargetTable) { table.Started("a", 200, now) },
+		"by its report": func(table *TargetTable) { table.RecordStart("a", 200, now) },
 		"by its entry": func(table *TargetTable) {
 			later := host
 			later.Incarnation = 200
@@ -130,13 +130,13 @@
 		table := newTargetTable()
 		table.Sync([]hostlist.Host{host}, tree, now)
 		named := forward.TimedNotice{Notice: forward.Notice{Limit: forward.DeclaredLimit(2)}, Sent: now, Received: now.Add(time.Millisecond)}
-		table.Notice("a", named)
+		table.RecordNotice("a", named)
 		startAnew(table)
 		if view := table.Views("svc", now)[0]; view.RateLimit == nil {
 			t.Errorf("%s: the limit is forgotten", name)
 		}
 		lifted := forward.TimedNotice{Notice: forward.Notice{Limit: forward.Limit{Lifted: true}}, Sent: now.Add(time.Second), Received: now.Add(time.Second)}
-		table.Notice("a", lifted)
+		table.RecordNotice("a", lifted)
 		if view := table.Views("svc", now.Add(time.Second))[0]; view.RateLimit != nil {
 			t.Errorf("%s: the limit is not lifted", name)
 		}
--- a/node/blackboard/startup.go
+++ b/node/blackboard/startup.go
@@ -18,12 +18,12 @@
 	StageCoordinator              // a coordinator has answered
 	StagePlaced                   // a call has a target
 	StageAnswered                 // a caller has its whole answer
-	stages
+	stageCount
 )
 
 // Stages lists all of them.
 func Stages() []Stage {
-	list := make([]Stage, stages)
+	list := make([]Stage, stageCount)
 	for i := range list {
 		list[i] = Stage(i)
 	}
@@ -35,14 +35,14 @@
 	return [...]string{"store", "peer", "settings", "targets", "serving", "coordinator", "placed", "answered"}[s]
 }
 
-// startup notes which stages have been reached.
-type startup [stages]atomic.Bool
+// stageSet notes which stages have been reached.
+type stageSet [stageCount]atomic.Bool
 
 // Reach notes that a stage is reached, and tells whether that is news and how long after the process
 // started it came.
-func (b *Blackboard) Reach(s Stage) (after time.Duration, news bool) {
-	if b.startup[s].Load() || b.startup[s].Swap(true) {
+func (b *Blackboard) MarkStage(s Stage) (after time.Duration, news bool) {
+	if b.reachedStages[s].Load() || b.reachedStages[s].Swap(true) {
 		return 0, false
 	}
-	return time.Since(b.began), true
+	return time.Since(b.processStart), true
 }
--- a/node/blackboard/sync_test.go
+++ b/node/blackboard/sync_test.go
@@ -9,17 +9,17 @@
 	"doorstack.dev/core/settings"
 )
 
-// TestSyncTargetsLooksAfterItsTurn: a daemon's view is read inside the one step,
+// TestSyncTargetsReadsHostsInsideLock: a daemon's view is read inside the one step,
 // so that a slow step cannot end with what it read before a faster one.
-func TestSyncTargetsLooksAfterItsTurn(t *testing.T) {
-	tree, err := settings.Parse([]byte(poolDocument))
+func TestSyncTargetsReadsHostsInsideLock(t *testing.T) {
+	tree, err := settings.Parse([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 100 {
 		b := New(Identity{Name: "d"}, DefaultLimits())
 		b.Settings.Adopt(&SettingsView{Tree: tree, Revision: 1})
-		b.sync.Lock()
+		b.syncMu.Lock()
 		done := make(chan struct{})
 		go func() {
 			b.SyncTargets()
@@ -27,7 +27,7 @@
 		}()
 		runtime.Gosched()
 		b.Members.SetHosts(hostlist.List{Revision: 1, Hosts: targetHosts(3)}, time.Now())
-		b.sync.Unlock()
+		b.syncMu.Unlock()
 		<-done
 		if got := len(b.Targets.Addresses()); got != 3 {
 			t.Fatalf("%d targets are known, want 3", got)
--- a/node/blackboard/target_calls.go
+++ b/node/blackboard/target_calls.go
@@ -6,29 +6,29 @@
 	"doorstack.dev/core/routing"
 )
 
-// ownCall is a call of this daemon to a target.
-type ownCall struct {
-	id    string
-	state *targetState
-	load  routing.Load
-	sent  time.Time
-	read  bool       // the prompt has been read: the first token came
-	parts []readPart // where the prompt is read, for engines of known timing
-	gap   float64    // the goal for the pause between two events, in seconds
+// activeCall is a call of this daemon to a target.
+type activeCall struct {
+	id          string
+	state       *targetState
+	load        routing.Load
+	sent        time.Time
+	prefillDone bool          // the prompt has been read: the first token came
+	parts       []prefillPart // where the prompt is read, for engines of known timing
+	gapGoal     float64       // the goal for the pause between two events, in seconds
 	// goal is the route's goal for the first event in seconds, zero if there is none, due
 	// when it is over, and prompt the length of the prompt in tokens.
-	goal   float64
-	due    time.Time
-	prompt int64
+	firstEventGoal float64
+	firstEventDue  time.Time
+	promptTokens   int64
 	// disturbed means that reading beside the call has made it miss that goal.
-	disturbed bool
-	gone      chan struct{} // closed when the target is taken to be gone
-	told      bool          // gone is closed
+	disturbed  bool
+	gone       chan struct{} // closed when the target is taken to be gone
+	goneClosed bool          // gone is closed
 }
 
 // remaining is the load of a call, less its prompt once that has been read.
-func (c *ownCall) remaining() routing.Load {
-	if !c.read {
+func (c *activeCall) remainingLoad() routing.Load {
+	if !c.prefillDone {
 		return c.load
 	}
 	return routing.Load{Requests: c.load.Requests, MemoryTokens: c.load.MemoryTokens}
@@ -40,9 +40,9 @@
 	// Attempt is the id of the call; Address is the target's host:port.
 	Attempt, Address string
 	// At is when the decision was made.
-	At time.Time
+	DecidedAt time.Time
 	// By is the daemon that decided, where that was another one.
-	By string
+	DecidedBy string
 	// Helpers are the targets that read parts of the prompt.
 	Helpers []TargetAddress
 	// Gone is closed if the target is taken to be gone while the call runs.
@@ -56,39 +56,39 @@
 	defer t.mu.Unlock()
 	tp := t.pools[pool]
 	if tp == nil {
-		return Placement{Decision: routing.Decision{Request: *r, Params: *p, Verdict: routing.None}, At: at}
+		return Placement{Decision: routing.Decision{Request: *r, Params: *p, Verdict: routing.None}, DecidedAt: at}
 	}
-	if at.Sub(tp.refreshed) >= refreshEvery {
+	if at.Sub(tp.refreshed) >= refreshInterval {
 		tp.refresh(at)
 	}
 	r.Cached = cachedPrefixes(holders, tp.index)
 	d := t.scratch.Decide(r, p, tp.targets)
-	placement := Placement{Decision: d, Attempt: attempt, At: at}
+	placement := Placement{Decision: d, Attempt: attempt, DecidedAt: at}
 	if d.Verdict != routing.Place {
 		return placement
 	}
 	s := tp.states[tp.index[d.Chosen]]
 	placement.Address = s.address
-	load := loadOf(r, p, d.Chosen, holders)
+	load := requestLoad(r, p, d.Chosen, holders)
 	for _, ticket := range d.Reservations {
 		load.MemoryTokens = max(0, load.MemoryTokens-ticket.Tokens)
 	}
 	if load.LongPrefills == 0 {
-		tp.short.add(load.BacklogTokens, at)
+		tp.shortPrompts.add(load.BacklogTokens, at)
 	}
 	if s.limiter != nil {
 		s.limiter.RecordCall(at)
 	}
 	placement.Gone = t.begin(s, attempt, load, at)
-	t.calls[attempt].prompt = r.PromptTokens
+	t.calls[attempt].promptTokens = r.PromptTokens
 	if p.Timing != nil {
-		placement.Helpers = t.beginReading(attempt, &d, at)
+		placement.Helpers = t.beginPrefill(attempt, &d, at)
 	}
 	return placement
 }
 
-// loadOf is the load that a request puts on the target.
-func loadOf(r *routing.Request, p *routing.Params, id string, holders []Holder) routing.Load {
+// requestLoad is the load that a request puts on the target.
+func requestLoad(r *routing.Request, p *routing.Params, id string, holders []Holder) routing.Load {
 	backlog := r.PromptTokens
 	for _, h := range holders {
 		if h.Target == id {
@@ -103,10 +103,10 @@
 }
 
 func (t *TargetTable) begin(s *targetState, attempt string, load routing.Load, at time.Time) <-chan struct{} {
-	c := &ownCall{id: attempt, state: s, load: load, sent: at, gone: make(chan struct{})}
+	c := &activeCall{id: attempt, state: s, load: load, sent: at, gone: make(chan struct{})}
 	t.calls[attempt] = c
 	s.calls[attempt] = c
-	s.since = s.since.Add(load)
+	s.loadSinceReport = s.loadSinceReport.Add(load)
 	s.breaker.Sent()
 	s.refresh(at)
 	return c.gone
@@ -114,7 +114,7 @@
 
 // Occupy counts a part of a group at a target, chosen by the caller. The channel
 // is closed if the target is taken to be gone while the part is there.
-func (t *TargetTable) Occupy(id, attempt string, load routing.Load, at time.Time) <-chan struct{} {
+func (t *TargetTable) BeginPart(id, attempt string, load routing.Load, at time.Time) <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.byID[id]
@@ -132,22 +132,22 @@
 }
 
 // PromptRead records that a call's prompt has been read.
-func (t *TargetTable) PromptRead(attempt string, at time.Time) {
+func (t *TargetTable) RecordPrefillDone(attempt string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := t.calls[attempt]
-	if c == nil || c.read {
+	if c == nil || c.prefillDone {
 		return
 	}
-	c.read = true
-	c.endReading(at)
+	c.prefillDone = true
+	c.endPrefill(at)
 	s := c.state
 	gone := routing.Load{BacklogTokens: c.load.BacklogTokens, LongPrefills: c.load.LongPrefills}
 	if c.sent.After(s.reportAt) {
-		s.since = s.since.Sub(gone)
+		s.loadSinceReport = s.loadSinceReport.Sub(gone)
 	} else {
 		// The report's backlog is aged by itself; only the count is corrected.
-		s.ended = s.ended.Add(routing.Load{LongPrefills: gone.LongPrefills})
+		s.endedSinceReport = s.endedSinceReport.Add(routing.Load{LongPrefills: gone.LongPrefills})
 	}
 	s.refresh(at)
 }
@@ -156,8 +156,8 @@
 func (t *TargetTable) Suspect(id string, until, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s := t.byID[id]; s != nil && until.After(s.suspect) {
-		s.suspect = until
+	if s := t.byID[id]; s != nil && until.After(s.suspectUntil) {
+		s.suspectUntil = until
 		s.refresh(at)
 	}
 }
@@ -184,21 +184,21 @@
 		return
 	}
 	delete(t.calls, attempt)
-	c.endReading(at)
-	c.giveBack(at)
+	c.endPrefill(at)
+	c.releaseParts(at)
 	s := c.state
 	delete(s.calls, attempt)
 	if c.sent.After(s.reportAt) {
-		s.since = s.since.Sub(c.remaining())
+		s.loadSinceReport = s.loadSinceReport.Sub(c.remainingLoad())
 	} else {
-		s.ended = s.ended.Add(c.remaining())
+		s.endedSinceReport = s.endedSinceReport.Add(c.remainingLoad())
 	}
 	switch result {
 	case CallSucceeded:
 		s.breaker.Succeeded()
 	case CallFailed:
 		s.failures++
-		s.trouble.add(at)
+		s.recentFailures.add(at)
 		s.breaker.Failed(at)
 	case CallCancelled:
 		s.breaker.Cancelled()
@@ -211,7 +211,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.byID[id]; s != nil {
-		s.reserved = request
+		s.reservedFor = request
 		s.refresh(at)
 	}
 }
@@ -221,8 +221,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range t.byID {
-		if s.reserved == request {
-			s.reserved = ""
+		if s.reservedFor == request {
+			s.reservedFor = ""
 			s.refresh(at)
 		}
 	}
--- a/node/blackboard/target_limits.go
+++ b/node/blackboard/target_limits.go
@@ -15,20 +15,20 @@
 	// Lifted is true where a call was answered without a limit; it was sent Ago before.
 	Lifted bool `cbor:"3,keyasint,omitempty"`
 	// Ago is the time since the limit was last named.
-	Ago time.Duration `cbor:"4,keyasint,omitempty"`
+	Age time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
 // Word is the state as the target's own word, heard at a moment.
-func (l *LimitState) Word(at time.Time) forward.TimedNotice {
-	then := at.Add(-max(0, l.Ago))
+func (l *LimitState) TimedNotice(at time.Time) forward.TimedNotice {
+	then := at.Add(-max(0, l.Age))
 	if l.Lifted {
 		return forward.TimedNotice{Notice: forward.Notice{Limit: forward.Limit{Lifted: true}}, Sent: then, Received: at}
 	}
 	return forward.TimedNotice{Notice: forward.Notice{Limit: forward.DeclaredLimit(l.PerSecond)}, Received: then}
 }
 
-// rateLimit is what routing needs to know of a target's limit.
-func rateLimit(s *forward.RateLimiter, at time.Time) *routing.RateLimit {
+// routingRateLimit is what routing needs to know of a target's limit.
+func routingRateLimit(s *forward.RateLimiter, at time.Time) *routing.RateLimit {
 	if s == nil {
 		return nil
 	}
@@ -45,11 +45,11 @@
 
 // limitState describes the target's limit for another daemon.
 func (s *targetState) limitState(at time.Time) LimitState {
-	return LimitState{Target: s.id, PerSecond: s.limiter.Limit().PerSecond, Ago: at.Sub(s.limiter.DeclaredAt())}
+	return LimitState{Target: s.id, PerSecond: s.limiter.Limit().PerSecond, Age: at.Sub(s.limiter.DeclaredAt())}
 }
 
 // Limited is the targets of a pool as routing sees them, where all that live have named limits.
-func (t *TargetTable) Limited(pool string, at time.Time) []routing.Target {
+func (t *TargetTable) AllRateLimited(pool string, at time.Time) []routing.Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.pools[pool]
@@ -95,7 +95,7 @@
 }
 
 // CountLimited counts a call that another daemon placed under its target's limit.
-func (t *TargetTable) CountLimited(id string, at time.Time) {
+func (t *TargetTable) RecordLimitedCall(id string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.byID[id]; s != nil && s.limiter != nil {
--- a/node/blackboard/target_notices.go
+++ b/node/blackboard/target_notices.go
@@ -9,30 +9,30 @@
 )
 
 // Notice takes in what a target said of itself beside an answer, and tells whether it is news.
-func (t *TargetTable) Notice(id string, said forward.TimedNotice) bool {
+func (t *TargetTable) RecordNotice(id string, said forward.TimedNotice) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.byID[id]
 	if s == nil {
 		return false
 	}
-	if !t.notices.Record(id, s.address, s.started, said) {
+	if !t.notices.Record(id, s.address, s.incarnation, said) {
 		return false
 	}
-	t.recallNotices(s, said.Received)
+	t.applyNotices(s, said.Received)
 	s.refresh(said.Received)
 	return true
 }
 
 // recallNotices gives a target's state what the target has said of itself; that outlives the state.
-func (t *TargetTable) recallNotices(s *targetState, at time.Time) {
-	s.saidLeaving = t.notices.Draining(s.id, at)
+func (t *TargetTable) applyNotices(s *targetState, at time.Time) {
+	s.drainNoticed = t.notices.Draining(s.id, at)
 	s.limiter = t.notices.RateLimiter(s.id)
 }
 
 // Unwilling lists the targets of a pool that have told this daemon that they want no calls: those
 // that leave, which nobody else may know yet, and those that rest from this daemon's calls.
-func (t *TargetTable) Unwilling(pool string, at time.Time) []string {
+func (t *TargetTable) NotAccepting(pool string, at time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.pools[pool]
@@ -41,7 +41,7 @@
 	}
 	var ids []string
 	for _, s := range p.states {
-		if s.saidLeaving || t.notices.BackoffLeft(s.id, at) > 0 {
+		if s.drainNoticed || t.notices.BackoffLeft(s.id, at) > 0 {
 			ids = append(ids, s.id)
 		}
 	}
@@ -51,7 +51,7 @@
 // RestLeft tells whether no live target of a pool takes a call before some time is over: those
 // that the call has not been to rest from this daemon's calls, or there are none and some of the
 // others rest. It returns the shortest such time.
-func (t *TargetTable) RestLeft(pool string, exclude []string, at time.Time) (left time.Duration, all bool) {
+func (t *TargetTable) BackoffLeft(pool string, exclude []string, at time.Time) (left time.Duration, all bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.pools[pool]
@@ -75,7 +75,7 @@
 
 // Willing tells whether this daemon itself would send to a target: it knows it, not as one that
 // leaves or has gone, and the target has not asked it for rest.
-func (t *TargetTable) Willing(id string, at time.Time) bool {
+func (t *TargetTable) Accepts(id string, at time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.byID[id]
--- a/node/blackboard/target_pace.go
+++ b/node/blackboard/target_pace.go
@@ -7,27 +7,27 @@
 	"doorstack.dev/core/routing"
 )
 
-// pace is how fast a target of known timing said that it works.
-type pace struct {
+// slowdownReport is how fast a target of known timing said that it works.
+type slowdownReport struct {
 	factor float64
 	// until is when the report is too old to be used.
-	until time.Time
+	validUntil time.Time
 }
 
 // SetPace takes in the factor by which a target says that its work takes longer, to be used
 // until a later moment.
-func (t *TargetTable) SetPace(id string, reported float64, until, at time.Time) {
+func (t *TargetTable) SetSlowdown(id string, reported float64, until, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.byID[id]; s != nil {
-		s.pace = pace{factor: engine.Slowdown(reported), until: until}
+		s.slowdown = slowdownReport{factor: engine.Slowdown(reported), validUntil: until}
 		s.refresh(at)
 	}
 }
 
 // now is the factor that counts at a moment.
-func (p *pace) now(at time.Time) float64 {
-	if at.After(p.until) {
+func (p *slowdownReport) valueAt(at time.Time) float64 {
+	if at.After(p.validUntil) {
 		return 1
 	}
 	return max(1, p.factor)
@@ -47,7 +47,7 @@
 }
 
 // Askable lists the live targets of a pool that have not asked this daemon for rest.
-func (t *TargetTable) Askable(pool string, at time.Time) []TargetAddress {
+func (t *TargetTable) PollableTargets(pool string, at time.Time) []TargetAddress {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.pools[pool]
--- a/node/blackboard/target_remote.go
+++ b/node/blackboard/target_remote.go
@@ -15,13 +15,13 @@
 	// MemoryTokens is the memory that the call takes, in tokens.
 	MemoryTokens int64 `cbor:"4,keyasint,omitempty"`
 	// Part is the reading time of each part of the prompt, in seconds.
-	Part float64 `cbor:"5,keyasint,omitempty"`
+	PartPrefillTime float64 `cbor:"5,keyasint,omitempty"`
 	// GapGoal is the longest pause between two events that its caller wants, in seconds.
 	GapGoal float64 `cbor:"6,keyasint,omitempty"`
 	// Read is true once its prompt has been read.
-	Read bool `cbor:"7,keyasint,omitempty"`
+	PrefillDone bool `cbor:"7,keyasint,omitempty"`
 	// Tickets are what helpers set aside.
-	Tickets []routing.MemoryReservation `cbor:"8,keyasint,omitempty"`
+	Reservations []routing.MemoryReservation `cbor:"8,keyasint,omitempty"`
 	// Goal is the goal for the first event and Waited what of it is over, in seconds.
 	Goal   float64 `cbor:"9,keyasint,omitempty"`
 	Waited float64 `cbor:"10,keyasint,omitempty"`
@@ -29,11 +29,11 @@
 	PromptTokens int64 `cbor:"11,keyasint,omitempty"`
 }
 
-// StateOf makes the state of a call from the decision that placed it.
-func StateOf(attempt string, d *routing.Decision) CallState {
+// CallStateOf makes the state of a call from the decision that placed it.
+func CallStateOf(attempt string, d *routing.Decision) CallState {
 	state := CallState{
 		Attempt: attempt, Target: d.Chosen, Helpers: d.Helpers, MemoryTokens: d.Request.MemoryTokens(),
-		Part: d.PrefillTime / float64(1+len(d.Helpers)), GapGoal: d.Request.GapGoal, Tickets: d.Reservations,
+		PartPrefillTime: d.PrefillTime / float64(1+len(d.Helpers)), GapGoal: d.Request.GapGoal, Reservations: d.Reservations,
 		Goal: d.Request.Goal, Waited: d.Request.Waited, PromptTokens: d.Request.PromptTokens,
 	}
 	for _, ticket := range d.Reservations {
@@ -53,12 +53,12 @@
 	}
 	gone := t.begin(s, c.Attempt, routing.Load{Requests: 1, MemoryTokens: c.MemoryTokens}, at)
 	call := t.calls[c.Attempt]
-	call.read = c.Read
-	call.gap = c.GapGoal
-	call.prompt = c.PromptTokens
-	call.setGoal(c.Goal, c.Waited, at)
-	if !c.Read && c.Part > 0 {
-		t.giveParts(call, c.Helpers, c.Tickets, c.Part, at)
+	call.prefillDone = c.PrefillDone
+	call.gapGoal = c.GapGoal
+	call.promptTokens = c.PromptTokens
+	call.setFirstEventGoal(c.Goal, c.Waited, at)
+	if !c.PrefillDone && c.PartPrefillTime > 0 {
+		t.addParts(call, c.Helpers, c.Reservations, c.PartPrefillTime, at)
 	}
 	s.refresh(at)
 	return gone
@@ -76,23 +76,23 @@
 	var list []CallState
 	for _, s := range p.states {
 		for _, c := range s.calls {
-			list = append(list, c.describe(at))
+			list = append(list, c.callState(at))
 		}
 	}
 	return list
 }
 
 // describe is the call's state for another daemon.
-func (c *ownCall) describe(at time.Time) CallState {
-	state := CallState{Attempt: c.id, Target: c.state.id, MemoryTokens: c.load.MemoryTokens, GapGoal: c.gap, Read: c.read, Goal: c.goal, PromptTokens: c.prompt}
-	state.Waited = c.goal - c.due.Sub(at).Seconds()
+func (c *activeCall) callState(at time.Time) CallState {
+	state := CallState{Attempt: c.id, Target: c.state.id, MemoryTokens: c.load.MemoryTokens, GapGoal: c.gapGoal, PrefillDone: c.prefillDone, Goal: c.firstEventGoal, PromptTokens: c.promptTokens}
+	state.Waited = c.firstEventGoal - c.firstEventDue.Sub(at).Seconds()
 	for _, part := range c.parts {
-		state.Part = part.work
+		state.PartPrefillTime = part.seconds
 		if part.state != c.state {
 			state.Helpers = append(state.Helpers, part.state.id)
 		}
-		if part.memory > 0 {
-			state.Tickets = append(state.Tickets, routing.MemoryReservation{Target: part.state.id, Tokens: part.memory})
+		if part.reservedTokens > 0 {
+			state.Reservations = append(state.Reservations, routing.MemoryReservation{Target: part.state.id, Tokens: part.reservedTokens})
 		}
 	}
 	return state
--- a/node/blackboard/target_start.go
+++ b/node/blackboard/target_start.go
@@ -12,49 +12,49 @@
 
 // startedAnew tells whether a target's process is a later one than that of which this state
 // is believed.
-func (s *targetState) startedAnew(incarnation int64) bool {
-	return s.started > 0 && incarnation > s.started
+func (s *targetState) restarted(incarnation int64) bool {
+	return s.incarnation > 0 && incarnation > s.incarnation
 }
 
 // endCallsBefore tells whoever waits for an answer of the process before: a host that lost power
 // may leave their connections open. Calls that were sent later are the new process's, by the
 // clocks of two hosts; one that is told wrongly goes elsewhere only where it may.
-func (s *targetState) endCallsBefore(incarnation int64) {
+func (s *targetState) endCallsSentBefore(incarnation int64) {
 	for _, c := range s.calls {
 		if c.sent.UnixMilli() < incarnation {
-			c.endGone()
+			c.closeGone()
 		}
 	}
 }
 
 // endGone tells that the target of a call is gone, once.
-func (c *ownCall) endGone() {
-	if !c.told {
-		c.told = true
+func (c *activeCall) closeGone() {
+	if !c.goneClosed {
+		c.goneClosed = true
 		close(c.gone)
 	}
 }
 
 // Started takes in when a target says that its process started, and tells whether what was
 // believed of an earlier one has ended.
-func (t *TargetTable) Started(id string, incarnation int64, at time.Time) (anew bool) {
+func (t *TargetTable) RecordStart(id string, incarnation int64, at time.Time) (anew bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.byID[id]
-	if s == nil || incarnation <= s.started {
+	if s == nil || incarnation <= s.incarnation {
 		return false
 	}
-	if !s.startedAnew(incarnation) {
-		s.started = incarnation
+	if !s.restarted(incarnation) {
+		s.incarnation = incarnation
 		return false
 	}
-	s.endCallsBefore(incarnation)
+	s.endCallsSentBefore(incarnation)
 	fresh := &targetState{
-		id: s.id, address: s.address, started: incarnation, listed: s.listed,
-		pool: s.pool, index: s.index, calls: map[string]*ownCall{},
+		id: s.id, address: s.address, incarnation: incarnation, listed: s.listed,
+		pool: s.pool, index: s.index, calls: map[string]*activeCall{},
 	}
 	t.notices.UpdateTarget(id, s.address, incarnation)
-	t.recallNotices(fresh, at)
+	t.applyNotices(fresh, at)
 	fresh.pool.states[fresh.index] = fresh
 	t.byID[id] = fresh
 	// The calls of the earlier process end at its state, which no decision looks at.
--- a/node/blackboard/target_views.go
+++ b/node/blackboard/target_views.go
@@ -22,14 +22,14 @@
 
 // Capacity is the number of live targets of a pool and their prefill rate.
 type Capacity struct {
-	Live int
-	Rate float64
+	LiveTargets int
+	PrefillRate float64
 	// LargestMemory is the largest memory of a live target, in tokens.
 	LargestMemory int64
 	// TargetRate is the fastest live target's rate.
-	TargetRate float64
+	MaxTargetRate float64
 	// ShortRate is what this daemon's short prompts take of it, tokens a second.
-	ShortRate float64
+	ShortPromptRate float64
 }
 
 // Capacity sums the live targets of a pool.
@@ -41,15 +41,15 @@
 	if p == nil {
 		return c
 	}
-	c.ShortRate = p.short.perSecond(at)
+	c.ShortPromptRate = p.shortPrompts.perSecond(at)
 	for i := range p.targets {
 		v := &p.targets[i]
 		if v.State != routing.Live {
 			continue
 		}
-		c.Live++
-		c.Rate += v.PrefillRate
-		c.TargetRate = max(c.TargetRate, v.PrefillRate)
+		c.LiveTargets++
+		c.PrefillRate += v.PrefillRate
+		c.MaxTargetRate = max(c.MaxTargetRate, v.PrefillRate)
 		c.LargestMemory = max(c.LargestMemory, v.MemoryTokens)
 	}
 	return c
@@ -108,7 +108,7 @@
 	View     routing.Target `json:"view"`
 	Failures int64          `json:"failures"`
 	// Rest is for how long the target still wants no calls from this daemon.
-	Rest time.Duration `json:"rest_ns,omitempty"`
+	Backoff time.Duration `json:"rest_ns,omitempty"`
 	// Limit is the limit that it has named, with its unit; empty where it names none.
 	Limit    string `json:"limit,omitempty"`
 	OwnCalls int    `json:"own_calls"`
@@ -122,7 +122,7 @@
 	for _, p := range t.pools {
 		p.refresh(at)
 		for i, s := range p.states {
-			list = append(list, TargetStatus{Pool: p.name, Address: s.address, View: p.targets[i], Failures: s.failures, OwnCalls: len(s.calls), Rest: t.notices.BackoffLeft(s.id, at), Limit: s.limit().String()})
+			list = append(list, TargetStatus{Pool: p.name, Address: s.address, View: p.targets[i], Failures: s.failures, OwnCalls: len(s.calls), Backoff: t.notices.BackoffLeft(s.id, at), Limit: s.limit().String()})
 		}
 	}
 	slices.SortFunc(list, func(a, b TargetStatus) int {
--- a/node/blackboard/targets.go
+++ b/node/blackboard/targets.go
@@ -20,114 +20,114 @@
 	mu      Mutex
 	pools   map[string]*targetPool
 	byID    map[string]*targetState
-	calls   map[string]*ownCall
+	calls   map[string]*activeCall
 	scratch routing.Scratch
 	notices *forward.Notices
 }
 
 type targetPool struct {
-	name      string
-	model     string
-	targets   []routing.Target
-	states    []*targetState
-	index     map[string]int
-	refreshed time.Time
-	short     shortRate
+	name         string
+	model        string
+	targets      []routing.Target
+	states       []*targetState
+	index        map[string]int
+	refreshed    time.Time
+	shortPrompts shortPromptRate
 	// timing is what the engines' work costs; nil where it is not known.
 	timing *engine.Timing
 }
 
-// shortRate is a decaying average of the short prompts' tokens that this daemon
+// shortPromptRate is a decaying average of the short prompts' tokens that this daemon
 // placed, from which follows how many targets they need.
-type shortRate struct {
+type shortPromptRate struct {
 	tokens float64
 	at     time.Time
 }
 
-// shortRateTime is the time over which the average is taken.
-const shortRateTime = 10 * time.Second
+// shortPromptRateWindow is the time over which the average is taken.
+const shortPromptRateWindow = 10 * time.Second
 
-func (r *shortRate) add(tokens int64, at time.Time) {
+func (r *shortPromptRate) add(tokens int64, at time.Time) {
 	r.decay(at)
 	r.tokens += float64(tokens)
 }
 
-func (r *shortRate) decay(at time.Time) {
+func (r *shortPromptRate) decay(at time.Time) {
 	if elapsed := at.Sub(r.at); elapsed > 0 {
-		r.tokens *= math.Exp(-elapsed.Seconds() / shortRateTime.Seconds())
+		r.tokens *= math.Exp(-elapsed.Seconds() / shortPromptRateWindow.Seconds())
 		r.at = at
 	}
 }
 
 // perSecond is the average in tokens a second.
-func (r *shortRate) perSecond(at time.Time) float64 {
+func (r *shortPromptRate) perSecond(at time.Time) float64 {
 	r.decay(at)
-	return r.tokens / shortRateTime.Seconds()
+	return r.tokens / shortPromptRateWindow.Seconds()
 }
 
 type targetState struct {
-	id      string
-	address string
-	started int64 // when its process started, in Unix milliseconds; zero where it is not told
-	pool    *targetPool
-	index   int
-	listed  routing.State // the host list's word
-	silent  int           // reports missed in a row
-	leaving bool          // the word of its last report
+	id              string
+	address         string
+	incarnation     int64 // when its process started, in Unix milliseconds; zero where it is not told
+	pool            *targetPool
+	index           int
+	listed          routing.State // the host list's word
+	missedReports   int           // reports missed in a row
+	reportsDraining bool          // the word of its last report
 	// saidLeaving is the target's word beside an answer to a call.
-	saidLeaving bool
+	drainNoticed bool
 	// limiter keeps to the limit that the target has named; nil where it names none.
-	limiter  *forward.RateLimiter
-	report   target.LoadReport
-	reportAt time.Time    // when the report was true, by this daemon's clock
-	since    routing.Load // own work sent after reportAt
-	ended    routing.Load // own work ended after reportAt, sent before
-	calls    map[string]*ownCall
-	breaker  admission.Breaker
-	reserved string
-	failures int64
-	trouble  trouble
-	reading  readingState
-	setAside int64     // tokens of memory for calls that other targets answer
-	suspect  time.Time // until when nothing is sent to it, after it turned a call away
-	pace     pace
+	limiter          *forward.RateLimiter
+	report           target.LoadReport
+	reportAt         time.Time    // when the report was true, by this daemon's clock
+	loadSinceReport  routing.Load // own work sent after reportAt
+	endedSinceReport routing.Load // own work ended after reportAt, sent before
+	calls            map[string]*activeCall
+	breaker          admission.Breaker
+	reservedFor      string
+	failures         int64
+	recentFailures   failureCount
+	prefill          prefillState
+	reservedTokens   int64     // tokens of memory for calls that other targets answer
+	suspectUntil     time.Time // until when nothing is sent to it, after it turned a call away
+	slowdown         slowdownReport
 }
 
-// trouble is a decaying count of failed calls.
-type trouble struct {
+// failureCount is a decaying count of failed calls.
+type failureCount struct {
 	count float64
 	at    time.Time
 }
 
-// troubleTime is the time over which a failed call is forgotten.
-const troubleTime = 4 * time.Second
+// failureDecayTime is the time over which a failed call is forgotten.
+const failureDecayTime = 4 * time.Second
 
-func (t *trouble) now(at time.Time) float64 {
+func (t *failureCount) valueAt(at time.Time) float64 {
 	if t.count == 0 {
 		return 0
 	}
-	return t.count * math.Exp(-at.Sub(t.at).Seconds()/troubleTime.Seconds())
+	return t.count * math.Exp(-at.Sub(t.at).Seconds()/failureDecayTime.Seconds())
 }
 
-func (t *trouble) add(at time.Time) {
-	t.count = t.now(at) + 1
+func (t *failureCount) add(at time.Time) {
+	t.count = t.valueAt(at) + 1
 	t.at = at
 }
 
-// maxSilent is the number of reports missed in a row after which a target is
+// maxMissedReports is the number of reports missed in a row after which a target is
 // taken to be gone.
-const maxSilent = 3
+const maxMissedReports = 3
 
-// refreshEvery is how often a pool's loads are worked out again from the age of
+// refreshInterval is how often a pool's loads are worked out again from the age of
 // their reports.
-const refreshEvery = 10 * time.Millisecond
+const refreshInterval = 10 * time.Millisecond
 
 func newTargetTable() *TargetTable {
 	return &TargetTable{
 		mu:    NewMutex(RankTargets),
 		pools: map[string]*targetPool{},
 		byID:  map[string]*targetState{},
-		calls: map[string]*ownCall{}, notices: forward.NewNotices(),
+		calls: map[string]*activeCall{}, notices: forward.NewNotices(),
 	}
 }
 
@@ -148,21 +148,21 @@
 		if p == nil {
 			p = &targetPool{name: pool.Name, model: pool.Model, index: map[string]int{}, timing: pool.Timing}
 			if old := t.pools[pool.Name]; old != nil {
-				p.short = old.short
+				p.shortPrompts = old.shortPrompts
 			}
 			pools[pool.Name] = p
 		}
 		s := t.byID[h.ID]
-		if s != nil && s.startedAnew(h.Incarnation) {
-			s.endCallsBefore(h.Incarnation)
+		if s != nil && s.restarted(h.Incarnation) {
+			s.endCallsSentBefore(h.Incarnation)
 			s = nil
 		}
 		if s == nil || s.address != h.Address {
-			s = &targetState{id: h.ID, address: h.Address, calls: map[string]*ownCall{}}
+			s = &targetState{id: h.ID, address: h.Address, calls: map[string]*activeCall{}}
 		}
-		s.started = max(s.started, h.Incarnation)
+		s.incarnation = max(s.incarnation, h.Incarnation)
 		t.notices.UpdateTarget(h.ID, h.Address, h.Incarnation)
-		t.recallNotices(s, at)
+		t.applyNotices(s, at)
 		s.listed = routing.Live
 		if h.State == hostlist.Leaving {
 			s.listed = routing.Draining
@@ -206,8 +206,8 @@
 func (s *targetState) refresh(at time.Time) {
 	view := &s.pool.targets[s.index]
 	view.State = s.state()
-	view.BreakerOpen = s.breaker.Open(at) || at.Before(s.suspect)
-	view.ReservedFor = s.reserved
+	view.BreakerOpen = s.breaker.Open(at) || at.Before(s.suspectUntil)
+	view.ReservedFor = s.reservedFor
 	view.Unloaded = s.pool.model != "" && len(s.report.Models) > 0 && !slices.Contains(s.report.Models, s.pool.model)
 	view.ReportAge = 0
 	reported := routing.Load{}
@@ -215,11 +215,11 @@
 		view.ReportAge = at.Sub(s.reportAt)
 		reported = reportedLoad(&s.report, view.PrefillRate, view.ReportAge)
 	}
-	view.Load = reported.Sub(s.ended).Add(s.since)
-	view.RateLimit = rateLimit(s.limiter, at)
-	s.refreshTimed(view, at)
-	view.Slowdown = s.pace.now(at)
-	view.RecentFailures = s.trouble.now(at)
+	view.Load = reported.Sub(s.endedSinceReport).Add(s.loadSinceReport)
+	view.RateLimit = routingRateLimit(s.limiter, at)
+	s.refreshPrefill(view, at)
+	view.Slowdown = s.slowdown.valueAt(at)
+	view.RecentFailures = s.recentFailures.valueAt(at)
 	if s.report.MemoryTokens > 0 {
 		view.MemoryTokens = s.report.MemoryTokens
 	}
@@ -227,9 +227,9 @@
 
 func (s *targetState) state() routing.State {
 	switch {
-	case s.silent >= maxSilent:
+	case s.missedReports >= maxMissedReports:
 		return routing.Unavailable
-	case s.listed == routing.Draining || s.leaving || s.saidLeaving:
+	case s.listed == routing.Draining || s.reportsDraining || s.drainNoticed:
 		return routing.Draining
 	default:
 		return routing.Live
@@ -247,62 +247,62 @@
 }
 
 // Report takes over a load report received at the given time.
-func (t *TargetTable) Report(id string, r target.LoadReport, received time.Time) {
+func (t *TargetTable) RecordReport(id string, r target.LoadReport, received time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.byID[id]
 	if s == nil {
 		return
 	}
-	if s.silent >= maxSilent {
+	if s.missedReports >= maxMissedReports {
 		for _, c := range s.calls {
-			c.gone, c.told = make(chan struct{}), false // Those that still wait were told already.
+			c.gone, c.goneClosed = make(chan struct{}), false // Those that still wait were told already.
 		}
 	}
-	s.silent = 0
-	s.leaving = r.Leaving
+	s.missedReports = 0
+	s.reportsDraining = r.Leaving
 	reportAt := received.Add(-r.Age)
 	if reportAt.Before(s.reportAt) {
 		return // An older one that was overtaken.
 	}
 	s.report, s.reportAt = r, reportAt
-	s.since, s.ended = routing.Load{}, routing.Load{}
+	s.loadSinceReport, s.endedSinceReport = routing.Load{}, routing.Load{}
 	for _, c := range s.calls {
 		if c.sent.After(reportAt) {
-			s.since = s.since.Add(c.remaining())
+			s.loadSinceReport = s.loadSinceReport.Add(c.remainingLoad())
 		}
 	}
 	s.refresh(received)
 }
 
 // Silent records that a target did not answer when asked for its report.
-func (t *TargetTable) Silent(id string, at time.Time) {
+func (t *TargetTable) RecordMissedReport(id string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.byID[id]
 	if s == nil {
 		return
 	}
-	s.silent++
+	s.missedReports++
 	s.refresh(at)
-	if s.silent != maxSilent {
+	if s.missedReports != maxMissedReports {
 		return
 	}
 	// A frozen target keeps its connections open: whoever waits there is told.
 	for _, c := range s.calls {
-		c.endGone()
+		c.closeGone()
 	}
 }
 
 // Void makes all reports count as unknown, after a pause of the process.
-func (t *TargetTable) Void(at time.Time) {
+func (t *TargetTable) InvalidateReports(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range t.byID {
 		s.report, s.reportAt = target.LoadReport{}, time.Time{}
-		s.since, s.ended = routing.Load{}, routing.Load{}
+		s.loadSinceReport, s.endedSinceReport = routing.Load{}, routing.Load{}
 		for _, c := range s.calls {
-			s.since = s.since.Add(c.remaining())
+			s.loadSinceReport = s.loadSinceReport.Add(c.remainingLoad())
 		}
 		s.refresh(at)
 	}
--- a/node/cluster/bench_test.go
+++ b/node/cluster/bench_test.go
@@ -46,16 +46,16 @@
 func benchmarkHeartbeat(b *testing.B, n int) {
 	board := testBoard(n)
 	c := &Cluster{Board: board}
-	links := board.Members.Links(time.Now())
+	links := board.Members.GossipPeers(time.Now())
 	for b.Loop() {
 		h := c.newHeartbeat(false)
-		board.Members.View(func(t *membership.Table) {
+		board.Members.WithLock(func(t *membership.Table) {
 			for _, name := range links {
 				t.RecordHeartbeat(name, 1, h.Incarnation, 1, time.Now())
 			}
 			t.Tick(time.Now())
 		})
-		board.Members.Links(time.Now())
+		board.Members.GossipPeers(time.Now())
 	}
 	b.ReportMetric(float64(len(links)), "links-out")
 	b.ReportMetric(frameSize(b, peer.KindHeartbeat, c.newHeartbeat(false)), "B/heartbeat")
@@ -105,7 +105,7 @@
 
 // benchmarkOwner measures finding an account's owner among n daemons.
 func benchmarkOwner(b *testing.B, n int) {
-	living, _ := testBoard(n).Members.Living()
+	living, _ := testBoard(n).Members.AliveNames()
 	r := []renewal{{Account: "/desks/santa-maria", Demand: 0.25, Fraction: 0.125, AckedSequence: 1 << 60}}
 	for b.Loop() {
 		rendezvous.Owner("/desks/santa-maria", living)
--- a/node/cluster/claims.go
+++ b/node/cluster/claims.go
@@ -52,7 +52,7 @@
 
 // answerClaim answers a claim as a witness, from this daemon's memory.
 func (c *Cluster) answerClaim(in claimRequest) claimReply {
-	reply, outcome := c.Board.Claims.Ask(in.coreRequest(), time.Now())
+	reply, outcome := c.Board.Claims.AnswerClaim(in.coreRequest(), time.Now())
 	return claimReply{Answer: reply.Answer, Attempt: reply.Attempt, Holder: reply.Holder, Outcome: outcome}
 }
 
@@ -214,7 +214,7 @@
 }
 
 func (c *Cluster) serveConclude(_ context.Context, _ string, in attemptMessage) (empty, error) {
-	c.Board.Claims.Conclude(in.Key, in.Attempt, in.Outcome, time.Now())
+	c.Board.Claims.RecordOutcome(in.Key, in.Attempt, in.Outcome, time.Now())
 	return empty{}, nil
 }
 
@@ -222,7 +222,7 @@
 // key, since its attempt will not be sent any more.
 func (c *Cluster) RecordOutcome(in requestcontrol.Claim, o blackboard.Outcome) {
 	message := attemptMessage{Key: in.Key, Attempt: in.Attempt, Outcome: o}
-	c.Board.Claims.Conclude(in.Key, in.Attempt, o, time.Now())
+	c.Board.Claims.RecordOutcome(in.Key, in.Attempt, o, time.Now())
 	c.Board.Claims.End(in.Attempt)
 	kind := peer.KindConclude
 	if o.Execution == fault.NotRun {
--- a/node/cluster/cluster.go
+++ b/node/cluster/cluster.go
@@ -121,7 +121,7 @@
 // timeouts of members, shares of limits and leases on targets.
 func (c *Cluster) Invalidate(time.Duration) {
 	now := time.Now()
-	c.Board.Members.Void(now)
-	c.Board.Shares.Void(now)
-	c.Board.Leases.Void()
+	c.Board.Members.ResetTimeouts(now)
+	c.Board.Shares.Invalidate(now)
+	c.Board.Leases.Invalidate()
 }
--- a/node/cluster/coordinate.go
+++ b/node/cluster/coordinate.go
@@ -88,7 +88,7 @@
 func (p *Placer) newTicket(in *placeRequest, now time.Time) *blackboard.Ticket {
 	board := p.cluster.Board
 	pool := board.Settings.Current().Tree.Pool(in.Pool)
-	params := requestcontrol.RoutingParams(pool, board.Targets.Capacity(pool.Name, now), board.Members.Sharers())
+	params := requestcontrol.RoutingParams(pool, board.Targets.Capacity(pool.Name, now), board.Members.DaemonCount())
 	arrived := now.Add(-in.Waited)
 	return &blackboard.Ticket{
 		Pool: pool, Attempt: in.Attempt, Params: params, Deadline: now.Add(in.UntilDeadline),
@@ -152,7 +152,7 @@
 		p.endCall(in.Attempt, in.Result)
 		return empty{}, nil
 	}
-	p.cluster.Board.Targets.PromptRead(in.Attempt, time.Now())
+	p.cluster.Board.Targets.RecordPrefillDone(in.Attempt, time.Now())
 	return empty{}, nil
 }
 
@@ -167,7 +167,7 @@
 		return
 	}
 	if call.ticket != nil && p.cluster.Board.Queues.Remove(call.ticket) {
-		call.ticket.Drop()
+		call.ticket.Cancel()
 		return
 	}
 	p.cluster.Board.Targets.Finish(attempt, result, time.Now())
--- a/node/cluster/explain.go
+++ b/node/cluster/explain.go
@@ -44,12 +44,12 @@
 		}
 		s.Members = append(s.Members, status)
 	}
-	_, listed := c.Board.Members.Living()
-	for _, account := range c.Board.Shares.Leases() {
+	_, listed := c.Board.Members.AliveNames()
+	for _, account := range c.Board.Shares.LeasedAccounts() {
 		s.Shares = append(s.Shares, admin.ShareStatus{Account: account, Fraction: c.Board.Shares.Fraction(account, now), Floor: share.Floor(listed)})
 	}
 	for _, o := range c.Board.Leases.Owned(now) {
-		s.Leases = append(s.Leases, admin.LeaseStatus{Target: o.Target, Owner: c.Board.Self.Name, Fence: o.Fence, Expires: o.Until})
+		s.Leases = append(s.Leases, admin.LeaseStatus{Target: o.Target, Owner: c.Board.Self.Name, Fence: o.Fence, Expires: o.ExpiresAt})
 	}
 	return s
 }
@@ -69,7 +69,7 @@
 func (c *Cluster) Explain(request string) admin.Explanation {
 	ctx, cancel := context.WithTimeout(context.Background(), explainTimeout)
 	defer cancel()
-	living, listed := c.Board.Members.Living()
+	living, listed := c.Board.Members.AliveNames()
 	answers := make(chan admin.Explanation, len(living))
 	slots := make(chan struct{}, maxParallelExplains)
 	for _, name := range living {
--- a/node/cluster/fetch_test.go
+++ b/node/cluster/fetch_test.go
@@ -85,7 +85,7 @@
 	good := startSettingsPeer(t, "good", func(context.Context) (settings.Changes, error) {
 		return settings.Changes{Revision: 5, Parts: map[string]settings.Part{"settings": {Revision: 5, Data: []byte(testSettings)}}}, nil
 	})
-	c.Board.Members.View(func(table *membership.Table) {
+	c.Board.Members.WithLock(func(table *membership.Table) {
 		table.Receive(silent)
 		table.Receive(good)
 	})
--- a/node/cluster/gossip.go
+++ b/node/cluster/gossip.go
@@ -86,7 +86,7 @@
 func (c *Cluster) sendRumors(ctx context.Context) {
 	waiting := c.rumorBatch.take(time.Now())
 	linked := c.Hub.LinkedPeers()
-	for _, name := range c.Board.Members.Links(time.Now()) {
+	for _, name := range c.Board.Members.GossipPeers(time.Now()) {
 		if !slices.Contains(linked, name) {
 			continue
 		}
--- a/node/cluster/leases.go
+++ b/node/cluster/leases.go
@@ -31,7 +31,7 @@
 	var answer acquireAnswer
 	now := time.Now()
 	for _, id := range in.Targets {
-		if c.Board.Leases.Ask(lease.Request{Target: id, Owner: from}, now) {
+		if c.Board.Leases.Acquire(lease.Request{Target: id, Owner: from}, now) {
 			answer.Granted = append(answer.Granted, id)
 		}
 	}
@@ -73,7 +73,7 @@
 	byWitness := map[string][]string{}
 	for _, t := range targets {
 		witnesses := c.leaseWitnesses(t.ID, now)
-		c.Board.Leases.Start(t.ID, len(witnesses), now)
+		c.Board.Leases.StartRound(t.ID, len(witnesses), now)
 		for _, w := range witnesses {
 			byWitness[w] = append(byWitness[w], t.ID)
 		}
@@ -106,7 +106,7 @@
 		return
 	}
 	for _, id := range answer.Granted {
-		c.Board.Leases.Granted(id, time.Now())
+		c.Board.Leases.AddGrant(id, time.Now())
 	}
 }
 
@@ -222,7 +222,7 @@
 	}
 	var m membership.Member
 	var listed bool
-	c.Board.Members.View(func(t *membership.Table) { m, listed = t.Member(r.Owner) })
+	c.Board.Members.WithLock(func(t *membership.Table) { m, listed = t.Member(r.Owner) })
 	switch {
 	case !listed:
 		return "its daemon is no longer on the host list"
--- a/node/cluster/limits.go
+++ b/node/cluster/limits.go
@@ -31,7 +31,7 @@
 	}
 	state := blackboard.LimitState{Target: target, PerSecond: said.PerSecond, Lifted: said.Lifted}
 	if said.Lifted {
-		state.Ago = now.Sub(sent)
+		state.Age = now.Sub(sent)
 	}
 	p.notify(c.name, peer.KindLimit, limitNotice{Pool: pool, Limit: state})
 }
@@ -45,7 +45,7 @@
 // mergeLimits takes over what another daemon knows of targets' rate limits.
 func (p *Placer) mergeLimits(pool string, limits []blackboard.LimitState, now time.Time) {
 	for i := range limits {
-		p.cluster.Recorder.TakeWord(pool, limits[i].Target, limits[i].Word(now))
+		p.cluster.Recorder.TakeWord(pool, limits[i].Target, limits[i].TimedNotice(now))
 	}
 }
 
@@ -55,5 +55,5 @@
 	if a.Limit != nil {
 		p.mergeLimits(pool, []blackboard.LimitState{*a.Limit}, now)
 	}
-	p.cluster.Board.Targets.CountLimited(a.Target, now)
+	p.cluster.Board.Targets.RecordLimitedCall(a.Target, now)
 }
--- a/node/cluster/members.go
+++ b/node/cluster/members.go
@@ -87,16 +87,16 @@
 func (c *Cluster) sendHeartbeats(ctx context.Context, withRumors bool) {
 	now := time.Now()
 	h := c.newHeartbeat(withRumors)
-	for _, name := range c.Board.Members.Links(now) {
+	for _, name := range c.Board.Members.GossipPeers(now) {
 		if c.Board.Members.Address(name) == "" {
 			continue
 		}
 		go c.sendHeartbeat(ctx, name, h)
 	}
 	var rumors []membership.Rumor
-	c.Board.Members.View(func(t *membership.Table) { rumors = t.Tick(now) })
+	c.Board.Members.WithLock(func(t *membership.Table) { rumors = t.Tick(now) })
 	c.spreadRumors(ctx, rumors, "")
-	links := c.Board.Members.Links(now)
+	links := c.Board.Members.GossipPeers(now)
 	c.Hub.CloseIdle(func(name string) bool { return slices.Contains(links, name) })
 	if !c.DisableLeases {
 		c.Board.Claims.Counts(now)
@@ -107,7 +107,7 @@
 // withRumors is set; in an open fleet it carries a digest of the members instead.
 func (c *Cluster) newHeartbeat(withRumors bool) heartbeat {
 	h := heartbeat{Leaving: c.Board.Phase() == blackboard.Draining, StartIncarnation: c.Board.Self.Incarnation, SettingsRevision: c.revision()}
-	c.Board.Members.View(func(t *membership.Table) {
+	c.Board.Members.WithLock(func(t *membership.Table) {
 		if h.Leaving {
 			t.Leave()
 		}
@@ -149,7 +149,7 @@
 }
 
 func (c *Cluster) serveHeartbeat(ctx context.Context, from string, in heartbeat) (heartbeat, error) {
-	c.Board.Members.Partner(from, time.Now())
+	c.Board.Members.RecordHeartbeat(from, time.Now())
 	c.receiveHeartbeat(ctx, from, in)
 	return c.newHeartbeat(len(in.Rumors) > 0), nil
 }
@@ -162,7 +162,7 @@
 			rumors = append(rumors, r)
 		}
 	}
-	c.Board.Members.View(func(t *membership.Table) {
+	c.Board.Members.WithLock(func(t *membership.Table) {
 		add(t.RecordHeartbeat(from, h.StartIncarnation, h.Incarnation, h.SettingsRevision, time.Now()))
 		if h.Leaving {
 			add(t.Receive(membership.Rumor{Name: from, Incarnation: h.Incarnation, State: membership.Left}))
@@ -204,7 +204,7 @@
 }
 
 func (c *Cluster) neighbours() (names []string) {
-	c.Board.Members.View(func(t *membership.Table) { names = slices.Clone(t.NeighbourNames()) })
+	c.Board.Members.WithLock(func(t *membership.Table) { names = slices.Clone(t.NeighbourNames()) })
 	return names
 }
 
@@ -256,7 +256,7 @@
 		return false
 	}
 	read := false
-	c.Board.Directory.View(func(t *hostlist.Table) { read = (t.HasFullRead() || t.HasFirstPage()) && !t.StoreWasRestored() })
+	c.Board.Directory.WithLock(func(t *hostlist.Table) { read = (t.HasFullRead() || t.HasFirstPage()) && !t.StoreWasRestored() })
 	return read
 }
 
--- a/node/cluster/open.go
+++ b/node/cluster/open.go
@@ -59,7 +59,7 @@
 func (c *Cluster) introduceRound(ctx context.Context, round int) (alone bool) {
 	var addresses []string
 	seeds := *c.seeds.Load()
-	c.Board.Members.View(func(t *membership.Table) {
+	c.Board.Members.WithLock(func(t *membership.Table) {
 		alone = len(t.NeighbourNames()) == 0
 		if alone {
 			addresses = seeds
@@ -91,7 +91,7 @@
 // found none.
 func (c *Cluster) discoveryDone() bool {
 	others := 0
-	c.Board.Members.View(func(t *membership.Table) { others, _ = t.CountOthers() })
+	c.Board.Members.WithLock(func(t *membership.Table) { others, _ = t.CountOthers() })
 	return others > 0 || c.seedsAnswered.Load() || time.Since(c.started) > compareTimeout
 }
 
@@ -103,7 +103,7 @@
 	var asking sync.WaitGroup
 	for _, address := range addresses {
 		asking.Go(func() {
-			if address == c.Board.Self.Peer || c.introduce(ctx, address) {
+			if address == c.Board.Self.PeerAddress || c.introduce(ctx, address) {
 				answered.Add(1)
 			}
 		})
@@ -118,7 +118,7 @@
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	var own membership.Rumor
-	c.Board.Members.View(func(t *membership.Table) { own = t.Introduction() })
+	c.Board.Members.WithLock(func(t *membership.Table) { own = t.Introduction() })
 	var all []membership.Rumor
 	name, err := c.Hub.CallAt(ctx, address, peer.KindJoin, own, &all)
 	if err != nil {
@@ -138,14 +138,14 @@
 	}
 	c.receiveRumors(ctx, []membership.Rumor{in}, from)
 	var all []membership.Rumor
-	c.Board.Members.View(func(t *membership.Table) { all = t.AllRumors() })
+	c.Board.Members.WithLock(func(t *membership.Table) { all = t.AllRumors() })
 	return all, nil
 }
 
 // receiveRumors applies rumors and passes on those that are new here.
 func (c *Cluster) receiveRumors(ctx context.Context, in []membership.Rumor, from string) {
 	var news []membership.Rumor
-	c.Board.Members.View(func(t *membership.Table) {
+	c.Board.Members.WithLock(func(t *membership.Table) {
 		for _, r := range in {
 			if next, isNew := t.Receive(r); isNew {
 				news = append(news, next)
@@ -163,7 +163,7 @@
 		return
 	}
 	var digests []uint64
-	c.Board.Members.View(func(t *membership.Table) {
+	c.Board.Members.WithLock(func(t *membership.Table) {
 		if t.Digest() != digest {
 			digests = t.BucketDigests()
 		}
@@ -179,7 +179,7 @@
 // serveDigests sends a peer the rumors of the members on which the digests differ.
 func (c *Cluster) serveDigests(ctx context.Context, from string, theirs []uint64) (empty, error) {
 	var rumors []membership.Rumor
-	c.Board.Members.View(func(t *membership.Table) { rumors = t.DifferingRumors(theirs) })
+	c.Board.Members.WithLock(func(t *membership.Table) { rumors = t.DifferingRumors(theirs) })
 	if len(rumors) == 0 {
 		return empty{}, nil
 	}
--- a/node/cluster/placement.go
+++ b/node/cluster/placement.go
@@ -222,7 +222,7 @@
 		p.mu.Unlock()
 	}
 	placement := p.applyPlacement(t, answer)
-	placement.By = c.name
+	placement.DecidedBy = c.name
 	return placement, true
 }
 
@@ -234,7 +234,7 @@
 	accepts := func(id string) bool {
 		// A coordinator knows more targets than a daemon that has read only a part of the
 		// list.
-		return targets.Willing(id, now) || incomplete && targets.Address(id) == ""
+		return targets.Accepts(id, now) || incomplete && targets.Address(id) == ""
 	}
 	for _, h := range a.Helpers {
 		if !accepts(h.Target) {
@@ -350,7 +350,7 @@
 // placement.
 func (p *Placer) applyPlacement(t *blackboard.Ticket, a *placeAnswer) blackboard.Placement {
 	now := time.Now()
-	placement := blackboard.Placement{Attempt: t.Attempt, Address: a.Address, At: now, Decision: routing.Decision{
+	placement := blackboard.Placement{Attempt: t.Attempt, Address: a.Address, DecidedAt: now, Decision: routing.Decision{
 		Request: t.Request, Params: t.Params, Verdict: a.Verdict, Chosen: a.Target, Considered: a.Considered, PrefillTime: a.PrefillTime,
 		Reservations: a.Reservations, RetryAfter: a.RetryAfter,
 	}}
@@ -360,7 +360,7 @@
 	}
 	if a.Verdict == routing.Place {
 		p.recordLimitedCall(t.Pool.Name, a, now)
-		placement.Gone = p.cluster.Board.Targets.Adopt(blackboard.StateOf(t.Attempt, &placement.Decision), now)
+		placement.Gone = p.cluster.Board.Targets.Adopt(blackboard.CallStateOf(t.Attempt, &placement.Decision), now)
 	}
 	return placement
 }
--- a/node/cluster/placement_test.go
+++ b/node/cluster/placement_test.go
@@ -38,7 +38,7 @@
 	}
 	metrics := telemetry.NewMetrics()
 	board := blackboard.New(blackboard.Identity{Name: "self", DataCentre: "dc", Region: "r"}, blackboard.DefaultLimits())
-	board.Members.Open()
+	board.Members.OpenFleet()
 	board.Settings.Adopt(&blackboard.SettingsView{Tree: tree, Revision: 1})
 	facts := hostlist.Update{Full: true, AsOf: hostlist.Position(targets)}
 	for i := range targets {
@@ -47,7 +47,7 @@
 			DataCentre: "dc", Region: "r", State: hostlist.Live, Revision: hostlist.Position(i + 1),
 		})
 	}
-	board.MergeFacts(facts, time.Now())
+	board.MergeUpdate(facts, time.Now())
 	board.Serve()
 	record := &telemetry.Recorder{Board: board, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Metrics: metrics}
 	hub := peer.NewHub("self", []string{testSecret}, metrics)
@@ -187,7 +187,7 @@
 
 // testLimit returns a rate limit that a target declared 1 ms ago.
 func testLimit(target string, perSecond float64) blackboard.LimitState {
-	return blackboard.LimitState{Target: target, PerSecond: perSecond, Ago: time.Millisecond}
+	return blackboard.LimitState{Target: target, PerSecond: perSecond, Age: time.Millisecond}
 }
 
 // placeOne returns the coordinator's answer to a request of another daemon, in virtual
@@ -285,11 +285,11 @@
 	p := newTestPlacer(t, 1)
 	now := time.Now()
 	p.mergeLimits("svc", []blackboard.LimitState{testLimit("t0", 1)}, now)
-	p.mergeLimits("svc", []blackboard.LimitState{{Target: "t0", Lifted: true, Ago: time.Second}}, now.Add(100*time.Millisecond))
+	p.mergeLimits("svc", []blackboard.LimitState{{Target: "t0", Lifted: true, Age: time.Second}}, now.Add(100*time.Millisecond))
 	if len(p.cluster.Board.Targets.Limits("svc", now)) != 1 {
 		t.Error("a call sent before the limit was declared lifted it")
 	}
-	p.mergeLimits("svc", []blackboard.LimitState{{Target: "t0", Lifted: true, Ago: 50 * time.Millisecond}}, now.Add(100*time.Millisecond))
+	p.mergeLimits("svc", []blackboard.LimitState{{Target: "t0", Lifted: true, Age: 50 * time.Millisecond}}, now.Add(100*time.Millisecond))
 	if len(p.cluster.Board.Targets.Limits("svc", now)) != 0 {
 		t.Error("a call sent after the limit was declared did not lift it")
 	}
--- a/node/cluster/sharerequest.go
+++ b/node/cluster/sharerequest.go
@@ -27,7 +27,7 @@
 // for the same answer.
 func (c *Cluster) RequestShare(ctx context.Context, account string, rules *settings.Rules, promptTokens int64) bool {
 	now := time.Now()
-	living, listed := c.Board.Members.Living()
+	living, listed := c.Board.Members.AliveNames()
 	if listed <= 1 {
 		return false
 	}
--- a/node/cluster/shares.go
+++ b/node/cluster/shares.go
@@ -40,7 +40,7 @@
 		now := time.Now()
 		c.renewShares(ctx, now, now.Sub(last))
 		last = now
-		c.Board.Shares.Trim(now)
+		c.Board.Shares.RemoveExpired(now)
 	}
 }
 
@@ -61,7 +61,7 @@
 	if view == nil {
 		return
 	}
-	living, listed := c.Board.Members.Living()
+	living, listed := c.Board.Members.AliveNames()
 	c.Board.Shares.SetListed(listed)
 	if listed <= 1 {
 		return
@@ -102,7 +102,7 @@
 }
 
 func (c *Cluster) serveRenew(_ context.Context, from string, in []renewal) ([]grantAnswer, error) {
-	living, listed := c.Board.Members.Living()
+	living, listed := c.Board.Members.AliveNames()
 	now := time.Now()
 	answers := make([]grantAnswer, 0, len(in))
 	for _, r := range in {
@@ -137,7 +137,7 @@
 	}
 	wg.Wait()
 	if all {
-		c.Board.Shares.Settle()
+		c.Board.Shares.SetLeasesKnown()
 	}
 }
 
@@ -155,6 +155,6 @@
 // report them, no grant is raised until they have expired.
 func (c *Cluster) daemonJoined(ctx context.Context, name string) {
 	if name != c.Board.Self.Name && !c.adoptHoldings(ctx, name) {
-		c.Board.Shares.Joined(time.Now())
+		c.Board.Shares.DaemonJoined(time.Now())
 	}
 }
--- a/node/cluster/verdicts.go
+++ b/node/cluster/verdicts.go
@@ -30,7 +30,7 @@
 // NotifyCrash implements requestcontrol.CrashReporter. It reports a crash to the request's
 // trackers.
 func (c *Cluster) NotifyCrash(crash poison.Crash) {
-	living, _ := c.Board.Members.Living()
+	living, _ := c.Board.Members.AliveNames()
 	for _, name := range rendezvous.Top(crash.Request.String(), living, trackerCount) {
 		if name != c.Board.Self.Name { // This daemon's own table has counted the crash.
 			go c.reportCrash(name, crash)
@@ -49,7 +49,7 @@
 
 // serveCrash counts a crash that another daemon reports.
 func (c *Cluster) serveCrash(_ context.Context, from string, in poison.Crash) (empty, error) {
-	if found := c.Board.Poison.Crashed(in, time.Now()); found.Quarantined {
+	if found := c.Board.Poison.RecordCrash(in, time.Now()); found.Quarantined {
 		v := found.Verdict
 		c.Recorder.Log.Warn("call is quarantined", "call", in.Request.String(), "target", in.Target, "count", v.Count,
 			"reason", "several targets crashed under the call", "peer", from)
@@ -61,22 +61,22 @@
 // RequestTrial implements requestcontrol.CrashReporter. The request's first tracker decides, so
 // that only one daemon of the fleet tries the request.
 func (c *Cluster) RequestTrial(ctx context.Context, request poison.Key) bool {
-	living, _ := c.Board.Members.Living()
+	living, _ := c.Board.Members.AliveNames()
 	first := rendezvous.Owner(request.String(), living)
 	if first == c.Board.Self.Name {
-		return c.Board.Poison.Try(request, time.Now())
+		return c.Board.Poison.StartTrial(request, time.Now())
 	}
 	granted := false
 	if err := c.call(ctx, first, peer.KindTrial, request, &granted, trialTimeout); err != nil || !granted {
 		return false // The request is refused; the next one asks again.
 	}
-	c.Board.Poison.Grant(request, time.Now())
+	c.Board.Poison.RecordTrial(request, time.Now())
 	return true
 }
 
 // serveTrial decides whether another daemon may try a quarantined request.
 func (c *Cluster) serveTrial(_ context.Context, from string, request poison.Key) (bool, error) {
-	granted := c.Board.Poison.Try(request, time.Now())
+	granted := c.Board.Poison.StartTrial(request, time.Now())
 	if granted {
 		c.Recorder.Log.Info("trial of a quarantined call is granted", "call", request.String(), "peer", from)
 	}
@@ -90,7 +90,7 @@
 // verdicts are repaired when heartbeats are compared.
 func (c *Cluster) sendVerdicts(verdicts []poison.Verdict, from string) {
 	linked := c.Hub.LinkedPeers()
-	for _, name := range c.Board.Members.Links(time.Now()) {
+	for _, name := range c.Board.Members.GossipPeers(time.Now()) {
 		if name != from && slices.Contains(linked, name) {
 			go c.sendVerdictsTo(name, verdicts)
 		}
@@ -107,7 +107,7 @@
 
 // serveVerdicts merges a peer's verdicts and passes on those that were not known here.
 func (c *Cluster) serveVerdicts(_ context.Context, from string, in []poison.Verdict) (empty, error) {
-	news := c.Board.Poison.Learn(in, time.Now())
+	news := c.Board.Poison.Merge(in, time.Now())
 	if len(news) == 0 {
 		return empty{}, nil
 	}
--- a/node/cmd/doorstack/status.go
+++ b/node/cmd/doorstack/status.go
@@ -114,7 +114,7 @@
 		if v.Unloaded {
 			state += ", model not loaded"
 		}
-		if rest := targets[i].Rest; rest > 0 {
+		if rest := targets[i].Backoff; rest > 0 {
 			state += ", rests " + rest.Round(time.Millisecond).String()
 		}
 		if limit := targets[i].Limit; limit != "" {
--- a/node/cmd/doorstack/status_test.go
+++ b/node/cmd/doorstack/status_test.go
@@ -22,7 +22,7 @@
 
 // TestStatusShowsWhatHoldsCallsBack: the store's position, quarantined calls, a target's rest and limit.
 func TestStatusShowsWhatHoldsCallsBack(t *testing.T) {
-	s := &admin.Status{Store: "2.17", Quarantined: 3, Targets: []admin.TargetStatus{{Pool: "llm", Rest: 1200 * time.Millisecond, Limit: "1.4/s"}}}
+	s := &admin.Status{Store: "2.17", Quarantined: 3, Targets: []admin.TargetStatus{{Pool: "llm", Backoff: 1200 * time.Millisecond, Limit: "1.4/s"}}}
 	var out strings.Builder
 	printStatus(&out, s)
 	for _, want := range []string{"store known to 2.17, calls quarantined 3", "live, rests 1.2s, limit 1.4/s"} {
--- a/node/controller/directory.go
+++ b/node/controller/directory.go
@@ -112,7 +112,7 @@
 // knowsNoPeer reports whether no other daemon is known.
 func (c *Directory) knowsNoPeer() bool {
 	others := 0
-	c.Board.Members.View(func(t *membership.Table) { others, _ = t.CountOthers() })
+	c.Board.Members.WithLock(func(t *membership.Table) { others, _ = t.CountOthers() })
 	return others == 0
 }
 
@@ -129,7 +129,7 @@
 // readStore calls the store once, as a watch that waits up to hold for a change, and merges the
 // answer. It reports whether the store answered, or ctx ended.
 func (c *Directory) readStore(ctx context.Context, hold time.Duration) bool {
-	c.Board.Directory.View(func(t *hostlist.Table) {
+	c.Board.Directory.WithLock(func(t *hostlist.Table) {
 		if t.StoreDown() {
 			hold = outageHold // An immediate answer shows that the store is back.
 		}
@@ -146,7 +146,7 @@
 	c.Recorder.Metrics.PlatformRead.WithLabelValues("hosts", "read").Inc()
 	c.Recorder.Reach(blackboard.StageStore)
 	returned := false
-	c.Board.Directory.View(func(t *hostlist.Table) { returned = t.MarkStoreUp(now) })
+	c.Board.Directory.WithLock(func(t *hostlist.Table) { returned = t.MarkStoreUp(now) })
 	if returned {
 		c.Recorder.Log.Info("dependency is back", "dependency", "store", "revision", update.AsOf.String())
 	}
@@ -205,7 +205,7 @@
 func (c *Directory) recordReadFailure(err error) {
 	c.Recorder.Metrics.PlatformRead.WithLabelValues("hosts", "failed").Inc()
 	alreadyDown := false
-	c.Board.Directory.View(func(t *hostlist.Table) {
+	c.Board.Directory.WithLock(func(t *hostlist.Table) {
 		alreadyDown = t.StoreDown()
 		t.MarkStoreDown()
 	})
@@ -222,7 +222,7 @@
 }
 
 func (c *Directory) mergeUpdate(update hostlist.Update, from string, now time.Time) {
-	if !c.Board.MergeFacts(update, now) {
+	if !c.Board.MergeUpdate(update, now) {
 		return
 	}
 	c.OnChange()
@@ -256,7 +256,7 @@
 func (c *Directory) confirmRemovals(ctx context.Context) {
 	for ctx.Err() == nil {
 		Sleep(ctx, removalCheckInterval)
-		if c.Board.TickDirectory(time.Now()) {
+		if c.Board.ConfirmRemovals(time.Now()) {
 			c.OnChange()
 			targets, _ := c.Board.Members.Hosts()
 			c.Recorder.Log.Info("targets removed after their entries did not reappear", "left", fmt.Sprint(len(targets.Hosts)))
--- a/node/controller/hostlist.go
+++ b/node/controller/hostlist.go
@@ -40,7 +40,7 @@
 func (c *HostList) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.Refresh(ctx)
-		_, listed := c.Board.Members.Living()
+		_, listed := c.Board.Members.AliveNames()
 		pause := max(c.Interval, time.Duration(listed)*hostListIntervalPerHost)
 		// A random delay spreads the daemons' reads over time.
 		Sleep(ctx, pause/2+rand.N(pause))
--- a/node/controller/load.go
+++ b/node/controller/load.go
@@ -80,12 +80,12 @@
 	requested := time.Now()
 	report, err := c.Client.Load(ctx, t.Address)
 	if err != nil {
-		c.Board.Targets.Silent(t.ID, time.Now())
+		c.Board.Targets.RecordMissedReport(t.ID, time.Now())
 		return
 	}
 	// The report is dated by its request, so that what this daemon has sent since then counts in
 	// addition to it.
-	c.Board.Targets.Report(t.ID, report, requested)
+	c.Board.Targets.RecordReport(t.ID, report, requested)
 	if t.Engine && c.round%roundsPerEventRead == 0 {
 		c.pollEvents(ctx, t)
 	}
--- a/node/controller/pause.go
+++ b/node/controller/pause.go
@@ -47,6 +47,6 @@
 	}
 	c.Recorder.Metrics.Pauses.Inc()
 	c.Recorder.Log.Warn("the process was paused; load reports, leases and permits are discarded", "gap", gap.String(), "host_slept", suspended.String())
-	c.Board.Targets.Void(now)
+	c.Board.Targets.InvalidateReports(now)
 	c.OnPause(gap)
 }
--- a/node/controller/pause_test.go
+++ b/node/controller/pause_test.go
@@ -31,7 +31,7 @@
 	board := blackboard.New(blackboard.Identity{Name: "d"}, blackboard.DefaultLimits())
 	now := time.Now()
 	board.Targets.Sync([]hostlist.Host{{ID: "t", Role: hostlist.RoleTarget, Pool: "llm", Address: "a"}}, tree, now)
-	board.Targets.Report("t", target.LoadReport{UsedTokens: 900, MemoryTokens: 1000}, now)
+	board.Targets.RecordReport("t", target.LoadReport{UsedTokens: 900, MemoryTokens: 1000}, now)
 	pause := time.Duration(0)
 	p := &PauseDetector{
 		Board:    board,
--- a/node/controller/slowdown.go
+++ b/node/controller/slowdown.go
@@ -69,7 +69,7 @@
 			}
 			if c.Coordinates(pool) && time.Now().After(p.nextRound) {
 				p.nextRound = time.Now().Add(slowdownInterval)
-				c.pollRound(ctx, p, c.Board.Targets.Askable(pool, time.Now()))
+				c.pollRound(ctx, p, c.Board.Targets.PollableTargets(pool, time.Now()))
 			}
 		}
 		Sleep(ctx, coordinatorCheckInterval)
@@ -139,10 +139,10 @@
 		return wasSlow
 	}
 	now := time.Now()
-	if c.Board.Targets.Started(t.ID, report.Started, now) {
+	if c.Board.Targets.RecordStart(t.ID, report.Started, now) {
 		c.Recorder.Log.Info("target restarted", "target", t.ID, "pool", t.Pool, "incarnation", report.Started, "from", "its report")
 	}
-	c.Board.Targets.SetPace(t.ID, report.Slowdown, now.Add(validFor), now)
+	c.Board.Targets.SetSlowdown(t.ID, report.Slowdown, now.Add(validFor), now)
 	slow := engine.Slowdown(report.Slowdown) > 1
 	if slow != wasSlow {
 		c.Recorder.Log.Info("target's slowdown changed", "target", t.ID, "pool", t.Pool, "pace", report.Slowdown, "slow", slow)
--- a/node/daemon/daemon.go
+++ b/node/daemon/daemon.go
@@ -102,7 +102,7 @@
 		Incarnation: time.Now().UnixMilli(),
 		DataCentre:  file.DataCentre,
 		Region:      file.Region,
-		Peer:        file.Peer,
+		PeerAddress: file.Peer,
 		Cores:       cores,
 	}, limits)
 	d.record = &telemetry.Recorder{Board: d.Board, Log: d.Log, Metrics: d.Metrics}
@@ -140,7 +140,7 @@
 	d.hub.SetLogger(d.Log)
 	d.cluster = cluster.New(d.Board, d.hub, d.record, d.settings, client)
 	d.director.Claimer, d.director.ShareRequester, d.director.CrashReporter = d.cluster, d.cluster, d.cluster
-	d.Board.Accounts.SetShares(d.Board.Shares.Share)
+	d.Board.Accounts.SetShareFunc(d.Board.Shares.Share)
 	pause := &controller.PauseDetector{Board: d.Board, Recorder: d.record, SuspendedTime: clock.SuspendedTime, OnPause: d.cluster.Invalidate}
 	workers := &worker.Pool{Board: d.Board, Size: d.Config.Workers}
 	d.loops = []func(context.Context){d.settings.Run, pause.Run, workers.Run, d.cluster.Run}
@@ -163,7 +163,7 @@
 	directory := &controller.Directory{Board: d.Board, Source: d.adapter.Targets, Recorder: d.record, ShouldWatch: d.watches, OnChange: d.cluster.HeartbeatNow, MaxHold: watch.HoldTime(d.adapter.Settles)}
 	d.cluster.Directory = directory
 	d.Adapt(d.adapter.Seeds, d.adapter.Repeats, d.adapter.Grace)
-	d.Board.Members.Open()
+	d.Board.Members.OpenFleet()
 	d.director.Placer = d.cluster.Placer
 	d.cluster.DisableLeases = true
 	d.director.Exchanger = target.NewExchanger(d.adapter.Dialect)
--- a/node/internal/coordbench/fleet.go
+++ b/node/internal/coordbench/fleet.go
@@ -323,7 +323,7 @@
 	if c.written == 0 {
 		c.first = at
 		f.queue.At(at+way, func() {
-			c.by.board.Targets.PromptRead(c.name(), f.time())
+			c.by.board.Targets.RecordPrefillDone(c.name(), f.time())
 			f.look(c.by)
 		})
 	} else {
--- a/node/internal/fleet/once_test.go
+++ b/node/internal/fleet/once_test.go
@@ -33,7 +33,7 @@
 	f := start(t, claraOptions(5, 1))
 	pastYouth(t, f)
 	for _, d := range f.Daemons {
-		d.Board.Shares.Joined(time.Now())
+		d.Board.Shares.DaemonJoined(time.Now())
 	}
 	key := newKey()
 	replies := make([]reply, 20)
--- a/node/internal/policybench/policy.go
+++ b/node/internal/policybench/policy.go
@@ -117,7 +117,9 @@
 	return list
 }
 
-func (o *own) started(r *request, now time.Time) { o.board.Targets.PromptRead(o.attempt(r), now) }
+func (o *own) started(r *request, now time.Time) {
+	o.board.Targets.RecordPrefillDone(o.attempt(r), now)
+}
 
 func (o *own) ended(r *request, now time.Time) {
 	o.board.Targets.Finish(o.attempt(r), blackboard.CallSucceeded, now)
@@ -128,7 +130,7 @@
 }
 
 func (o *own) report(engine int, load target.LoadReport, now time.Time) {
-	o.board.Targets.Report(fmt.Sprint("e", engine), load, now)
+	o.board.Targets.RecordReport(fmt.Sprint("e", engine), load, now)
 }
 
 func (o *own) events(engine int, events []target.CacheEvent) {
@@ -138,7 +140,9 @@
 	}
 }
 
-func (o *own) silent(engine int, now time.Time) { o.board.Targets.Silent(fmt.Sprint("e", engine), now) }
+func (o *own) silent(engine int, now time.Time) {
+	o.board.Targets.RecordMissedReport(fmt.Sprint("e", engine), now)
+}
 
 // simple is a baseline: it sends every request on at once and lets engines queue.
 type simple struct {
--- a/node/onplatform/calm_test.go
+++ b/node/onplatform/calm_test.go
@@ -78,7 +78,7 @@
 	f.restart(func(int) bool { return true })
 	f.until("all others", func(d *spreadDaemon) bool {
 		known := 0
-		d.board.Members.View(func(members *membership.Table) { known = members.AliveCount() })
+		d.board.Members.WithLock(func(members *membership.Table) { known = members.AliveCount() })
 		return known == size
 	})
 	pass(calmFor)
--- a/node/onplatform/crashing_calls_test.go
+++ b/node/onplatform/crashing_calls_test.go
@@ -114,7 +114,7 @@
 	f.t.Helper()
 	f.eventually("all daemons known to all", func() bool {
 		for _, d := range f.daemons {
-			if living, _ := d.Board.Members.Living(); len(living) != len(f.daemons) {
+			if living, _ := d.Board.Members.AliveNames(); len(living) != len(f.daemons) {
 				return false
 			}
 		}
--- a/node/onplatform/findings_test.go
+++ b/node/onplatform/findings_test.go
@@ -24,7 +24,7 @@
 		f := newFleet(t, 2, 2)
 		f.eventually("both daemons known", func() bool {
 			for _, d := range f.daemons {
-				if living, _ := d.Board.Members.Living(); len(living) != 2 {
+				if living, _ := d.Board.Members.AliveNames(); len(living) != 2 {
 					return false
 				}
 			}
@@ -35,7 +35,7 @@
 			ID: "t1", Role: hostlist.RoleTarget, Address: f.targets["t1"].Address(), Pool: plain,
 			DataCentre: "z1", Region: "r1", State: hostlist.Leaving, Slots: 6, Revision: hostlist.NewPosition(1, 1000),
 		}
-		d.Board.MergeFacts(hostlist.Update{AsOf: hostlist.NewPosition(1, 1000), Hosts: []hostlist.Host{leaving}}, time.Now())
+		d.Board.MergeUpdate(hostlist.Update{AsOf: hostlist.NewPosition(1, 1000), Hosts: []hostlist.Host{leaving}}, time.Now())
 		for range 6 {
 			a := f.ask(safe)
 			a.Daemon = d.boot.Callers
@@ -162,7 +162,7 @@
 	f.t.Helper()
 	f.eventually("all daemons known", func() bool {
 		for _, d := range f.daemons {
-			if living, _ := d.Board.Members.Living(); len(living) != len(f.daemons) {
+			if living, _ := d.Board.Members.AliveNames(); len(living) != len(f.daemons) {
 				return false
 			}
 		}
--- a/node/onplatform/fleet_test.go
+++ b/node/onplatform/fleet_test.go
@@ -168,7 +168,7 @@
 	f := newFleet(t, 4, 1)
 	all := func() bool {
 		for _, d := range f.daemons {
-			if living, _ := d.Board.Members.Living(); len(living) != len(f.daemons) {
+			if living, _ := d.Board.Members.AliveNames(); len(living) != len(f.daemons) {
 				return false
 			}
 		}
@@ -200,7 +200,7 @@
 	}
 	f.eventually("all daemons known", func() bool {
 		for _, d := range f.daemons {
-			if living, _ := d.Board.Members.Living(); len(living) != 3 {
+			if living, _ := d.Board.Members.AliveNames(); len(living) != 3 {
 				return false
 			}
 		}
--- a/node/onplatform/herd_test.go
+++ b/node/onplatform/herd_test.go
@@ -44,7 +44,7 @@
 			if err := d.settings.Apply(changes, "store"); err != nil && !errors.Is(err, settings.ErrNotNewer) {
 				f.t.Error(err)
 			}
-			d.board.MergeFacts(hostlist.Update{Full: true, AsOf: 1, Hosts: []hostlist.Host{{
+			d.board.MergeUpdate(hostlist.Update{Full: true, AsOf: 1, Hosts: []hostlist.Host{{
 				ID: "t1", Role: hostlist.RoleTarget, Address: "10.1.0.1:1", Pool: "svc", State: hostlist.Live, Revision: 1,
 			}}}, time.Now())
 		}()
@@ -97,7 +97,7 @@
 	serving := f.until("service", func(d *spreadDaemon) bool { return d.board.Phase() == blackboard.Serving })
 	whole := f.until("all others", func(d *spreadDaemon) bool {
 		size := 0
-		d.board.Members.View(func(members *membership.Table) { size = members.AliveCount() })
+		d.board.Members.WithLock(func(members *membership.Table) { size = members.AliveCount() })
 		return size == len(f.daemons)
 	})
 	most := 0
@@ -156,7 +156,7 @@
 		const soon = 100 * time.Millisecond
 		took := f.until("both daemons", func(d *spreadDaemon) bool {
 			size := 0
-			d.board.Members.View(func(members *membership.Table) { size = members.AliveCount() })
+			d.board.Members.WithLock(func(members *membership.Table) { size = members.AliveCount() })
 			return size == len(f.daemons)+2
 		})
 		if took > soon {
--- a/node/onplatform/limit_fleet_test.go
+++ b/node/onplatform/limit_fleet_test.go
@@ -128,7 +128,7 @@
 		if err := d.settings.Apply(changes, "store"); err != nil && !errors.Is(err, settings.ErrNotNewer) {
 			f.t.Fatal(err)
 		}
-		d.board.MergeFacts(facts, time.Now())
+		d.board.MergeUpdate(facts, time.Now())
 		life, end := context.WithCancel(ctx)
 		workers := worker.Pool{Board: d.board, Size: 1}
 		f.workers.Go(func() { workers.Run(working) })
@@ -162,7 +162,7 @@
 	placement, ok := d.cluster.Placer.Place(ctx, ticket)
 	if !ok {
 		ticket.Request.Uncoordinated = !d.cluster.Placer.Coordinates("svc")
-		ticket.Request.DaemonCount = d.board.Members.Sharers()
+		ticket.Request.DaemonCount = d.board.Members.DaemonCount()
 		d.board.Queues.Push(ticket)
 		select {
 		case placement = <-ticket.Placed():
--- a/node/onplatform/spread_test.go
+++ b/node/onplatform/spread_test.go
@@ -147,7 +147,7 @@
 	address := fmt.Sprintf("10.0.0.%d:8229", i)
 	d.host = f.network.Add(address, link)
 	d.board = blackboard.New(blackboard.Identity{
-		Name: d.name, Incarnation: 1, DataCentre: d.centre, Region: "r", Peer: address, Cores: cores,
+		Name: d.name, Incarnation: 1, DataCentre: d.centre, Region: "r", PeerAddress: address, Cores: cores,
 	}, blackboard.DefaultLimits())
 	d.metrics = telemetry.NewMetrics()
 	record := &telemetry.Recorder{Board: d.board, Log: slog.New(f.dead), Metrics: d.metrics}
@@ -162,7 +162,7 @@
 	d.cluster = cluster.New(d.board, hub, record, d.settings, nil)
 	d.cluster.Directory, d.cluster.DisableLeases = d.directory, true
 	d.cluster.SetSeeds([]string{fleetSeed})
-	d.board.Members.Open()
+	d.board.Members.OpenFleet()
 	return d
 }
 
--- a/node/onplatform/verdicts_test.go
+++ b/node/onplatform/verdicts_test.go
@@ -26,7 +26,7 @@
 
 // crashAt plays at a daemon what it does when a target ends under a call.
 func (d *spreadDaemon) crashAt(c poison.Crash) {
-	found := d.board.Poison.Crashed(c, time.Now())
+	found := d.board.Poison.RecordCrash(c, time.Now())
 	d.cluster.NotifyCrash(c)
 	if found.Quarantined {
 		d.cluster.BroadcastVerdict(found.Verdict)
@@ -56,7 +56,7 @@
 	f.restart(func(int) bool { return true })
 	f.until("all others", func(d *spreadDaemon) bool {
 		known := 0
-		d.board.Members.View(func(members *membership.Table) { known = members.AliveCount() })
+		d.board.Members.WithLock(func(members *membership.Table) { known = members.AliveCount() })
 		return known == size
 	})
 	var bad, sound []poison.Key
@@ -79,7 +79,7 @@
 	}
 	took := f.until("ten calls", func(d *spreadDaemon) bool {
 		for _, k := range bad {
-			if !d.board.Poison.Ask(k, time.Now()).Quarantined {
+			if !d.board.Poison.Check(k, time.Now()).Quarantined {
 				return false
 			}
 		}
@@ -93,7 +93,7 @@
 		_, others := d.board.Poison.Counts()
 		most = max(most, others)
 		for _, k := range sound {
-			if d.board.Poison.Ask(k, time.Now()).Quarantined {
+			if d.board.Poison.Check(k, time.Now()).Quarantined {
 				t.Fatalf("a sound call is held at %s", d.name)
 			}
 		}
--- a/node/requestcontrol/admit.go
+++ b/node/requestcontrol/admit.go
@@ -72,8 +72,8 @@
 			"retry later, or have max_waiting raised").WithRetry(time.Second)
 	}
 	capacity := d.Board.Targets.Capacity(pool.Name, time.Now())
-	rate := capacity.Rate / float64(max(1, d.Board.Members.Sharers()))
-	estimate := admission.NewEstimate(ahead, r.promptTokens, rate, capacity.TargetRate, r.Deadline.Sub(r.Arrived))
+	rate := capacity.PrefillRate / float64(max(1, d.Board.Members.DaemonCount()))
+	estimate := admission.NewEstimate(ahead, r.promptTokens, rate, capacity.MaxTargetRate, r.Deadline.Sub(r.Arrived))
 	rec := decision.Record{Kind: decision.KindAdmit, Outcome: decision.OutcomeAdmitted, Estimate: &estimate}
 	if !estimate.Late() {
 		d.record(r, rec)
--- a/node/requestcontrol/director.go
+++ b/node/requestcontrol/director.go
@@ -64,7 +64,7 @@
 	if !r.Route.Repeatable && target.ExecutionOf(err) != fault.NotRun {
 		return false
 	}
-	if target.ExecutionOf(err) != fault.NotRun && !d.Board.Accounts.Retry(r.Account.Path) {
+	if target.ExecutionOf(err) != fault.NotRun && !d.Board.Accounts.TakeRetry(r.Account.Path) {
 		return false // Only calls that may have run count: others cost the targets nothing.
 	}
 	d.Recorder.Metrics.Retries.WithLabelValues(r.Route.Pool.Name).Inc()
@@ -105,24 +105,24 @@
 
 // recordPlacement records a routing decision, preceded by the latest one without room, if any.
 func (d *Director) recordPlacement(r *Request, ticket *blackboard.Ticket, p blackboard.Placement) {
-	if ticket.Waited() != nil {
+	if ticket.WaitDecision() != nil {
 		d.recordWait(r, ticket)
 	}
 	d.record(r, decision.Record{
-		Kind: decision.KindRoute, At: p.At, Outcome: string(p.Decision.Verdict), Target: p.Decision.Chosen,
+		Kind: decision.KindRoute, At: p.DecidedAt, Outcome: string(p.Decision.Verdict), Target: p.Decision.Chosen,
 		Attempt: p.Attempt, Routing: &p.Decision,
-		Reason: fmt.Sprintf("waited %v", p.At.Sub(r.Arrived).Round(time.Millisecond)), DecidedBy: p.By,
+		Reason: fmt.Sprintf("waited %v", p.DecidedAt.Sub(r.Arrived).Round(time.Millisecond)), DecidedBy: p.DecidedBy,
 	})
 }
 
 // recordWait records the latest routing decision that found no target with room.
 func (d *Director) recordWait(r *Request, ticket *blackboard.Ticket) {
-	waited := ticket.Waited()
+	waited := ticket.WaitDecision()
 	if waited == nil {
 		return
 	}
 	d.record(r, decision.Record{
 		Kind: decision.KindRoute, Outcome: string(waited.Verdict), Attempt: ticket.Attempt, Routing: waited,
-		Reason: fmt.Sprintf("%d routing decisions found no room", ticket.Looks()),
+		Reason: fmt.Sprintf("%d routing decisions found no room", ticket.DispatchAttempts()),
 	})
 }
--- a/node/requestcontrol/forward.go
+++ b/node/requestcontrol/forward.go
@@ -105,7 +105,7 @@
 		return true
 	}
 	d := f.director
-	return d.Board.Repeats.Take(f.request.Route.Pool.Name, d.Board.Members.Sharers(), time.Now())
+	return d.Board.Repeats.TakeRepeat(f.request.Route.Pool.Name, d.Board.Members.DaemonCount(), time.Now())
 }
 
 // finishFailed ends a call that is not retried: with a target's own error answer if there is
@@ -148,7 +148,7 @@
 		return err
 	}
 	if !retry {
-		d.Board.Repeats.Call(r.Route.Pool.Name, time.Now())
+		d.Board.Repeats.CountCall(r.Route.Pool.Name, time.Now())
 	}
 	d.Recorder.Reach(blackboard.StagePlaced)
 	f.lastTarget = placement.Decision.Chosen
--- a/node/requestcontrol/generate.go
+++ b/node/requestcontrol/generate.go
@@ -233,7 +233,7 @@
 		}
 		if !prefillDone {
 			prefillDone = true
-			g.director.Board.Targets.PromptRead(attempt, time.Now())
+			g.director.Board.Targets.RecordPrefillDone(attempt, time.Now())
 		}
 		if err := g.sink.Token(index, text); err != nil {
 			return errors.Wrap(errCallerWrite, err.Error())
--- a/node/requestcontrol/group.go
+++ b/node/requestcontrol/group.go
@@ -149,7 +149,7 @@
 func (run *groupRun) reservePart(ctx context.Context, p *groupPart) error {
 	d := run.director
 	load := routing.Load{Requests: 1, MemoryTokens: p.MemoryTokens, BacklogTokens: p.PromptTokens, LongPrefills: 1}
-	p.gone = d.Board.Targets.Occupy(p.Target, p.reservation, load, time.Now())
+	p.gone = d.Board.Targets.BeginPart(p.Target, p.reservation, load, time.Now())
 	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	err := d.Targets.Reserve(ctx, p.address, target.Reservation{
@@ -177,7 +177,7 @@
 		if err != nil {
 			return errors.Wrap(err, fmt.Sprintf("prefill of part %d of %d at %s", i+1, len(run.parts), p.Target))
 		}
-		run.director.Board.Targets.PromptRead(p.reservation, time.Now())
+		run.director.Board.Targets.RecordPrefillDone(p.reservation, time.Now())
 		run.record("read", fmt.Sprintf("part %d of %d at %s, %d tokens", i+1, len(run.parts), p.Target, p.PromptTokens))
 	}
 	return nil
--- a/node/requestcontrol/place.go
+++ b/node/requestcontrol/place.go
@@ -24,7 +24,7 @@
 		return blackboard.Placement{}, err
 	}
 	for {
-		if backoff, all := d.Board.Targets.RestLeft(r.Route.Pool.Name, exclude, time.Now()); all {
+		if backoff, all := d.Board.Targets.BackoffLeft(r.Route.Pool.Name, exclude, time.Now()); all {
 			return blackboard.Placement{}, d.refuseInBackoff(r, backoff)
 		}
 		placement, err := d.awaitPlacement(ctx, r, attempt, retry, exclude)
@@ -63,7 +63,7 @@
 
 // targetsAccept reports whether all targets of a placement accept calls at present.
 func (d *Director) targetsAccept(r *Request, p *blackboard.Placement) bool {
-	unwilling := d.Board.Targets.Unwilling(r.Route.Pool.Name, time.Now())
+	unwilling := d.Board.Targets.NotAccepting(r.Route.Pool.Name, time.Now())
 	return !slices.ContainsFunc(unwilling, func(id string) bool {
 		return id == p.Decision.Chosen || slices.Contains(p.Decision.Helpers, id)
 	})
@@ -81,7 +81,7 @@
 			return blackboard.Placement{}, waitError(ctx, r)
 		}
 		ticket.Request.Uncoordinated = !d.Placer.Coordinates(r.Route.Pool.Name)
-		ticket.Request.DaemonCount = d.Board.Members.Sharers()
+		ticket.Request.DaemonCount = d.Board.Members.DaemonCount()
 	}
 	d.Board.Queues.Push(ticket)
 	var placement blackboard.Placement
@@ -121,9 +121,9 @@
 
 func (d *Director) newTicket(r *Request, attempt string, retry bool, exclude []string) *blackboard.Ticket {
 	pool := r.Route.Pool
-	unwilling := d.Board.Targets.Unwilling(pool.Name, time.Now())
+	unwilling := d.Board.Targets.NotAccepting(pool.Name, time.Now())
 	capacity := d.Board.Targets.Capacity(pool.Name, time.Now())
-	params := RoutingParams(pool, capacity, d.Board.Members.Sharers())
+	params := RoutingParams(pool, capacity, d.Board.Members.DaemonCount())
 	return &blackboard.Ticket{
 		Pool:     pool,
 		Attempt:  attempt,
@@ -161,10 +161,10 @@
 // prompts need fewer than the rest.
 func RoutingParams(pool *settings.ResolvedPool, c blackboard.Capacity, daemonCount int) routing.Params {
 	policy := &pool.Policy
-	live := float64(c.Live)
+	live := float64(c.LiveTargets)
 	needed := 0.0
-	if c.Rate > 0 {
-		needed = live * c.ShortRate * float64(daemonCount) / c.Rate
+	if c.PrefillRate > 0 {
+		needed = live * c.ShortPromptRate * float64(daemonCount) / c.PrefillRate
 	}
 	return routing.Params{
 		LongPromptTokens: policy.LongPromptTokens,
--- a/node/requestcontrol/poison.go
+++ b/node/requestcontrol/poison.go
@@ -34,7 +34,7 @@
 	if d.Board.Poison.Empty() {
 		return false, nil
 	}
-	status := d.Board.Poison.Ask(r.poisonKey(), time.Now())
+	status := d.Board.Poison.Check(r.poisonKey(), time.Now())
 	r.suspected = status.Suspected
 	if !status.Quarantined {
 		return false, nil
@@ -56,7 +56,7 @@
 // requestTrial reports whether this daemon may send a quarantined request as a trial.
 func (d *Director) requestTrial(ctx context.Context, k poison.Key) bool {
 	if d.CrashReporter == nil {
-		return d.Board.Poison.Try(k, time.Now())
+		return d.Board.Poison.StartTrial(k, time.Now())
 	}
 	return d.CrashReporter.RequestTrial(ctx, k)
 }
@@ -84,7 +84,7 @@
 	if r.payloadSize() > smallRequestSize && d.Board.Poison.Empty() {
 		return func() {}
 	}
-	return d.Board.Poison.Sent(r.poisonKey(), func() { cancel(errQuarantined) })
+	return d.Board.Poison.BeginSend(r.poisonKey(), func() { cancel(errQuarantined) })
 }
 
 // recordSuccess records that a target survived a request.
@@ -92,7 +92,7 @@
 	if r.payloadSize() > smallRequestSize && d.Board.Poison.Empty() {
 		return
 	}
-	if v, lifted := d.Board.Poison.Served(r.poisonKey(), time.Now()); lifted && d.CrashReporter != nil {
+	if v, lifted := d.Board.Poison.RecordSuccess(r.poisonKey(), time.Now()); lifted && d.CrashReporter != nil {
 		d.CrashReporter.BroadcastVerdict(v)
 	}
 }
@@ -104,7 +104,7 @@
 	}
 	d.Recorder.Metrics.Crashes.WithLabelValues(r.Route.Pool.Name).Inc()
 	crash := poison.Crash{Request: r.poisonKey(), Target: id, Suspected: r.suspected}
-	result := d.Board.Poison.Crashed(crash, time.Now())
+	result := d.Board.Poison.RecordCrash(crash, time.Now())
 	if d.CrashReporter == nil || !result.Counted {
 		return
 	}
--- a/node/requestcontrol/relay.go
+++ b/node/requestcontrol/relay.go
@@ -85,7 +85,7 @@
 		return
 	}
 	f.prefilledAttempt = p.Attempt
-	f.director.Board.Targets.PromptRead(p.Attempt, time.Now())
+	f.director.Board.Targets.RecordPrefillDone(p.Attempt, time.Now())
 	f.director.Board.Queues.Wake(f.request.Route.Pool.Name)
 	if f.director.Placer != nil {
 		f.director.Placer.ReportPrefillDone(p.Attempt)
--- a/node/requestcontrol/silence.go
+++ b/node/requestcontrol/silence.go
@@ -105,7 +105,7 @@
 	}
 	f := s.forwarding
 	d := f.director
-	if s.mayRepeat && d.Board.Repeats.Take(f.request.Route.Pool.Name, d.Board.Members.Sharers(), time.Now()) {
+	if s.mayRepeat && d.Board.Repeats.TakeRepeat(f.request.Route.Pool.Name, d.Board.Members.DaemonCount(), time.Now()) {
 		f.repeatCharged.Store(true)
 		s.cancelAttempt()
 		return
--- a/node/telemetry/notice.go
+++ b/node/telemetry/notice.go
@@ -23,7 +23,7 @@
 // TakeWord takes a target's word about itself, heard here or by another daemon, to the blackboard,
 // and to log and metrics where it is news.
 func (r *Recorder) TakeWord(pool, target string, said forward.TimedNotice) bool {
-	if said.Notice == (forward.Notice{}) || !r.Board.Targets.Notice(target, said) {
+	if said.Notice == (forward.Notice{}) || !r.Board.Targets.RecordNotice(target, said) {
 		return false
 	}
 	for word, holds := range map[string]bool{
--- a/node/telemetry/startup.go
+++ b/node/telemetry/startup.go
@@ -4,7 +4,7 @@
 
 // Reach records that the daemon's start has come to a stage, the first time.
 func (r *Recorder) Reach(s blackboard.Stage) {
-	after, news := r.Board.Reach(s)
+	after, news := r.Board.MarkStage(s)
 	if !news {
 		return
 	}
--- a/node/worker/worker.go
+++ b/node/worker/worker.go
@@ -46,7 +46,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case pool := <-p.Board.Queues.Dirty():
+		case pool := <-p.Board.Queues.Wakeups():
 			p.Board.Queues.Dispatch(pool, p.Board.Targets, time.Now())
 		}
 	}
