--- a/node/blackboard/accounts.go
+++ b/node/blackboard/accounts.go
@@ -7,17 +7,18 @@
 	"doorstack.dev/core/settings"
 )
 
-// AccountTable holds what each client account uses at this daemon.
+// AccountTable holds the usage of each client account at this daemon.
 type AccountTable struct {
 	mu       Mutex
 	accounts map[string]*accountState
 	shareOf  ShareFunc
 }
 
-// ShareFunc says which part of an account's limits this daemon may use. It is
+// ShareFunc returns the part of an account's limits that this daemon may use. It is
 // called without the table's lock.
 type ShareFunc func(account string, rules *settings.Rules) admission.Share
 
+// accountState is the usage and the retry budget of one account.
 type accountState struct {
 	usage       *admission.Usage
 	retryBudget *admission.RetryBudget
@@ -28,7 +29,7 @@
 	return &AccountTable{mu: NewMutex(RankAccounts), accounts: map[string]*accountState{}, shareOf: fullShare}
 }
 
-// fullShare is the share of a daemon that is alone.
+// fullShare returns an account's whole limits, for a daemon that is alone.
 func fullShare(_ string, r *settings.Rules) admission.Share {
 	return admission.Share{
 		RequestsPerSecond:     r.RequestsPerSecond,
@@ -37,10 +38,10 @@
 	}
 }
 
-// SetShares sets where shares come from. It is called before requests are taken.
+// SetShareFunc sets the source of shares. It is called before requests are accepted.
 func (t *AccountTable) SetShareFunc(f ShareFunc) { t.shareOf = f }
 
-// Admit takes a request into the limits of its account.
+// Admit checks a request against the limits of its account and counts it if they allow it.
 func (t *AccountTable) Admit(account string, rules *settings.Rules, promptTokens int64, at time.Time) admission.Verdict {
 	share := t.shareOf(account, rules)
 	t.mu.Lock()
@@ -55,6 +56,7 @@
 	return v
 }
 
+// state returns the state of an account and creates it if needed; the lock is held.
 func (t *AccountTable) state(account string, share admission.Share, at time.Time) *accountState {
 	a := t.accounts[account]
 	if a == nil {
@@ -73,7 +75,7 @@
 	}
 }
 
-// Retry takes a retry out of the account's budget.
+// TakeRetry takes a retry from the account's retry budget and reports whether one was left.
 func (t *AccountTable) TakeRetry(account string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -81,7 +83,7 @@
 	return a != nil && a.retryBudget.TakeRetry()
 }
 
-// AccountDemand is the demand of an account at this daemon since the last look.
+// AccountDemand is the demand of an account at this daemon since the last TakeDemand.
 type AccountDemand struct {
 	Account string
 	Demand  admission.Demand
@@ -91,7 +93,7 @@
 // idleRetention is how long an unused account keeps its state.
 const idleRetention = 10 * time.Minute
 
-// TakeDemand returns the demand of all accounts in use and forgets idle ones.
+// TakeDemand returns the demand of all accounts in use and removes the idle ones.
 func (t *AccountTable) TakeDemand(at time.Time) []AccountDemand {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -106,7 +108,7 @@
 	return list
 }
 
-// AccountStatus is an account's use, for operators.
+// AccountStatus is an account's usage as shown to operators.
 type AccountStatus struct {
 	Account string          `json:"account"`
 	Running int             `json:"running"`
--- a/node/blackboard/blackboard.go
+++ b/node/blackboard/blackboard.go
@@ -1,11 +1,13 @@
-// Package blackboard is the shared state of a daemon: tables that controllers
-// fill, that workers and requests read, and that decisions are made from.
+// Package blackboard is the shared in-memory state of a daemon: tables of queued
+// requests, targets, client accounts, settings, fleet members and more. Controllers
+// fill them from the platform, the targets and the other daemons; workers and request
+// handlers read them to admit requests and to choose targets.
 //
-// Each table has one lock. The lock order is stated once, by the Rank constants:
-// a goroutine that holds a table's lock takes only locks of a higher rank. The
-// only places where two are held together are a worker that places waiting
-// requests (queues, then targets) and SyncTargets, whose lock comes first. Controllers copy out of one table before they
-// write to the next. Settings are read through an atomic pointer without a lock.
+// Each table has one lock. The Rank constants define the lock order: a goroutine that
+// holds a table's lock takes only locks of a higher rank. Two locks are held together
+// in two places only: by a worker that places waiting requests (queues, then targets),
+// and by SyncTargets, whose lock comes first. Controllers copy data out of one table
+// before they write to the next. Settings are read through an atomic pointer without a lock.
 package blackboard
 
 import (
@@ -13,41 +15,40 @@
 	"time"
 )
 
-// Identity is who a daemon is.
+// Identity describes a daemon.
 type Identity struct {
-	// Name is the host's id on the platform's list.
+	// Name is the host's id on the platform's host list.
 	Name string
-	// Incarnation is the start of the process, in milliseconds since 1970; a
-	// restarted daemon has a higher one.
+	// Incarnation is the start time of the process in Unix milliseconds; a restarted
+	// daemon has a higher one.
 	Incarnation int64
-	// DataCentre and Region say where the daemon stands.
+	// DataCentre and Region locate the daemon.
 	DataCentre, Region string
-	// Peer is the address of its listener for peers.
+	// PeerAddress is the address of the daemon's listener for peers.
 	PeerAddress string
-	// Cores is how much of a processor the host gives the daemon, in cores; zero where that
-	// is not known.
+	// Cores is the daemon's CPU allowance in cores; zero if it is not known.
 	Cores float64
 }
 
-// Phase is how far a daemon is in its life.
+// Phase is a phase of the daemon's life cycle.
 type Phase int32
 
 // The phases of a daemon.
 const (
-	// Starting daemons have no settings that they may trust yet.
+	// Starting daemons have no trusted settings yet.
 	Starting Phase = iota
-	// Serving daemons take requests.
+	// Serving daemons accept requests.
 	Serving
-	// Draining daemons finish what they have and take nothing new.
+	// Draining daemons finish their requests and accept no new ones.
 	Draining
 )
 
-// String names the phase.
+// String returns the name of the phase.
 func (p Phase) String() string {
 	return [...]string{"starting", "serving", "draining"}[p]
 }
 
-// Blackboard is all the shared state.
+// Blackboard holds all tables and the daemon's life-cycle state.
 type Blackboard struct {
 	Self      Identity
 	Queues    *QueueTable
@@ -65,24 +66,24 @@
 	Lag       *LagTable
 	Poison    *PoisonTable
 
-	syncMu        Mutex // makes SyncTargets one step
+	syncMu        Mutex // serializes SyncTargets
 	phase         atomic.Int32
 	reachedStages stageSet
-	processStart  time.Time     // when the process started
-	started       chan struct{} // closed at the end of Starting
+	processStart  time.Time
+	started       chan struct{} // closed when the phase leaves Starting
 	inFlight      atomic.Int64
 	forwardClosed atomic.Bool
 }
 
-// Limits bound the memory of the blackboard.
+// Limits bounds the memory of the blackboard.
 type Limits struct {
-	// DecisionBytes bounds the records kept for explanations.
+	// DecisionBytes bounds the memory of decision records kept for explanations.
 	DecisionBytes int64
-	// PrefixEntries bounds the prefixes remembered for routing.
+	// PrefixEntries bounds the number of prompt prefixes kept for routing.
 	PrefixEntries int
 }
 
-// DefaultLimits bounds the tables to some 24 MB.
+// DefaultLimits returns limits under which the tables take some 24 MB.
 func DefaultLimits() Limits {
 	return Limits{DecisionBytes: 16 << 20, PrefixEntries: 100_000}
 }
@@ -111,9 +112,9 @@
 	}
 }
 
-// SyncTargets puts the host list and the settings in force together. It is one
-// step: two of them, after a list and after settings that came at one time, must
-// not end with the older one's view.
+// SyncTargets applies the current host list and settings to the target table. The lock
+// makes reading and applying them atomic: of two concurrent calls, after a new list and
+// after new settings, the older view must not be applied last.
 func (b *Blackboard) SyncTargets() {
 	b.syncMu.Lock()
 	defer b.syncMu.Unlock()
@@ -126,31 +127,31 @@
 	b.Queues.WakeAll()
 }
 
-// Phase is the current phase.
+// Phase returns the current phase.
 func (b *Blackboard) Phase() Phase { return Phase(b.phase.Load()) }
 
-// Serve moves a starting daemon to Serving. It does nothing once it drains.
+// Serve moves a starting daemon to Serving. It does nothing if the daemon is draining.
 func (b *Blackboard) Serve() {
 	if b.phase.CompareAndSwap(int32(Starting), int32(Serving)) {
 		close(b.started)
 	}
 }
 
-// Drain moves the daemon to Draining for good.
+// Drain moves the daemon to Draining permanently.
 func (b *Blackboard) Drain() {
 	if Phase(b.phase.Swap(int32(Draining))) == Starting {
 		close(b.started)
 	}
 }
 
-// Started is closed once the daemon is no longer Starting.
+// Started returns a channel that is closed once the daemon is no longer Starting.
 func (b *Blackboard) Started() <-chan struct{} { return b.started }
 
-// Age is how long ago the process started.
+// Age returns the time since the process started.
 func (b *Blackboard) Age() time.Duration { return time.Since(b.processStart) }
 
-// Begin counts a request in, unless the daemon takes nothing new. Each Begin
-// that returned true needs one End.
+// BeginRequest counts a new request as in flight and reports whether the daemon accepts
+// it. Each call that returned true needs one EndRequest.
 func (b *Blackboard) BeginRequest() bool {
 	b.inFlight.Add(1)
 	if b.Phase() == Serving {
@@ -160,10 +161,10 @@
 	return false
 }
 
-// BeginForward counts a forwarded call in. A leaving daemon still takes those, until
-// it is closed: its callers learn only with their next answer that it leaves. One that was
-// told to leave before it had any settings takes none. Each BeginForward that returned true
-// needs one End.
+// BeginForward counts a forwarded call as in flight and reports whether the daemon accepts
+// it. A draining daemon accepts forwarded calls until CloseForward, since callers learn of
+// the draining only from their next answer. A daemon that was drained before it had any
+// settings accepts none. Each call that returned true needs one EndRequest.
 func (b *Blackboard) BeginForward() bool {
 	b.inFlight.Add(1)
 	if b.Phase() != Starting && !b.forwardClosed.Load() && b.Settings.Current() != nil {
@@ -173,11 +174,11 @@
 	return false
 }
 
-// CloseForward makes a leaving daemon refuse forwarded calls.
+// CloseForward makes a draining daemon refuse forwarded calls.
 func (b *Blackboard) CloseForward() { b.forwardClosed.Store(true) }
 
-// End counts a request out.
+// EndRequest ends a request that BeginRequest or BeginForward counted.
 func (b *Blackboard) EndRequest() { b.inFlight.Add(-1) }
 
-// InFlight is the number of requests between Begin and End.
+// InFlight returns the number of requests that have begun and not ended.
 func (b *Blackboard) InFlight() int64 { return b.inFlight.Load() }
--- a/node/blackboard/claims.go
+++ b/node/blackboard/claims.go
@@ -15,17 +15,19 @@
 	Answer    *target.ServiceAnswer `cbor:"2,keyasint,omitempty"`
 }
 
-// ClaimTable is this daemon's memory as a witness, and of the calls that it
-// claimed itself.
+// ClaimTable holds the claims that this daemon granted as a witness (one of the daemons
+// that remember which attempt holds a key), the outcomes of claimed calls, and this
+// daemon's own claimed calls in progress.
 type ClaimTable struct {
 	mu       Mutex
 	witness  *claim.Witness
 	outcomes map[string]*list.Element // by key
-	byAge    *list.List               // of *outcomeEntry, the oldest first
+	byAge    *list.List               // of *outcomeEntry, oldest first
 	bytes    int64
 	running  map[string]*runningCall // by attempt
 }
 
+// outcomeEntry is a recorded outcome with its size in memory.
 type outcomeEntry struct {
 	key     string
 	attempt string
@@ -34,12 +36,13 @@
 	bytes   int64
 }
 
-// runningCall is a claimed call of this daemon that has not ended.
+// runningCall is a claimed call of this daemon that has not ended yet.
 type runningCall struct {
 	done chan struct{}
 }
 
-// maxOutcomeBytes bounds the outcomes kept, maxAnswerBytes an answer in one.
+// maxOutcomeBytes bounds the memory of recorded outcomes, maxAnswerBytes the answer kept in
+// one of them. outcomeOverhead is the assumed memory of an outcome beside key and answer.
 const (
 	maxOutcomeBytes = 32 << 20
 	maxAnswerBytes  = 16 << 10
@@ -53,8 +56,8 @@
 	}
 }
 
-// Ask answers a claim as a witness, with the outcome where the key is taken and
-// it is known.
+// AnswerClaim answers a claim as a witness. If the key is taken and the outcome of the
+// holder's call is known, it also returns the outcome.
 func (t *ClaimTable) AnswerClaim(r claim.Request, at time.Time) (claim.Reply, *Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -65,6 +68,7 @@
 	return reply, t.outcome(r.Key, reply.Attempt)
 }
 
+// outcome returns the recorded outcome of an attempt, or nil; the lock is held.
 func (t *ClaimTable) outcome(key, attempt string) *Outcome {
 	e := t.outcomes[key]
 	if e == nil {
@@ -78,14 +82,14 @@
 	return &o
 }
 
-// GiveUp records, as a witness, that an attempt will never send.
+// GiveUp records, as a witness, that an attempt will never send its call.
 func (t *ClaimTable) GiveUp(key, attempt string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.witness.GiveUp(key, attempt)
 }
 
-// Conclude keeps an outcome, as its daemon or as a witness.
+// RecordOutcome keeps the outcome of a call, as the daemon that made it or as a witness.
 func (t *ClaimTable) RecordOutcome(key, attempt string, o Outcome, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -109,6 +113,7 @@
 	}
 }
 
+// removeOutcome removes an entry, if there is one; the lock is held.
 func (t *ClaimTable) removeOutcome(e *list.Element) {
 	if e == nil {
 		return
@@ -119,7 +124,7 @@
 	t.bytes -= entry.bytes
 }
 
-// Begin records that this daemon may send a claimed call.
+// Begin records that this daemon may now send a claimed call.
 func (t *ClaimTable) Begin(attempt string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -136,8 +141,8 @@
 	}
 }
 
-// Await returns the outcome of an attempt of this daemon, or a channel that is
-// closed when it ends; neither means that this daemon knows nothing of it.
+// Await returns the outcome of an attempt of this daemon, or a channel that is closed
+// when the attempt ends. Both are nil if this daemon does not know the attempt.
 func (t *ClaimTable) Await(key, attempt string) (*Outcome, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -147,14 +152,14 @@
 	return t.outcome(key, attempt), nil
 }
 
-// ClaimCounts describes the table.
+// ClaimCounts holds the sizes of a ClaimTable.
 type ClaimCounts struct {
 	claim.Counts
 	OutcomeBytes int64
 	Running      int
 }
 
-// Counts describes the table and forgets keys whose time is over.
+// Counts removes expired keys and returns the table's sizes.
 func (t *ClaimTable) Counts(at time.Time) ClaimCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/blackboard/decisions.go
+++ b/node/blackboard/decisions.go
@@ -2,7 +2,7 @@
 
 import "doorstack.dev/core/decision"
 
-// DecisionTable keeps the last decisions for explanations.
+// DecisionTable keeps the most recent decision records for explanations.
 type DecisionTable struct {
 	mu   Mutex
 	ring *decision.Ring
--- a/node/blackboard/directory.go
+++ b/node/blackboard/directory.go
@@ -6,8 +6,8 @@
 	"doorstack.dev/core/hostlist"
 )
 
-// DirectoryTable holds what the platform's store and the peers say of targets, where
-// the platform publishes entries rather than a list.
+// DirectoryTable holds the targets known from the platform's store and from peers, on
+// platforms that publish single entries rather than a host list.
 type DirectoryTable struct {
 	mu    Mutex
 	table *hostlist.Table
@@ -17,45 +17,48 @@
 	return &DirectoryTable{mu: NewMutex(RankDirectory), table: hostlist.NewTable()}
 }
 
-// View runs f on the table under its lock. f must not keep it.
+// WithLock calls f with the table under its lock. f must not retain the table.
 func (t *DirectoryTable) WithLock(f func(*hostlist.Table)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f(t.table)
 }
 
-// Revision is the position up to which all facts are known.
+// Revision returns the position up to which all updates are known.
 func (t *DirectoryTable) Revision() hostlist.Position {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.table.Revision()
 }
 
-// Incomplete tells whether only a part of the list is known.
+// Incomplete reports whether only a part of the entries is known.
 func (t *DirectoryTable) Incomplete() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.table.Incomplete()
 }
 
-// Since lists the facts above a position, for a peer.
+// Since returns the changes above a position, for a peer.
 func (t *DirectoryTable) Since(revision hostlist.Position) hostlist.Update {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.table.Since(revision)
 }
 
-// MergeFacts takes facts in and puts a changed list in force. It tells whether the
-// list has changed.
+// MergeUpdate merges an update into the directory and publishes the list of targets if
+// it has changed. It reports whether it has changed.
 func (b *Blackboard) MergeUpdate(f hostlist.Update, at time.Time) bool {
 	return b.updateDirectory(at, func(t *hostlist.Table) bool { return t.Merge(f, at) })
 }
 
-// TickDirectory ends doubts about targets whose entries ran out.
+// ConfirmRemovals applies the delayed removals of targets whose confirmation time has
+// passed. It reports whether the list of targets has changed.
 func (b *Blackboard) ConfirmRemovals(at time.Time) bool {
 	return b.updateDirectory(at, func(t *hostlist.Table) bool { return t.Tick(at) })
 }
 
+// updateDirectory applies a change to the directory and publishes the list of targets if
+// the list has changed or none has been published yet.
 func (b *Blackboard) updateDirectory(at time.Time, change func(*hostlist.Table) bool) bool {
 	changed := false
 	b.Directory.WithLock(func(t *hostlist.Table) { changed = change(t) })
@@ -65,7 +68,7 @@
 	return changed
 }
 
-// syncDirectory takes the directory's list to the tables that work with it.
+// publishDirectory copies the list of targets to the member table and the target table.
 func (b *Blackboard) publishDirectory(at time.Time) {
 	list := hostlist.List{AsOf: at}
 	b.Directory.WithLock(func(t *hostlist.Table) { list.Hosts, list.Revision = t.Hosts(), int64(t.Revision()) })
--- a/node/blackboard/lag.go
+++ b/node/blackboard/lag.go
@@ -6,7 +6,7 @@
 	"doorstack.dev/core/admission"
 )
 
-// LagTable holds how far the daemon is behind its own events.
+// LagTable holds the daemon's event lag, measured by admission.Lag.
 type LagTable struct {
 	mu  Mutex
 	lag admission.Lag
@@ -14,21 +14,21 @@
 
 func newLagTable() *LagTable { return &LagTable{mu: NewMutex(RankLag)} }
 
-// Begin notes that a sample was sent.
+// Begin records that a sample was sent.
 func (t *LagTable) Begin(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lag.Begin(at)
 }
 
-// Pending tells whether a sample is under way.
+// Pending reports whether a sample is in progress.
 func (t *LagTable) Pending() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lag.Pending()
 }
 
-// End notes that the sample under way has had its turn, and returns the wait that stands.
+// End records that the sample in progress was processed, and returns the sustained lag.
 func (t *LagTable) End(at time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -36,7 +36,7 @@
 	return t.lag.Sustained(at)
 }
 
-// Standing is how long what arrives has to wait at least.
+// Sustained returns how long new events have to wait at least, judged by the last samples.
 func (t *LagTable) Sustained(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/blackboard/leases.go
+++ b/node/blackboard/leases.go
@@ -8,8 +8,8 @@
 	"doorstack.dev/core/lease"
 )
 
-// LeaseTable holds this daemon's memory as a witness of leases on targets, and
-// the leases that it has itself.
+// LeaseTable holds the target leases that this daemon granted as a witness, and the
+// leases that it holds itself.
 type LeaseTable struct {
 	mu      Mutex
 	witness *lease.Witness
@@ -20,14 +20,14 @@
 	return &LeaseTable{mu: NewMutex(RankLeases), witness: lease.NewWitness(now), owners: map[string]*lease.Owner{}}
 }
 
-// Ask answers a request as a witness.
+// Acquire answers a lease request as a witness and reports whether it grants the lease.
 func (t *LeaseTable) Acquire(r lease.Request, at time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.witness.Acquire(r, at)
 }
 
-// Start begins a round of requests for a target.
+// StartRound starts a round of requests to the witnesses for a target's lease.
 func (t *LeaseTable) StartRound(id string, witnesses int, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -39,7 +39,7 @@
 	o.StartRound(witnesses, at)
 }
 
-// Granted counts a witness's grant and tells whether it made a majority.
+// AddGrant counts a witness's grant and reports whether it completed a majority.
 func (t *LeaseTable) AddGrant(id string, at time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -47,8 +47,8 @@
 	return o != nil && o.AddGrant(at)
 }
 
-// MayOrder tells whether this daemon may give an order now, and its number. A
-// target that does not check numbers makes a new owner wait.
+// MayOrder reports whether this daemon may send an order to a target now, and returns
+// its fencing token. A new owner has to wait first if the target does not check tokens.
 func (t *LeaseTable) MayOrder(id string, checksFencing bool, at time.Time) (fence int64, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -59,7 +59,7 @@
 	return o.FencingToken(), true
 }
 
-// Void ends all leases, after a pause.
+// Invalidate ends all leases that this daemon holds, after a pause of the process.
 func (t *LeaseTable) Invalidate() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -68,14 +68,14 @@
 	}
 }
 
-// OwnedTarget is a lease of this daemon.
+// OwnedTarget is a target whose lease this daemon holds.
 type OwnedTarget struct {
 	Target    string
 	Fence     int64
 	ExpiresAt time.Time
 }
 
-// Owned lists the leases in force.
+// Owned returns the leases in force, sorted by target.
 func (t *LeaseTable) Owned(at time.Time) []OwnedTarget {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/blackboard/members.go
+++ b/node/blackboard/members.go
@@ -9,8 +9,8 @@
 	"doorstack.dev/core/membership"
 )
 
-// MemberTable holds the daemons of the fleet: the platform's list, what links
-// and rumors say of it, and the lists that were in force before.
+// MemberTable holds the daemons of the fleet: the platform's host list, the membership
+// known from peer links and rumors, and the host lists that were in force before.
 type MemberTable struct {
 	mu             Mutex
 	self           Identity
@@ -18,7 +18,7 @@
 	readAt         time.Time
 	members        *membership.Table
 	hostLists      claim.History
-	heartbeatPeers map[string]time.Time // peers that sent a heartbeat, and when
+	heartbeatPeers map[string]time.Time // last heartbeat of each peer that sends any
 }
 
 func newMemberTable(self Identity) *MemberTable {
@@ -30,7 +30,7 @@
 	}
 }
 
-// SetHosts takes over the platform's list; an older revision is ignored.
+// SetHosts applies the platform's host list; an older revision is ignored.
 func (t *MemberTable) SetHosts(list hostlist.List, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -44,7 +44,7 @@
 	t.hostLists.Add(claim.HostList{Revision: list.Revision, Published: list.Changed, Hosts: t.daemonsOfRegion(list.Hosts)}, list.AsOf)
 }
 
-// Open makes the fleet one whose daemons the platform does not list.
+// OpenFleet switches to a fleet whose daemons are not on the platform's host list.
 func (t *MemberTable) OpenFleet() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -52,20 +52,21 @@
 	t.members = membership.NewOpenTable(own, t.self.Incarnation)
 }
 
-// SetTargets takes over a list that holds targets only; daemons are known otherwise.
+// SetTargets applies a list that holds targets only, in a fleet that learns its daemons otherwise.
 func (t *MemberTable) SetTargets(list hostlist.List, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.hosts, t.readAt = list, at
 }
 
-// HasHosts tells whether a list has been read.
+// HasHosts reports whether a list has been read.
 func (t *MemberTable) HasHosts() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.readAt.IsZero()
 }
 
+// daemonsOf returns the daemons on a host list.
 func daemonsOf(hosts []hostlist.Host) []membership.Host {
 	var list []membership.Host
 	for _, h := range hosts {
@@ -79,7 +80,8 @@
 	return list
 }
 
-// regional lists the daemons of this one's region, which witness its keys.
+// daemonsOfRegion returns the daemons of this daemon's region, which are the witnesses
+// for its keys, sorted by name.
 func (t *MemberTable) daemonsOfRegion(hosts []hostlist.Host) []string {
 	var names []string
 	for _, h := range hosts {
@@ -91,44 +93,44 @@
 	return names
 }
 
-// Hosts is the platform's list and when it was read.
+// Hosts returns the current list and when it was read.
 func (t *MemberTable) Hosts() (hostlist.List, time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.hosts, t.readAt
 }
 
-// Sharers is the number of living daemons that share the targets with this one,
-// itself included.
+// DaemonCount returns the number of living daemons that share the targets, including
+// this one.
 func (t *MemberTable) DaemonCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.members.AliveCount()
 }
 
-// View runs f on the membership under the table's lock. f must not keep it.
+// WithLock calls f with the membership under the table's lock. f must not retain it.
 func (t *MemberTable) WithLock(f func(*membership.Table)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f(t.members)
 }
 
-// Living lists the living daemons and counts the listed ones.
-func (t *MemberTable) AliveNames() (living []string, listed int) {
+// AliveNames returns the names of the living daemons and the number of listed ones.
+func (t *MemberTable) AliveNames() (names []string, listed int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.members.AliveNames(), t.members.ListedCount()
 }
 
-// Members lists the daemons on the platform's list.
+// Members returns the daemons on the platform's host list.
 func (t *MemberTable) Members() []membership.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.members.Members()
 }
 
-// Address finds a daemon's address for peers; a daemon that is no longer listed
-// may be found in the list before.
+// Address returns a daemon's address for peers. A daemon that is no longer listed may
+// still be known from the previous list.
 func (t *MemberTable) Address(name string) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -136,15 +138,15 @@
 	return m.Address
 }
 
-// Partner records a heartbeat from a peer.
+// RecordHeartbeat records a heartbeat from a peer.
 func (t *MemberTable) RecordHeartbeat(name string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.heartbeatPeers[name] = at
 }
 
-// Links lists the peers that rumors go to: those that this daemon keeps links to
-// and those that lately kept one to it.
+// GossipPeers returns the peers to which rumors are sent: the neighbours to which this
+// daemon keeps links, and the peers that recently sent it heartbeats.
 func (t *MemberTable) GossipPeers(at time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -161,8 +163,8 @@
 	return names
 }
 
-// WitnessSets returns the sets of witnesses for a claim, or nil while the host
-// list is not confirmed recently enough.
+// WitnessSets returns the sets of witnesses for a claim, or nil if the host list has not
+// been confirmed recently enough.
 func (t *MemberTable) WitnessSets(r claim.Request, at time.Time) [][]string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -172,15 +174,14 @@
 	return t.hostLists.Sets(r, at)
 }
 
-// HostLists returns the lists that were in force lately.
+// HostLists returns the recent host lists, and when the newest was last confirmed.
 func (t *MemberTable) HostLists() ([]claim.HostList, time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.hostLists.Lists()), t.hostLists.Confirmed()
 }
 
-// AddHostLists takes over lists that a peer has read, for what was in force
-// before this daemon started.
+// AddHostLists adds lists that a peer has read, to cover the time before this daemon started.
 func (t *MemberTable) AddHostLists(lists []claim.HostList) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -189,7 +190,7 @@
 	}
 }
 
-// Void gives neighbours their full time again, after a pause of the process.
+// ResetTimeouts restarts the neighbours' timeouts, after a pause of the process.
 func (t *MemberTable) ResetTimeouts(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/blackboard/prefixes.go
+++ b/node/blackboard/prefixes.go
@@ -8,19 +8,20 @@
 	"doorstack.dev/node/target"
 )
 
-// PrefixTable remembers which targets are believed to hold the start of which
-// prompts: from what this daemon sent there, corrected by the engines' cache
-// events. Both are hints: events come late and with gaps.
+// PrefixTable records which targets probably have which prompt prefixes cached: those
+// that this daemon sent there, corrected by the engines' cache events. Both sources are
+// hints, since events arrive late and with gaps.
 type PrefixTable struct {
 	mu      Mutex
 	limit   int
 	entries map[uint64]*list.Element
-	byUse   *list.List // of *prefixEntry, the most recent first
+	byUse   *list.List // of *prefixEntry, most recently used first
 }
 
-// maxHoldersPerPrefix bounds the targets remembered for one prefix.
+// maxHoldersPerPrefix bounds the targets recorded for one prefix.
 const maxHoldersPerPrefix = 4
 
+// prefixEntry holds the targets that have a prefix cached, the most recent last.
 type prefixEntry struct {
 	hash    uint64
 	holders []string
@@ -30,7 +31,7 @@
 	return &PrefixTable{mu: NewMutex(RankPrefixes), limit: limit, entries: map[uint64]*list.Element{}, byUse: list.New()}
 }
 
-// Stored records that a target holds prefixes.
+// Stored records that a target has prefixes cached.
 func (t *PrefixTable) Stored(id string, hashes []uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -39,6 +40,8 @@
 	}
 }
 
+// entry returns the entry of a prefix as the most recently used one. It creates the entry
+// if needed and evicts the least recently used entries above the limit; the lock is held.
 func (t *PrefixTable) entry(h uint64) *prefixEntry {
 	if e := t.entries[h]; e != nil {
 		t.byUse.MoveToFront(e)
@@ -54,6 +57,7 @@
 	return entry
 }
 
+// add makes a target the most recent holder and drops the oldest above the limit.
 func (e *prefixEntry) add(id string) {
 	e.holders = slices.DeleteFunc(e.holders, func(h string) bool { return h == id })
 	e.holders = append(e.holders, id)
@@ -62,7 +66,7 @@
 	}
 }
 
-// Evicted records that a target no longer holds prefixes.
+// Evicted records that a target no longer has prefixes cached.
 func (t *PrefixTable) Evicted(id string, hashes []uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -80,13 +84,13 @@
 	}
 }
 
-// Holder is a target believed to hold a prefix of so many tokens.
+// Holder is a target that probably has the first Tokens tokens of a prompt cached.
 type Holder struct {
 	Target string
 	Tokens int64
 }
 
-// Lookup returns the targets believed to hold the longest prefixes of a prompt.
+// Lookup returns the targets that probably have the longest prefixes of a prompt cached.
 func (t *PrefixTable) Lookup(hashes []uint64) []Holder {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -109,7 +113,7 @@
 	return holders
 }
 
-// cachedPrefixes turns holders into indexes of a list of targets.
+// cachedPrefixes converts holders to positions in a list of targets.
 func cachedPrefixes(holders []Holder, index map[string]int) []routing.CachedPrefix {
 	var cached []routing.CachedPrefix
 	for _, h := range holders {
--- a/node/blackboard/queues.go
+++ b/node/blackboard/queues.go
@@ -15,54 +15,55 @@
 	wakeups chan string
 }
 
+// poolQueue is the queue of one pool.
 type poolQueue struct {
 	queue        *admission.Queue
 	wakeupQueued bool
-	// restUntil is when the next look at a long queue may be, and resting is true while
-	// a timer waits for that.
+	// nextDispatch is when a long queue may be dispatched again; throttled means that a timer
+	// is waiting for that time.
 	nextDispatch time.Time
 	throttled    bool
-	// reservedFor is the long request that a target is being emptied for.
+	// reservedFor is the id of the long request for which a target is reserved.
 	reservedFor string
 }
 
-// Ticket is a waiting request's place in a queue.
+// Ticket is a request that waits in the queue of a pool, with the input of its routing decision.
 type Ticket struct {
 	Item *admission.Item
 	Pool *settings.ResolvedPool
-	// Request is the input of routing; Attempt names the call to come.
+	// Request is the input of routing; Attempt is the id of the call to be made.
 	Request routing.Request
 	Attempt string
 	Holders []Holder
-	// Deadline is when the request must have ended.
+	// Deadline is when the request must be complete.
 	Deadline time.Time
-	// Params are the pool's policy at the time of the last look.
+	// Params are the pool's routing parameters at the time of the last dispatch.
 	Params routing.Params
 	// placed receives the placement, once.
 	placed chan Placement
-	// waited is a late decision that found no room, with its candidates, and recorded
+	// waitDecision is a recent decision to wait, with its candidates, and candidatesRecorded
 	// when it was made.
 	waitDecision       *routing.Decision
 	candidatesRecorded time.Time
 	dispatchAttempts   int
-	noTargetSince      time.Time // when the ticket began to find no target at all
+	noTargetSince      time.Time // when routing first found no target at all
 }
 
-// Placed delivers the ticket's placement.
+// Placed returns the channel that delivers the ticket's placement.
 func (t *Ticket) Placed() <-chan Placement { return t.placed }
 
-// Drop tells whoever waits for the placement that there will be none. The ticket has
-// been removed from its queue.
+// Cancel closes the Placed channel without a placement. The ticket must already be
+// removed from its queue.
 func (t *Ticket) Cancel() { close(t.placed) }
 
-// maxWakeups bounds the pools that wait for a worker; each is in it once.
+// maxWakeups bounds the pools that wait for a worker; each pool is queued at most once.
 const maxWakeups = 1024
 
 func newQueueTable() *QueueTable {
 	return &QueueTable{mu: NewMutex(RankQueues), pools: map[string]*poolQueue{}, wakeups: make(chan string, maxWakeups)}
 }
 
-// Push puts a request into its pool's queue and calls for a worker.
+// Push adds a request to its pool's queue and wakes a worker.
 func (t *QueueTable) Push(ticket *Ticket) {
 	ticket.placed = make(chan Placement, 1)
 	t.mu.Lock()
@@ -74,6 +75,7 @@
 	t.mu.Unlock()
 }
 
+// pool returns the queue of a pool and creates it if needed; the lock is held.
 func (t *QueueTable) pool(name string) *poolQueue {
 	p := t.pools[name]
 	if p == nil {
@@ -83,15 +85,16 @@
 	return p
 }
 
-// A look at a queue of throttleMinLength requests or more is followed by a rest: each looks at
-// every request, and under overload events come faster than that. The rest is short
-// against the least goal of callers, 300 ms.
+// After the dispatch of a queue of throttleMinLength requests or more, the next dispatch
+// waits for throttleInterval: each dispatch looks at every request, and under overload
+// events arrive faster than that. The interval is short against the smallest first-event
+// goal of callers, 300 ms.
 const (
 	throttleMinLength = 8
 	throttleInterval  = 8 * time.Millisecond
 )
 
-// mark puts a pool on the workers' list, unless it is there or rests; the lock is held.
+// queueWakeup queues a pool for the workers, unless it is queued, throttled or empty; the lock is held.
 func (t *QueueTable) queueWakeup(name string, p *poolQueue) {
 	if p.wakeupQueued || p.throttled || p.queue.Len() == 0 {
 		return
@@ -108,7 +111,7 @@
 	}
 }
 
-// endRest calls for a worker, for the events of the time of rest.
+// endThrottle wakes a worker for the events that arrived while a pool was throttled.
 func (t *QueueTable) endThrottle(pool string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -118,7 +121,7 @@
 	}
 }
 
-// Wake calls for a worker, because room may have come free in a pool.
+// Wake wakes a worker for a pool in which capacity may have become free.
 func (t *QueueTable) Wake(pool string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -127,7 +130,7 @@
 	}
 }
 
-// WakeAll calls for a worker for every pool with waiting requests.
+// WakeAll wakes a worker for every pool with waiting requests.
 func (t *QueueTable) WakeAll() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -136,10 +139,10 @@
 	}
 }
 
-// Dirty delivers the pools that a worker should look at.
+// Wakeups returns the channel that delivers the pools that a worker should dispatch.
 func (t *QueueTable) Wakeups() <-chan string { return t.wakeups }
 
-// Remove takes a request out that no longer waits. It tells whether it waited;
+// Remove removes a request from its queue and reports whether it was still waiting;
 // if not, its placement is in the ticket's channel.
 func (t *QueueTable) Remove(ticket *Ticket) bool {
 	t.mu.Lock()
@@ -147,7 +150,7 @@
 	return t.pool(ticket.Pool.Name).queue.Remove(ticket.Item)
 }
 
-// Waiting counts the requests of an account and the tokens before a level.
+// Waiting returns the number of waiting requests of an account and the number of tokens queued ahead of a priority level.
 func (t *QueueTable) Waiting(pool, account string, level int) (requests int, tokensAhead int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -155,14 +158,14 @@
 	return q.Waiting(account), q.TokensAhead(level)
 }
 
-// Len is the number of waiting requests of a pool.
+// Len returns the number of waiting requests of a pool.
 func (t *QueueTable) Len(pool string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.pool(pool).queue.Len()
 }
 
-// Lengths is the number of waiting requests by pool.
+// Lengths returns the number of waiting requests by pool.
 func (t *QueueTable) Lengths() map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -174,13 +177,13 @@
 }
 
 // noTargetGrace is how long a request waits while its pool has no target at all:
-// longer than a target's restart on the host list usually shows, and short
-// enough that the caller hears of it early.
+// longer than a target's restart is usually visible on the host list, and short enough
+// that the caller gets the error early.
 const noTargetGrace = 3 * time.Second
 
-// Dispatch offers the waiting requests of a pool to its targets and delivers
-// each placement to its ticket. It holds the queues' lock and takes the
-// targets' lock inside.
+// Dispatch offers the waiting requests of a pool to its targets, delivers each placement
+// to its ticket, and returns their number. It holds the lock of the queues and takes the
+// lock of the targets inside.
 func (t *QueueTable) Dispatch(pool string, targets *TargetTable, at time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -192,7 +195,7 @@
 			p.nextDispatch = at.Add(throttleInterval)
 		}
 	}()
-	ahead := 0.0 // reading time of the long prompts that wait before the next one
+	ahead := 0.0 // prefill time of the long prompts that wait ahead of the next one, in seconds
 	placed := p.queue.Dispatch(at, func(it *admission.Item) bool {
 		ticket := it.Value.(*Ticket)
 		ticket.Request.PrefillAhead = ahead
@@ -208,20 +211,20 @@
 	return placed
 }
 
-// refuseExhausted refuses the waiting requests whose turn comes too late, where all targets of the pool
-// have named limits.
+// refuseRateLimited refuses the waiting requests that would be sent too late, if all targets of the pool
+// have declared rate limits.
 func (p *poolQueue) refuseRateLimited(limited []routing.Target, at time.Time) {
 	if len(limited) == 0 {
 		return
 	}
-	before := 0
+	ahead := 0
 	for _, it := range p.queue.InOrder(at) {
 		ticket := it.Value.(*Ticket)
 		r := &ticket.Request
 		r.Waited, r.UntilDeadline = at.Sub(it.Arrived).Seconds(), ticket.Deadline.Sub(at).Seconds()
-		d, refused := routing.RefuseRateLimited(r, before, limited)
+		d, refused := routing.RefuseRateLimited(r, ahead, limited)
 		if !refused {
-			before++
+			ahead++
 			r.WaitAccepted = true
 			continue
 		}
@@ -230,7 +233,7 @@
 	}
 }
 
-// place asks for a target and tells whether the ticket is done waiting.
+// place tries to place a ticket and reports whether the ticket is done waiting.
 func place(ticket *Ticket, targets *TargetTable, at time.Time) bool {
 	params := ticket.Params
 	params.LongTargets += ageingSteps(ticket, at)
@@ -257,20 +260,20 @@
 	return true
 }
 
-// candidateRecordInterval is how often the candidates of a decision to wait are recorded: a ticket is
-// looked at with each event of its pool.
+// candidateRecordInterval is how often the candidates of a decision to wait are recorded, since every
+// event of its pool makes a new decision for a ticket.
 const candidateRecordInterval = 100 * time.Millisecond
 
-// note keeps a decision to wait that has its candidates, for the explanation.
+// recordWait keeps a decision to wait that has its candidates, for the explanation.
 func (t *Ticket) recordWait(d *routing.Decision, at time.Time) {
 	if !t.Request.OmitCandidates || t.waitDecision == nil {
 		t.waitDecision, t.candidatesRecorded = d, at
 	}
 }
 
-// ageingSteps is how many ageing steps a ticket has waited. Each lets its long
-// prompt go to one more target, so that its wait is bounded where the room kept for
-// short prompts leaves too little for the long ones.
+// ageingSteps returns how many ageing steps a ticket has waited. Each step allows its long
+// prompt one more target, which bounds the wait where the capacity reserved for short
+// prompts leaves too little for long ones.
 func ageingSteps(ticket *Ticket, at time.Time) int {
 	step := time.Duration(ticket.Pool.Policy.AgeingPerLevel)
 	if step <= 0 {
@@ -280,12 +283,12 @@
 }
 
 // reserveAfterSteps is how many ageing steps a long request waits before a target is
-// emptied for it.
+// reserved for it.
 const reserveAfterSteps = 2
 
-// emptyTargetForOldest keeps a target free of new short requests once the
-// longest-waiting long request has waited too long, so that short ones cannot
-// fill every gap before it for ever. One target a pool is emptied at a time.
+// reserveTargetForOldest reserves a target for the longest-waiting long request once that
+// has waited too long, so that new short requests cannot fill every gap before it forever.
+// One target of a pool is reserved at a time.
 func (t *QueueTable) reserveTargetForOldest(p *poolQueue, pool string, targets *TargetTable, at time.Time) {
 	oldest := p.queue.Oldest(true)
 	if oldest == nil || p.queue.AgeingPerLevel <= 0 || at.Sub(oldest.Arrived) < reserveAfterSteps*p.queue.AgeingPerLevel {
@@ -305,7 +308,7 @@
 	}
 }
 
-// mostFreeMemory finds the live target with the most free memory.
+// mostFreeMemory returns the id of the live target with the most free memory.
 func mostFreeMemory(views []routing.Target) string {
 	best, free := "", int64(-1)
 	for i := range views {
@@ -320,9 +323,10 @@
 	return best
 }
 
-// Waited is a late decision that found no room, at most candidateRecordInterval before the last. It is read by the ticket's
-// owner after the ticket was placed or removed.
+// WaitDecision returns the last recorded decision to wait, nil if there is none; it is at most
+// candidateRecordInterval older than the latest. The ticket's owner calls it after the ticket was
+// placed or removed.
 func (t *Ticket) WaitDecision() *routing.Decision { return t.waitDecision }
 
-// Looks is how often targets were looked at for the ticket.
+// DispatchAttempts returns how often routing tried to place the ticket.
 func (t *Ticket) DispatchAttempts() int { return t.dispatchAttempts }
--- a/node/blackboard/queues_test.go
+++ b/node/blackboard/queues_test.go
@@ -11,7 +11,7 @@
 	"doorstack.dev/core/settings"
 )
 
-// newTestTicket is a ticket of a pool without targets, which waits for some seconds.
+// newTestTicket returns a ticket for a pool without targets, where it waits for noTargetGrace.
 func newTestTicket(i int) *Ticket {
 	id := fmt.Sprint("r", i)
 	return &Ticket{
@@ -20,7 +20,7 @@
 	}
 }
 
-// dispatchAll takes the calls for a worker that are there and dispatches for each.
+// dispatchAll dispatches the pool of each pending wakeup and returns the number of dispatches.
 func dispatchAll(q *QueueTable, targets *TargetTable) int {
 	n := 0
 	for {
@@ -34,8 +34,9 @@
 	}
 }
 
-// TestLongQueueIsThrottled: at the coordinator of a large pool under overload each event led
-// to a look at all waiting requests, until it answered nobody in time.
+// TestLongQueueIsThrottled checks that a long queue is dispatched at most once per interval.
+// Without that, each event of an overloaded pool led its coordinator to examine all waiting
+// requests, until it answered none of them in time.
 func TestLongQueueIsThrottled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q, targets := newQueueTable(), newTargetTable()
@@ -52,26 +53,26 @@
 			synctest.Wait()
 		}
 		if total > events/10+1 {
-			t.Errorf("%d looks in %v", total, events*throttleInterval/10)
+			t.Errorf("%d dispatches in %v, want at most %d", total, events*throttleInterval/10, events/10+1)
 		}
 		if total < events/20 {
-			t.Errorf("only %d looks", total)
+			t.Errorf("%d dispatches, want at least %d", total, events/20)
 		}
-		// The last event is not lost.
+		// An event during the interval leads to a dispatch after it.
 		dispatchAll(q, targets)
 		q.Wake("pool")
 		if n := dispatchAll(q, targets); n != 0 {
-			t.Errorf("%d looks during the rest", n)
+			t.Errorf("%d dispatches while throttled, want 0", n)
 		}
 		<-time.After(throttleInterval)
 		synctest.Wait()
 		if n := dispatchAll(q, targets); n != 1 {
-			t.Errorf("%d looks after the rest, want one for the event during it", n)
+			t.Errorf("%d dispatches after the interval, want 1 for the event during it", n)
 		}
 	})
 }
 
-// TestShortQueueIsDispatchedAtOnce: rests are for overload alone.
+// TestShortQueueIsDispatchedAtOnce checks that only long queues are throttled.
 func TestShortQueueIsDispatchedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q, targets := newQueueTable(), newTargetTable()
@@ -80,7 +81,7 @@
 		for range 10 {
 			q.Wake("pool")
 			if dispatchAll(q, targets) != 1 {
-				t.Error("an event is not followed by a look at once")
+				t.Error("Wake of a short queue did not lead to one dispatch at once")
 			}
 		}
 	})
--- a/node/blackboard/rank.go
+++ b/node/blackboard/rank.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// Rank is a table's place in the lock order.
+// Rank is a lock's position in the lock order.
 type Rank int
 
 // The lock order: a goroutine that holds a table's lock may take only locks of
@@ -25,13 +25,13 @@
 	RankPoison
 )
 
-// Mutex is a lock with a rank.
+// Mutex is a mutex with a rank in the lock order.
 type Mutex struct {
 	rank Rank
 	mu   sync.Mutex
 }
 
-// NewMutex returns an unlocked mutex of a rank.
+// NewMutex returns an unlocked mutex of the given rank.
 func NewMutex(rank Rank) Mutex { return Mutex{rank: rank} }
 
 // Lock locks m. In builds with the race detector it panics when the goroutine
--- a/node/blackboard/rank_race.go
+++ b/node/blackboard/rank_race.go
@@ -10,11 +10,11 @@
 	"sync"
 )
 
-// held maps a goroutine to the ranks of the locks it holds, in order.
+// held maps the id of a goroutine to the ranks of the locks that it holds, in order.
 var held sync.Map
 
-// goroutine reads the id of the current goroutine from its stack trace, which is
-// slow and only done in builds that look for races.
+// goroutine returns the id of the current goroutine, read from its stack trace. That is
+// slow and done only in builds with the race detector.
 func goroutine() string {
 	buffer := make([]byte, 64)
 	buffer = buffer[:runtime.Stack(buffer, false)]
@@ -22,23 +22,26 @@
 	return string(fields[1])
 }
 
+// acquire panics if the goroutine holds a lock of the same or a higher rank, and records
+// the lock otherwise.
 func acquire(rank Rank) {
 	id := goroutine()
 	value, _ := held.Load(id)
 	ranks, _ := value.([]Rank)
 	if len(ranks) > 0 && ranks[len(ranks)-1] >= rank {
-		panic(fmt.Sprintf("lock order: a lock of rank %d is taken while %v are held", rank, ranks))
+		panic(fmt.Sprintf("lock order violation: locking rank %d while holding ranks %v", rank, ranks))
 	}
 	held.Store(id, append(slices.Clone(ranks), rank))
 }
 
+// release removes a lock from those that the goroutine holds.
 func release(rank Rank) {
 	id := goroutine()
 	value, _ := held.Load(id)
 	ranks, _ := value.([]Rank)
 	at := slices.Index(ranks, rank)
 	if at < 0 {
-		panic(fmt.Sprintf("lock order: rank %d is released by a goroutine that does not hold it", rank))
+		panic(fmt.Sprintf("lock order violation: unlocking rank %d, which the goroutine does not hold", rank))
 	}
 	rest := slices.Delete(slices.Clone(ranks), at, at+1)
 	if len(rest) == 0 {
--- a/node/blackboard/repeats.go
+++ b/node/blackboard/repeats.go
@@ -6,14 +6,14 @@
 	"doorstack.dev/core/admission"
 )
 
-// RepeatTable counts the sends of calls beyond their first, by pool.
+// RepeatTable limits, by pool, how many sends of calls go beyond each call's first.
 type RepeatTable struct {
 	mu    Mutex
 	limit admission.RepeatLimit
 	pools map[string]*admission.RepeatBudget
 }
 
-// DefaultRepeatLimit is in force where the operators set none.
+// DefaultRepeatLimit returns the limit in force if the operators set none.
 func DefaultRepeatLimit() admission.RepeatLimit {
 	return admission.RepeatLimit{Share: 0.1, Slack: 20, Window: 10 * time.Second}
 }
@@ -22,7 +22,7 @@
 	return &RepeatTable{mu: NewMutex(RankRepeats), limit: DefaultRepeatLimit(), pools: map[string]*admission.RepeatBudget{}}
 }
 
-// SetLimit changes the limit for all pools.
+// SetLimit sets the limit for all pools.
 func (t *RepeatTable) SetLimit(l admission.RepeatLimit) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -38,14 +38,15 @@
 	return r
 }
 
-// Call counts the first send of a call.
+// CountCall counts the first send of a call.
 func (t *RepeatTable) CountCall(pool string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.pool(pool).CountCall(&t.limit, at)
 }
 
-// Take asks for one more send, when so many daemons share the limit.
+// TakeRepeat reports whether a call may be sent once more, and counts that send. daemons
+// is the number of daemons that share the limit.
 func (t *RepeatTable) TakeRepeat(pool string, daemons int, at time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/blackboard/cost_test.go
+++ b/node/blackboard/report_benchmark_test.go
@@ -11,12 +11,14 @@
 	"doorstack.dev/node/target"
 )
 
+// testSettings declares one pool, llm, of engines.
 const testSettings = `
 engine_kinds: {k: {protocol: engine, memory_tokens: 450000, prefill_tokens_per_second: 20000}}
 pools: {llm: {kind: k, model: m}}
 tree: {routes: {chat: {pool: llm}}}
 `
 
+// targetHosts returns a host list of n live targets in the pool of testSettings.
 func targetHosts(n int) []hostlist.Host {
 	hosts := make([]hostlist.Host, n)
 	for i := range hosts {
@@ -25,7 +27,7 @@
 	return hosts
 }
 
-// benchmarkReport measures taking in a load report, and the memory of a target.
+// benchmarkReport measures the time to record a load report and the memory per target, in a table of n targets.
 func benchmarkReport(b *testing.B, n int) {
 	tree, err := settings.Parse([]byte(testSettings))
 	if err != nil {
--- a/node/blackboard/started_anew_test.go
+++ b/node/blackboard/restart_test.go
@@ -10,9 +10,9 @@
 	"doorstack.dev/core/settings"
 )
 
-// TestRestartResetsTargetState: a target's process crashed and another started under
-// its id before its entry ran out. What was believed of the first, a breaker that is open,
-// calls that fill it, a slow pace, kept calls from the second or sent it too many.
+// TestRestartResetsTargetState checks that the state of a target is reset when a new process
+// starts under its id before its entry on the host list expires. Without that, the old process's
+// open breaker, calls and slowdown kept calls from the new process or sent it too many.
 func TestRestartResetsTargetState(t *testing.T) {
 	tree, err := settings.Parse([]byte("engine_kinds: {rest: {protocol: service, max_concurrent: 2}}\npools: {svc: {kind: rest}}\ntree: {}\n"))
 	if err != nil {
@@ -20,12 +20,12 @@
 	}
 	cases := map[string]struct {
 		incarnation int64
-		anew        bool
+		reset       bool
 	}{
-		"a later start":           {200, true},
-		"the same":                {100, false},
-		"an earlier one":          {50, false},
-		"one that tells no start": {0, false},
+		"a later start":         {200, true},
+		"the same start":        {100, false},
+		"an earlier start":      {50, false},
+		"no start in the entry": {0, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -41,23 +41,23 @@
 			host.Incarnation = c.incarnation
 			table.Sync([]hostlist.Host{host}, tree, now)
 			view := table.Views("svc", now)[0]
-			if anew := view.Load.Requests == 0 && !view.BreakerOpen && view.Slowdown <= 1; anew != c.anew {
-				t.Fatalf("%+v", view)
+			if reset := view.Load.Requests == 0 && !view.BreakerOpen && view.Slowdown <= 1; reset != c.reset {
+				t.Fatalf("state reset = %v, want %v: %+v", reset, c.reset, view)
 			}
-			// The calls of the earlier process end without a trace at the later one.
+			// The end of a call of the old process does not count at the new one.
 			table.Finish("x", CallFailed, now)
-			if view := table.Views("svc", now)[0]; c.anew && (view.Load.Requests != 0 || view.RecentFailures != 0) {
-				t.Errorf("the end of an earlier call counts: %+v", view)
+			if view := table.Views("svc", now)[0]; c.reset && (view.Load.Requests != 0 || view.RecentFailures != 0) {
+				t.Errorf("a failed call of the old process counts at the new one: %+v, want no requests and no failures", view)
 			}
 			if table.Active("x") || !table.Active("y") {
-				t.Error("the calls are not known any more")
+				t.Errorf("Active: x %v, y %v; want only y, which has not ended", table.Active("x"), table.Active("y"))
 			}
 		})
 	}
 }
 
-// TestRestartEndsEarlierCalls: a call that was sent before the process started waits for
-// an answer that cannot come; one that was sent after it is the new process's.
+// TestRestartEndsEarlierCalls checks which calls a restart ends. A call sent before the new
+// process started waits for an answer that cannot come; a later call belongs to the new process.
 func TestRestartEndsEarlierCalls(t *testing.T) {
 	tree, err := settings.Parse([]byte("engine_kinds: {rest: {protocol: service}}\npools: {svc: {kind: rest}}\ntree: {}\n"))
 	if err != nil {
@@ -66,52 +66,52 @@
 	const started = int64(500_000) // Unix milliseconds
 	before, after := time.UnixMilli(started-100), time.UnixMilli(started+100)
 	host := hostlist.Host{ID: "a", Role: hostlist.RoleTarget, Address: "10.0.0.1:80", Pool: "svc", State: hostlist.Live, Incarnation: 100}
-	learn := map[string]func(*TargetTable){
-		"from its entry": func(table *TargetTable) {
+	sources := map[string]func(*TargetTable){
+		"from the host list": func(table *TargetTable) {
 			later := host
 			later.Incarnation = started
 			table.Sync([]hostlist.Host{later}, tree, after)
 		},
 		"from its report": func(table *TargetTable) {
 			if !table.RecordStart("a", started, after) {
-				t.Error("it is not believed")
+				t.Error("RecordStart of a later start = false, want true")
 			}
 		},
 	}
-	for name, learned := range learn {
+	for name, learn := range sources {
 		t.Run(name, func(t *testing.T) {
 			table := newTargetTable()
 			table.Sync([]hostlist.Host{host}, tree, before)
 			early := table.BeginPart("a", "early", routing.Load{Requests: 1}, before)
 			late := table.BeginPart("a", "late", routing.Load{Requests: 1}, after)
-			learned(table)
+			learn(table)
 			select {
 			case <-early:
 			default:
-				t.Error("the call that was sent to the earlier process is not told")
+				t.Error("the channel of a call sent before the restart is open, want it closed")
 			}
 			select {
 			case <-late:
-				t.Error("the call that was sent to the new process is told")
+				t.Error("the channel of a call sent after the restart is closed, want it open")
 			default:
 			}
 			if view := table.Views("svc", after)[0]; view.Load.Requests != 0 {
-				t.Errorf("%+v", view)
+				t.Errorf("after the restart: %+v, want no requests", view)
 			}
 			table.Finish("early", CallFailed, after)
 			table.BeginPart("a", "next", routing.Load{Requests: 1}, after)
 			if view := table.Views("svc", after)[0]; view.Load.Requests != 1 || view.RecentFailures != 0 {
-				t.Errorf("%+v", view)
+				t.Errorf("after a new call: %+v, want 1 request and no failures", view)
 			}
-			if table.RecordStart("a", 100, after) || table.RecordStart("a", 0, after) || table.RecordStart("nobody", started, after) {
-				t.Error("an earlier start, none, or an unknown target's is believed")
+			if table.RecordStart("a", 100, after) || table.RecordStart("a", 0, after) || table.RecordStart("unknown", started, after) {
+				t.Error("RecordStart of an earlier start, of none or of an unknown target = true, want false")
 			}
 		})
 	}
 }
 
-// TestRateLimitSurvivesRestart: a process that crashes and starts again is most likely still in need;
-// its first answer lifts the limit if not.
+// TestRateLimitSurvivesRestart checks that a restart keeps the rate limit that a target declared: the
+// new process most likely still needs it, and its first answer lifts the limit otherwise.
 func TestRateLimitSurvivesRestart(t *testing.T) {
 	tree, err := settings.Parse([]byte("engine_kinds: {rest: {protocol: service, max_concurrent: 2}}\npools: {svc: {kind: rest}}\ntree: {}\n"))
 	if err != nil {
@@ -119,9 +119,9 @@
 	}
 	now := time.Unix(1000, 0)
 	host := hostlist.Host{ID: "a", Role: hostlist.RoleTarget, Address: "10.0.0.1:80", Pool: "svc", State: hostlist.Live, Incarnation: 100}
-	for name, startAnew := range map[string]func(*TargetTable){
-		"by its report": func(table *TargetTable) { table.RecordStart("a", 200, now) },
-		"by its entry": func(table *TargetTable) {
+	for name, restart := range map[string]func(*TargetTable){
+		"from its report": func(table *TargetTable) { table.RecordStart("a", 200, now) },
+		"from the host list": func(table *TargetTable) {
 			later := host
 			later.Incarnation = 200
 			table.Sync([]hostlist.Host{later}, tree, now)
@@ -129,16 +129,16 @@
 	} {
 		table := newTargetTable()
 		table.Sync([]hostlist.Host{host}, tree, now)
-		named := forward.TimedNotice{Notice: forward.Notice{Limit: forward.DeclaredLimit(2)}, Sent: now, Received: now.Add(time.Millisecond)}
-		table.RecordNotice("a", named)
-		startAnew(table)
+		declared := forward.TimedNotice{Notice: forward.Notice{Limit: forward.DeclaredLimit(2)}, Sent: now, Received: now.Add(time.Millisecond)}
+		table.RecordNotice("a", declared)
+		restart(table)
 		if view := table.Views("svc", now)[0]; view.RateLimit == nil {
-			t.Errorf("%s: the limit is forgotten", name)
+			t.Errorf("restart known %s: RateLimit = nil, want the declared limit", name)
 		}
 		lifted := forward.TimedNotice{Notice: forward.Notice{Limit: forward.Limit{Lifted: true}}, Sent: now.Add(time.Second), Received: now.Add(time.Second)}
 		table.RecordNotice("a", lifted)
 		if view := table.Views("svc", now.Add(time.Second))[0]; view.RateLimit != nil {
-			t.Errorf("%s: the limit is not lifted", name)
+			t.Errorf("restart known %s: RateLimit = %+v after it was lifted, want nil", name, view.RateLimit)
 		}
 	}
 }
--- a/node/blackboard/settings.go
+++ b/node/blackboard/settings.go
@@ -7,15 +7,15 @@
 	"doorstack.dev/core/settings"
 )
 
-// SettingsView is one adopted revision. It never changes.
+// SettingsView is an adopted settings revision. It is immutable.
 type SettingsView struct {
 	Tree     *settings.Tree
 	Revision int64
-	// Digest identifies the content, to notice two contents of one revision.
+	// Digest identifies the content, to detect different contents under one revision.
 	Digest uint64
-	// Adopted is when this daemon adopted it.
+	// Adopted is when this daemon adopted the revision.
 	Adopted time.Time
-	// Snapshot is what the tree was read from.
+	// Snapshot is the data that the tree was parsed from.
 	Snapshot settings.Snapshot
 }
 
@@ -26,7 +26,7 @@
 	rejection Rejection
 }
 
-// Rejection is the last revision that was not adopted, and why.
+// Rejection is the last revision that was not adopted, and the reason.
 type Rejection struct {
 	Revision int64     `json:"revision,omitempty"`
 	Reason   string    `json:"reason,omitempty"`
@@ -35,10 +35,10 @@
 
 func newSettingsTable() *SettingsTable { return &SettingsTable{mu: NewMutex(RankSettings)} }
 
-// Current is the revision in force, or nil before the first.
+// Current returns the revision in force, or nil before the first.
 func (t *SettingsTable) Current() *SettingsView { return t.current.Load() }
 
-// Adopt puts a revision in force unless one at least as new is.
+// Adopt puts a revision in force unless the current one is as new or newer. It reports whether it did.
 func (t *SettingsTable) Adopt(v *SettingsView) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -59,7 +59,7 @@
 	t.rejection = r
 }
 
-// Rejected is the last revision that was not adopted.
+// Rejected returns the last revision that was not adopted.
 func (t *SettingsTable) Rejected() Rejection {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/blackboard/shares.go
+++ b/node/blackboard/shares.go
@@ -10,18 +10,19 @@
 	"doorstack.dev/core/share"
 )
 
-// ShareTable holds this daemon's leases on accounts' limits, and what it leases
-// out as the owner of accounts.
+// ShareTable holds this daemon's leases on fractions of accounts' limits, and the leases
+// that it grants to other daemons as the owner of accounts.
 type ShareTable struct {
 	mu            Mutex
 	holders       map[string]*share.Holder
 	owners        map[string]*share.Owner
 	leasesKnown   bool
-	adoptedLeases map[string][]adoptedLease // told by holders before the first renewal
+	adoptedLeases map[string][]adoptedLease // reported by holders before their first renewal
 	listedDaemons int
 	adoptUntil    time.Time
 }
 
+// adoptedLease is a lease that a previous owner granted.
 type adoptedLease struct {
 	holder   string
 	fraction float64
@@ -34,14 +35,14 @@
 	}
 }
 
-// SetListed tells the number of published daemons.
+// SetListed sets the number of daemons on the host list.
 func (t *ShareTable) SetListed(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.listedDaemons = n
 }
 
-// Share is the part of an account's limits that this daemon may use now.
+// Share returns the part of an account's limits that this daemon may use now.
 func (t *ShareTable) Share(account string, r *settings.Rules) admission.Share {
 	fraction := t.Fraction(account, time.Now())
 	return admission.Share{
@@ -51,11 +52,11 @@
 	}
 }
 
-// roundingSlack keeps a whole limit whole in spite of binary fractions.
+// roundingSlack keeps floating-point error from rounding a whole limit down.
 const roundingSlack = 1e-6
 
-// Fraction is the part of an account's limits in force here. A daemon that is
-// alone on the platform's list has all of it.
+// Fraction returns the fraction of an account's limits in force at this daemon. A daemon
+// that is alone on the host list has all of it.
 func (t *ShareTable) Fraction(account string, at time.Time) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -69,7 +70,7 @@
 	return fraction
 }
 
-// Renewal asks for a lease on an account.
+// Renewal returns this daemon's request to the owner for a lease on an account.
 func (t *ShareTable) Renewal(self, account string, demand float64, at time.Time) share.Renewal {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -81,7 +82,7 @@
 	return h.NewRenewal(self, demand, at)
 }
 
-// Accept takes over a grant asked for at the given time.
+// Accept applies a grant that was requested at the given time.
 func (t *ShareTable) Accept(account string, g share.Grant, asked time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,7 +91,7 @@
 	}
 }
 
-// Renew answers a renewal, as the owner of the account.
+// Renew answers a renewal as the owner of the account.
 func (t *ShareTable) Renew(account string, r share.Renewal, alive, published int, at time.Time) share.Grant {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -107,13 +108,13 @@
 	return o.Renew(r, alive, published, at)
 }
 
-// Holding is a lease that a daemon has.
+// Holding is a lease that a daemon holds.
 type Holding struct {
 	Account  string  `cbor:"1,keyasint"`
 	Fraction float64 `cbor:"2,keyasint"`
 }
 
-// Holdings lists the leases in force here.
+// Holdings returns the leases that this daemon holds now.
 func (t *ShareTable) Holdings(at time.Time) []Holding {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -126,7 +127,7 @@
 	return list
 }
 
-// Adopt counts the leases that a daemon has from owners before this one.
+// Adopt counts the leases that a daemon holds from previous owners.
 func (t *ShareTable) Adopt(holder string, holdings []Holding, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -140,15 +141,15 @@
 	}
 }
 
-// Settle says that all listed daemons have told their leases, so that new owners
-// need not wait.
+// SetLeasesKnown records that all listed daemons have reported their leases, so that new
+// owners can grant leases without waiting.
 func (t *ShareTable) SetLeasesKnown() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.leasesKnown = true
 }
 
-// Joined says that daemons came to life whose leases are not known.
+// DaemonJoined records that daemons have joined whose leases are not known.
 func (t *ShareTable) DaemonJoined(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -158,7 +159,7 @@
 	}
 }
 
-// Void ends all leases, after a pause.
+// Invalidate ends all leases, after a pause of the process.
 func (t *ShareTable) Invalidate(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -171,7 +172,7 @@
 	}
 }
 
-// Trim forgets accounts that nobody uses any more.
+// RemoveExpired removes idle accounts and expired leases.
 func (t *ShareTable) RemoveExpired(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -182,7 +183,7 @@
 	}
 }
 
-// Leases lists the accounts that this daemon has a lease on.
+// LeasedAccounts returns the accounts on which this daemon has requested a lease, sorted.
 func (t *ShareTable) LeasedAccounts() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/blackboard/startup.go
+++ b/node/blackboard/startup.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Stage is a step of a daemon's start.
+// Stage is a step of a daemon's startup.
 type Stage int
 
-// The stages, in the order in which a start usually reaches them.
+// The stages, in their usual order.
 const (
 	StageStore       Stage = iota // the store has answered
 	StagePeer                     // another daemon is known
 	StageSettings                 // settings are in force
 	StageTargets                  // targets are known
-	StageServing                  // calls are taken
+	StageServing                  // calls are accepted
 	StageCoordinator              // a coordinator has answered
 	StagePlaced                   // a call has a target
 	StageAnswered                 // a caller has its whole answer
 	stageCount
 )
 
-// Stages lists all of them.
+// Stages returns all stages in order.
 func Stages() []Stage {
 	list := make([]Stage, stageCount)
 	for i := range list {
@@ -30,17 +30,17 @@
 	return list
 }
 
-// String names the stage.
+// String returns the name of the stage, as used in metrics.
 func (s Stage) String() string {
 	return [...]string{"store", "peer", "settings", "targets", "serving", "coordinator", "placed", "answered"}[s]
 }
 
-// stageSet notes which stages have been reached.
+// stageSet records the stages that have been reached.
 type stageSet [stageCount]atomic.Bool
 
-// Reach notes that a stage is reached, and tells whether that is news and how long after the process
-// started it came.
-func (b *Blackboard) MarkStage(s Stage) (after time.Duration, news bool) {
+// MarkStage records that a stage has been reached. It reports whether this was the first
+// time and returns the time since the process started.
+func (b *Blackboard) MarkStage(s Stage) (sinceStart time.Duration, first bool) {
 	if b.reachedStages[s].Load() || b.reachedStages[s].Swap(true) {
 		return 0, false
 	}
--- a/node/blackboard/sync_test.go
+++ b/node/blackboard/sync_test.go
@@ -9,8 +9,8 @@
 	"doorstack.dev/core/settings"
 )
 
-// TestSyncTargetsReadsHostsInsideLock: a daemon's view is read inside the one step,
-// so that a slow step cannot end with what it read before a faster one.
+// TestSyncTargetsReadsHostsInsideLock checks that SyncTargets reads the host list after it has
+// taken its lock. Otherwise a slow call could overwrite the result of a faster one with an older list.
 func TestSyncTargetsReadsHostsInsideLock(t *testing.T) {
 	tree, err := settings.Parse([]byte(testSettings))
 	if err != nil {
@@ -30,7 +30,7 @@
 		b.syncMu.Unlock()
 		<-done
 		if got := len(b.Targets.Addresses()); got != 3 {
-			t.Fatalf("%d targets are known, want 3", got)
+			t.Fatalf("Addresses returned %d targets, want 3", got)
 		}
 	}
 }
--- a/node/blackboard/target_calls.go
+++ b/node/blackboard/target_calls.go
@@ -6,27 +6,28 @@
 	"doorstack.dev/core/routing"
 )
 
-// activeCall is a call of this daemon to a target.
+// activeCall is a call to a target that has not ended: one of this daemon, or one that
+// another daemon reported.
 type activeCall struct {
 	id          string
 	state       *targetState
 	load        routing.Load
 	sent        time.Time
-	prefillDone bool          // the prompt has been read: the first token came
-	parts       []prefillPart // where the prompt is read, for engines of known timing
-	gapGoal     float64       // the goal for the pause between two events, in seconds
-	// goal is the route's goal for the first event in seconds, zero if there is none, due
-	// when it is over, and prompt the length of the prompt in tokens.
+	prefillDone bool          // the first token has arrived
+	parts       []prefillPart // the parts of the prompt, for engines of known timing
+	gapGoal     float64       // longest acceptable gap between two events, in seconds
+	// firstEventGoal is the route's goal for the time to the first event in seconds, zero if it
+	// has none; firstEventDue is when that time is over.
 	firstEventGoal float64
 	firstEventDue  time.Time
 	promptTokens   int64
-	// disturbed means that reading beside the call has made it miss that goal.
+	// disturbed means that prefill beside the call has made it miss its gap goal.
 	disturbed  bool
-	gone       chan struct{} // closed when the target is taken to be gone
-	goneClosed bool          // gone is closed
+	gone       chan struct{} // closed when the target is considered gone
+	goneClosed bool
 }
 
-// remaining is the load of a call, less its prompt once that has been read.
+// remainingLoad returns the load of a call, without its prompt once the prefill is done.
 func (c *activeCall) remainingLoad() routing.Load {
 	if !c.prefillDone {
 		return c.load
@@ -34,23 +35,23 @@
 	return routing.Load{Requests: c.load.Requests, MemoryTokens: c.load.MemoryTokens}
 }
 
-// Placement is a target taken for a call.
+// Placement is the result of a routing decision: the chosen target, if there is one.
 type Placement struct {
 	Decision routing.Decision
 	// Attempt is the id of the call; Address is the target's host:port.
 	Attempt, Address string
-	// At is when the decision was made.
+	// DecidedAt is when the decision was made.
 	DecidedAt time.Time
-	// By is the daemon that decided, where that was another one.
+	// DecidedBy is the daemon that decided, if it was another one.
 	DecidedBy string
-	// Helpers are the targets that read parts of the prompt.
+	// Helpers are the targets that prefill parts of the prompt.
 	Helpers []TargetAddress
-	// Gone is closed if the target is taken to be gone while the call runs.
+	// Gone is closed if the target is considered gone while the call runs.
 	Gone <-chan struct{}
 }
 
-// Place decides where a request goes and, where there is room, counts it there
-// under the attempt id, in one step, so that the next decision sees it.
+// Place chooses a target for a request and, if there is room, counts the call there under
+// its attempt id. Both happen under one lock, so that the next decision sees the call.
 func (t *TargetTable) Place(pool, attempt string, r *routing.Request, p *routing.Params, holders []Holder, at time.Time) Placement {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -70,8 +71,8 @@
 	s := tp.states[tp.index[d.Chosen]]
 	placement.Address = s.address
 	load := requestLoad(r, p, d.Chosen, holders)
-	for _, ticket := range d.Reservations {
-		load.MemoryTokens = max(0, load.MemoryTokens-ticket.Tokens)
+	for _, reservation := range d.Reservations {
+		load.MemoryTokens = max(0, load.MemoryTokens-reservation.Tokens)
 	}
 	if load.LongPrefills == 0 {
 		tp.shortPrompts.add(load.BacklogTokens, at)
@@ -87,7 +88,7 @@
 	return placement
 }
 
-// requestLoad is the load that a request puts on the target.
+// requestLoad returns the load that a request adds to a target.
 func requestLoad(r *routing.Request, p *routing.Params, id string, holders []Holder) routing.Load {
 	backlog := r.PromptTokens
 	for _, h := range holders {
@@ -102,6 +103,7 @@
 	return load
 }
 
+// begin counts a call at a target; the lock is held.
 func (t *TargetTable) begin(s *targetState, attempt string, load routing.Load, at time.Time) <-chan struct{} {
 	c := &activeCall{id: attempt, state: s, load: load, sent: at, gone: make(chan struct{})}
 	t.calls[attempt] = c
@@ -112,8 +114,9 @@
 	return c.gone
 }
 
-// Occupy counts a part of a group at a target, chosen by the caller. The channel
-// is closed if the target is taken to be gone while the part is there.
+// BeginPart counts a part of a group call at a target that the caller chose. The channel
+// is closed if the target is considered gone before the part ends; it is nil if the target
+// is not known.
 func (t *TargetTable) BeginPart(id, attempt string, load routing.Load, at time.Time) <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -124,14 +127,14 @@
 	return t.begin(s, attempt, load, at)
 }
 
-// Active tells whether a call of this daemon has begun and not ended.
+// Active reports whether a call has begun and not ended.
 func (t *TargetTable) Active(attempt string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.calls[attempt] != nil
 }
 
-// PromptRead records that a call's prompt has been read.
+// RecordPrefillDone records that the prefill of a call's prompt is done.
 func (t *TargetTable) RecordPrefillDone(attempt string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -142,17 +145,17 @@
 	c.prefillDone = true
 	c.endPrefill(at)
 	s := c.state
-	gone := routing.Load{BacklogTokens: c.load.BacklogTokens, LongPrefills: c.load.LongPrefills}
+	prefill := routing.Load{BacklogTokens: c.load.BacklogTokens, LongPrefills: c.load.LongPrefills}
 	if c.sent.After(s.reportAt) {
-		s.loadSinceReport = s.loadSinceReport.Sub(gone)
+		s.loadSinceReport = s.loadSinceReport.Sub(prefill)
 	} else {
-		// The report's backlog is aged by itself; only the count is corrected.
-		s.endedSinceReport = s.endedSinceReport.Add(routing.Load{LongPrefills: gone.LongPrefills})
+		// The reported backlog already shrinks with the report's age; only the number of long prefills is corrected.
+		s.endedSinceReport = s.endedSinceReport.Add(routing.Load{LongPrefills: prefill.LongPrefills})
 	}
 	s.refresh(at)
 }
 
-// Suspect keeps calls away from a target for a while.
+// Suspect stops new calls to a target until the given time.
 func (t *TargetTable) Suspect(id string, until, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -162,20 +165,20 @@
 	}
 }
 
-// CallResult says what a call's end tells about the target.
+// CallResult is what the end of a call says about its target.
 type CallResult int
 
 // The results of calls.
 const (
-	// CallSucceeded means that the target did its part.
+	// CallSucceeded means that the target did its work.
 	CallSucceeded CallResult = iota
 	// CallFailed means that the target failed.
 	CallFailed
-	// CallCancelled says nothing of the target.
+	// CallCancelled says nothing about the target.
 	CallCancelled
 )
 
-// Finish ends a call.
+// Finish records the end of a call.
 func (t *TargetTable) Finish(attempt string, result CallResult, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -206,7 +209,7 @@
 	s.refresh(at)
 }
 
-// Reserve keeps a target for a long request; "" ends that.
+// Reserve excludes all other requests from a target, for one long request; "" ends that.
 func (t *TargetTable) Reserve(id, request string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -216,7 +219,7 @@
 	}
 }
 
-// Unreserve frees any target kept for a request.
+// Unreserve ends the reservation of any target for a request.
 func (t *TargetTable) Unreserve(request string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/blackboard/target_limits.go
+++ b/node/blackboard/target_limits.go
@@ -8,17 +8,17 @@
 	"doorstack.dev/core/routing"
 )
 
-// LimitState is a limit that a target has named, as daemons tell each other of it.
+// LimitState is the rate limit that a target has declared, as daemons send it to each other.
 type LimitState struct {
 	Target    string  `cbor:"1,keyasint"`
 	PerSecond float64 `cbor:"2,keyasint,omitempty"`
-	// Lifted is true where a call was answered without a limit; it was sent Ago before.
+	// Lifted means that a call sent Age ago was answered without a limit.
 	Lifted bool `cbor:"3,keyasint,omitempty"`
-	// Ago is the time since the limit was last named.
+	// Age is the time since the limit was last declared.
 	Age time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// Word is the state as the target's own word, heard at a moment.
+// TimedNotice converts the state to a notice of the target, received at the given time.
 func (l *LimitState) TimedNotice(at time.Time) forward.TimedNotice {
 	then := at.Add(-max(0, l.Age))
 	if l.Lifted {
@@ -27,7 +27,7 @@
 	return forward.TimedNotice{Notice: forward.Notice{Limit: forward.DeclaredLimit(l.PerSecond)}, Received: then}
 }
 
-// routingRateLimit is what routing needs to know of a target's limit.
+// routingRateLimit converts a target's rate limiter to the input of routing; nil if it has none.
 func routingRateLimit(s *forward.RateLimiter, at time.Time) *routing.RateLimit {
 	if s == nil {
 		return nil
@@ -35,7 +35,7 @@
 	return &routing.RateLimit{PerSecond: s.Rate(), Wait: s.Wait(at).Seconds(), SinceLastCall: s.SinceLastCall(at).Seconds()}
 }
 
-// limit is the limit that the target has named.
+// limit returns the rate limit that the target has declared.
 func (s *targetState) limit() forward.Limit {
 	if s.limiter == nil {
 		return forward.Limit{}
@@ -43,12 +43,13 @@
 	return s.limiter.Limit()
 }
 
-// limitState describes the target's limit for another daemon.
+// limitState returns the target's rate limit in the form sent to another daemon.
 func (s *targetState) limitState(at time.Time) LimitState {
 	return LimitState{Target: s.id, PerSecond: s.limiter.Limit().PerSecond, Age: at.Sub(s.limiter.DeclaredAt())}
 }
 
-// Limited is the targets of a pool as routing sees them, where all that live have named limits.
+// AllRateLimited returns the targets of a pool as routing sees them if all live ones have
+// declared rate limits, and nil otherwise.
 func (t *TargetTable) AllRateLimited(pool string, at time.Time) []routing.Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -65,7 +66,7 @@
 	return slices.Clone(p.targets)
 }
 
-// Limits lists the limits that targets of a pool have named.
+// Limits returns the rate limits that targets of a pool have declared.
 func (t *TargetTable) Limits(pool string, at time.Time) []LimitState {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -82,7 +83,7 @@
 	return list
 }
 
-// LimitOf is the limit that a target has named; nil where it names none.
+// LimitOf returns the rate limit that a target has declared; nil if it has declared none.
 func (t *TargetTable) LimitOf(id string, at time.Time) *LimitState {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -94,7 +95,7 @@
 	return &state
 }
 
-// CountLimited counts a call that another daemon placed under its target's limit.
+// RecordLimitedCall counts a call that another daemon placed against its target's rate limit.
 func (t *TargetTable) RecordLimitedCall(id string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -104,11 +105,11 @@
 	}
 }
 
-// overLimitTolerance is how far ahead of a limit this daemon's own calls may be when another daemon, which knows
-// of all calls, places one more: their order may change on the way here.
+// overLimitTolerance is how far this daemon's own calls may be ahead of a rate limit when another daemon,
+// which knows of all calls, places one more: calls may be reordered on their way to this daemon.
 const overLimitTolerance = 500 * time.Millisecond
 
-// OverLimit tells whether one more call would pass a target's limit by this daemon's own calls alone.
+// OverLimit reports whether one more call would exceed a target's rate limit, counting this daemon's own calls alone.
 func (t *TargetTable) OverLimit(id string, at time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/blackboard/target_notices.go
+++ b/node/blackboard/target_notices.go
@@ -8,30 +8,30 @@
 	"doorstack.dev/core/routing"
 )
 
-// Notice takes in what a target said of itself beside an answer, and tells whether it is news.
-func (t *TargetTable) RecordNotice(id string, said forward.TimedNotice) bool {
+// RecordNotice records a notice that a target sent with an answer, and reports whether it is new.
+func (t *TargetTable) RecordNotice(id string, notice forward.TimedNotice) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.byID[id]
 	if s == nil {
 		return false
 	}
-	if !t.notices.Record(id, s.address, s.incarnation, said) {
+	if !t.notices.Record(id, s.address, s.incarnation, notice) {
 		return false
 	}
-	t.applyNotices(s, said.Received)
-	s.refresh(said.Received)
+	t.applyNotices(s, notice.Received)
+	s.refresh(notice.Received)
 	return true
 }
 
-// recallNotices gives a target's state what the target has said of itself; that outlives the state.
+// applyNotices copies the recorded notices of a target to its state. The notices outlive the state.
 func (t *TargetTable) applyNotices(s *targetState, at time.Time) {
 	s.drainNoticed = t.notices.Draining(s.id, at)
 	s.limiter = t.notices.RateLimiter(s.id)
 }
 
-// Unwilling lists the targets of a pool that have told this daemon that they want no calls: those
-// that leave, which nobody else may know yet, and those that rest from this daemon's calls.
+// NotAccepting returns the targets of a pool that have asked this daemon to send no calls: those
+// that are draining, which other daemons may not know yet, and those in backoff for this daemon.
 func (t *TargetTable) NotAccepting(pool string, at time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -48,9 +48,9 @@
 	return ids
 }
 
-// RestLeft tells whether no live target of a pool takes a call before some time is over: those
-// that the call has not been to rest from this daemon's calls, or there are none and some of the
-// others rest. It returns the shortest such time.
+// BackoffLeft reports whether no live target of a pool takes a call at the moment because of backoff,
+// and returns the shortest backoff left. That is so if all targets that the call has not tried yet
+// are in backoff; if it has tried them all, one in backoff is enough.
 func (t *TargetTable) BackoffLeft(pool string, exclude []string, at time.Time) (left time.Duration, all bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -62,19 +62,19 @@
 		if s.state() != routing.Live {
 			continue
 		}
-		rest := t.notices.BackoffLeft(s.id, at)
-		if rest == 0 && !slices.Contains(exclude, s.id) {
+		backoff := t.notices.BackoffLeft(s.id, at)
+		if backoff == 0 && !slices.Contains(exclude, s.id) {
 			return 0, false
 		}
-		if rest > 0 && (left == 0 || rest < left) {
-			left = rest
+		if backoff > 0 && (left == 0 || backoff < left) {
+			left = backoff
 		}
 	}
 	return left, left > 0
 }
 
-// Willing tells whether this daemon itself would send to a target: it knows it, not as one that
-// leaves or has gone, and the target has not asked it for rest.
+// Accepts reports whether this daemon itself would send calls to a target: the target is known,
+// neither draining nor gone, and not in backoff for this daemon.
 func (t *TargetTable) Accepts(id string, at time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/blackboard/target_reading.go
+++ b/node/blackboard/target_prefill.go
@@ -9,59 +9,58 @@
 	"doorstack.dev/core/routing"
 )
 
-// prefillPart is a part of a call's prompt that a target reads.
+// prefillPart is a part of a call's prompt that a target prefills.
 type prefillPart struct {
 	state          *targetState
-	seconds        float64 // seconds
-	reservedTokens int64   // tokens set aside for the call, beyond its own target's memory
+	seconds        float64
+	reservedTokens int64 // memory reserved for the call at a helper, in tokens
 }
 
-// prefillState is what is known of the reading that a target of known timing has
-// before it.
+// prefillState is the known outstanding prefill of a target of known timing.
 type prefillState struct {
-	// until is when it will have read all that it was given.
+	// doneAt is when the target will have prefilled all its parts.
 	doneAt time.Time
-	// unread holds the parts given and not yet known to be read, by call.
+	// pending holds, by call, the added parts whose prefill is not known to be done.
 	pending map[string]pendingPart
 }
 
-// pendingPart is a part of a call's prompt with its reading time in seconds, and when it was given.
+// pendingPart is a part of a call's prompt, its prefill time in seconds, and when it was added.
 type pendingPart struct {
 	call    *activeCall
 	seconds float64
 	added   time.Time
 }
 
-// prefillShare is the part of an engine's time that goes into reading while it has
-// something to read: the rest are the steps' own costs.
+// prefillShare is the share of an engine's time that goes into prefill while it has any to
+// do: the rest is the fixed cost of the steps.
 const prefillShare = 0.9
 
-// give adds a part.
-func (r *prefillState) add(c *activeCall, work float64, at time.Time) {
+// add adds a part of a call's prompt.
+func (r *prefillState) add(c *activeCall, seconds float64, at time.Time) {
 	if r.pending == nil {
 		r.pending = map[string]pendingPart{}
 	}
-	r.pending[c.id] = pendingPart{c, work, at}
+	r.pending[c.id] = pendingPart{c, seconds, at}
 	if r.doneAt.Before(at) {
 		r.doneAt = at
 	}
-	r.doneAt = r.doneAt.Add(engine.Duration(work / prefillShare))
+	r.doneAt = r.doneAt.Add(engine.Duration(seconds / prefillShare))
 }
 
-// givenSince is the reading time, in seconds, of the parts that were given after a time and are
-// not known to be read.
+// addedSince returns the prefill time, in seconds, of the pending parts that were added after
+// a time.
 func (r *prefillState) addedSince(since time.Time) float64 {
-	work := 0.0
+	seconds := 0.0
 	for _, part := range r.pending {
 		if part.added.After(since) {
-			work += part.seconds
+			seconds += part.seconds
 		}
 	}
-	return work
+	return seconds
 }
 
-// end takes a part away that has been read or given up. What is left cannot be more
-// than the parts that are not known to be read.
+// remove removes a part whose prefill is done or was cancelled. The outstanding prefill
+// cannot exceed the remaining pending parts, so doneAt is limited to them.
 func (r *prefillState) remove(attempt string, at time.Time) {
 	if _, ok := r.pending[attempt]; !ok {
 		return
@@ -76,8 +75,8 @@
 	}
 }
 
-// beginReading gives the parts of a placed call to the targets that read them and
-// returns the helpers.
+// beginPrefill adds the parts of a placed call's prompt to the targets that prefill them
+// and returns the helpers.
 func (t *TargetTable) beginPrefill(attempt string, d *routing.Decision, at time.Time) []TargetAddress {
 	c := t.calls[attempt]
 	c.gapGoal = d.Request.GapGoal
@@ -85,57 +84,57 @@
 	return t.addParts(c, d.Helpers, d.Reservations, d.PrefillTime/float64(1+len(d.Helpers)), at)
 }
 
-// setGoal keeps when the first event is due, of a goal in seconds of which so much is over.
+// setFirstEventGoal sets the goal in seconds, of which the call has already waited some.
 func (c *activeCall) setFirstEventGoal(goal, waited float64, at time.Time) {
 	c.firstEventGoal = goal
 	c.firstEventDue = at.Add(engine.Duration(goal - waited))
 }
 
-// The time that a prompt which is not read yet can be held up.
+// Constants of the time by which a pending prompt can be delayed.
 const (
-	// secondsToFirstEvent is the time from the end of reading to the first event, in seconds:
-	// one and a half passes of a target that writes.
+	// secondsToFirstEvent is the time from the end of prefill to the first event, in seconds:
+	// one and a half passes of a target that is decoding.
 	secondsToFirstEvent = 0.1
-	// extraGoalsWhenLate is how many more goals a call may take that misses its own: callers leave
-	// after four.
+	// extraGoalsWhenLate is how many more times its goal a call that misses the goal may take:
+	// callers give up after four times their goal.
 	extraGoalsWhenLate = 2
 )
 
-// holdUp is how long, in seconds, a call's prompt can be held up at a target that has so
-// much to read.
-func (c *activeCall) prefillSlack(reading float64, at time.Time) float64 {
-	left := c.firstEventDue.Sub(at).Seconds() - reading - secondsToFirstEvent
-	if left < 0 {
-		left += extraGoalsWhenLate * c.firstEventGoal
+// prefillSlack returns by how many seconds a call's prompt can be delayed at a target with
+// the given seconds of pending prefill.
+func (c *activeCall) prefillSlack(pending float64, at time.Time) float64 {
+	slack := c.firstEventDue.Sub(at).Seconds() - pending - secondsToFirstEvent
+	if slack < 0 {
+		slack += extraGoalsWhenLate * c.firstEventGoal
 	}
-	return max(0, left)
+	return max(0, slack)
 }
 
-// refreshUnread works out what is not read yet, and how long all of it can be held up.
+// refreshPendingPrompts recomputes the tokens of the pending prompts and by how long all of them can be delayed.
 func (s *targetState) refreshPendingPrompts(view *routing.Target, at time.Time) {
 	view.PendingPromptTokens, view.PrefillSlack = 0, 0
 	for _, part := range s.prefill.pending {
 		if part.call.firstEventGoal <= 0 {
 			continue
 		}
-		left := part.call.prefillSlack(view.PendingPrefill, at)
-		if view.PendingPromptTokens == 0 || left < view.PrefillSlack {
-			view.PrefillSlack = left
+		slack := part.call.prefillSlack(view.PendingPrefill, at)
+		if view.PendingPromptTokens == 0 || slack < view.PrefillSlack {
+			view.PrefillSlack = slack
 		}
 		view.PendingPromptTokens += max(1, part.call.promptTokens)
 	}
 }
 
-// giveParts counts the parts of a call's prompt at its target and the helpers.
-func (t *TargetTable) addParts(c *activeCall, ids []string, tickets []routing.MemoryReservation, work float64, at time.Time) []TargetAddress {
-	c.parts = append(c.parts, prefillPart{state: c.state, seconds: work})
+// addParts adds the parts of a call's prompt to its target and the helpers.
+func (t *TargetTable) addParts(c *activeCall, helperIDs []string, reservations []routing.MemoryReservation, seconds float64, at time.Time) []TargetAddress {
+	c.parts = append(c.parts, prefillPart{state: c.state, seconds: seconds})
 	var helpers []TargetAddress
-	for _, id := range ids {
+	for _, id := range helperIDs {
 		s := t.byID[id]
 		if s == nil {
 			continue
 		}
-		c.parts = append(c.parts, prefillPart{s, work, reservedTokensAt(tickets, id)})
+		c.parts = append(c.parts, prefillPart{s, seconds, reservedTokensAt(reservations, id)})
 		helpers = append(helpers, TargetAddress{ID: s.id, Address: s.address})
 	}
 	for _, part := range c.parts {
@@ -147,16 +146,17 @@
 	return helpers
 }
 
-func reservedTokensAt(tickets []routing.MemoryReservation, id string) int64 {
-	for _, t := range tickets {
-		if t.Target == id {
-			return t.Tokens
+// reservedTokensAt returns the memory reserved at a target, in tokens.
+func reservedTokensAt(reservations []routing.MemoryReservation, id string) int64 {
+	for _, r := range reservations {
+		if r.Target == id {
+			return r.Tokens
 		}
 	}
 	return 0
 }
 
-// endReading takes a call's parts off the targets' reading.
+// endPrefill removes a call's parts from the targets' pending prefill.
 func (c *activeCall) endPrefill(at time.Time) {
 	for _, part := range c.parts {
 		part.state.prefill.remove(c.id, at)
@@ -164,7 +164,7 @@
 	}
 }
 
-// giveBack ends what helpers set aside for a call.
+// releaseParts releases the memory that helpers reserved for a call.
 func (c *activeCall) releaseParts(at time.Time) {
 	for _, part := range c.parts {
 		part.state.reservedTokens -= part.reservedTokens
@@ -173,23 +173,22 @@
 	c.parts = nil
 }
 
-// markDisturbed notes the calls at a target whose goal for the pause between two events
-// is missed by the reading before it. They suffer no more from what else is read there.
-func (s *targetState) markDisturbed(reader *activeCall, at time.Time) {
-	pause := s.prefill.doneAt.Sub(at).Seconds()
+// markDisturbed marks the calls at a target whose gap goal the pending prefill makes them
+// miss. Further prefill there costs these calls nothing more.
+func (s *targetState) markDisturbed(added *activeCall, at time.Time) {
+	gap := s.prefill.doneAt.Sub(at).Seconds()
 	for _, c := range s.calls {
-		if c != reader && pause > c.gapGoal {
+		if c != added && gap > c.gapGoal {
 			c.disturbed = true
 		}
 	}
 }
 
-// maxSensitiveGap is the goal for the pause between two events, in seconds, up to which a
-// call counts as one that suffers from reading beside it: half of a pass full of
-// reading on the users' engines (0.64 s).
+// maxSensitiveGap is the gap goal, in seconds, up to which a call counts as sensitive to
+// prefill beside it: half the time of a pass full of prefill on production engines (0.64 s).
 const maxSensitiveGap = 0.32
 
-// refreshTimed works out what a target of known timing has before it.
+// refreshPrefill recomputes the part of the view that concerns prefill and decoding, for targets of known timing.
 func (s *targetState) refreshPrefill(view *routing.Target, at time.Time) {
 	view.PendingPrefill = max(0, s.prefill.doneAt.Sub(at).Seconds())
 	view.RecentPrefill = 0
@@ -214,7 +213,7 @@
 	}
 }
 
-// addToDecodeGroup counts a call among those with the same goal.
+// addToDecodeGroup counts a call in the group of calls with the same gap goal.
 func addToDecodeGroup(list []routing.DecodeGroup, c *activeCall) []routing.DecodeGroup {
 	i, found := slices.BinarySearchFunc(list, c.gapGoal, func(w routing.DecodeGroup, gap float64) int { return cmp.Compare(w.GapGoal, gap) })
 	if !found {
--- a/node/blackboard/target_remote.go
+++ b/node/blackboard/target_remote.go
@@ -6,44 +6,45 @@
 	"doorstack.dev/core/routing"
 )
 
-// CallState is a call in progress as daemons tell each other of it, so that whoever
-// places the next one knows of all.
+// CallState describes a call in progress. Daemons send it to each other, so that the
+// daemon that places the next call knows of all calls.
 type CallState struct {
 	Attempt string   `cbor:"1,keyasint"`
 	Target  string   `cbor:"2,keyasint"`
 	Helpers []string `cbor:"3,keyasint,omitempty"`
-	// MemoryTokens is the memory that the call takes, in tokens.
+	// MemoryTokens is the memory that the call takes at its target, in tokens.
 	MemoryTokens int64 `cbor:"4,keyasint,omitempty"`
-	// Part is the reading time of each part of the prompt, in seconds.
+	// PartPrefillTime is the prefill time of each part of the prompt, in seconds.
 	PartPrefillTime float64 `cbor:"5,keyasint,omitempty"`
-	// GapGoal is the longest pause between two events that its caller wants, in seconds.
+	// GapGoal is the longest gap between two events that the caller accepts, in seconds.
 	GapGoal float64 `cbor:"6,keyasint,omitempty"`
-	// Read is true once its prompt has been read.
+	// PrefillDone means that the prefill of the prompt is done.
 	PrefillDone bool `cbor:"7,keyasint,omitempty"`
-	// Tickets are what helpers set aside.
+	// Reservations are the memory reservations at helpers.
 	Reservations []routing.MemoryReservation `cbor:"8,keyasint,omitempty"`
-	// Goal is the goal for the first event and Waited what of it is over, in seconds.
+	// Goal is the goal for the time to the first event and Waited the elapsed part of it, in seconds.
 	Goal   float64 `cbor:"9,keyasint,omitempty"`
 	Waited float64 `cbor:"10,keyasint,omitempty"`
-	// PromptTokens is the length of the prompt.
+	// PromptTokens is the length of the prompt, in tokens.
 	PromptTokens int64 `cbor:"11,keyasint,omitempty"`
 }
 
-// CallStateOf makes the state of a call from the decision that placed it.
+// CallStateOf returns the state of a call from the decision that placed it.
 func CallStateOf(attempt string, d *routing.Decision) CallState {
 	state := CallState{
 		Attempt: attempt, Target: d.Chosen, Helpers: d.Helpers, MemoryTokens: d.Request.MemoryTokens(),
 		PartPrefillTime: d.PrefillTime / float64(1+len(d.Helpers)), GapGoal: d.Request.GapGoal, Reservations: d.Reservations,
 		Goal: d.Request.Goal, Waited: d.Request.Waited, PromptTokens: d.Request.PromptTokens,
 	}
-	for _, ticket := range d.Reservations {
-		state.MemoryTokens = max(0, state.MemoryTokens-ticket.Tokens)
+	for _, reservation := range d.Reservations {
+		state.MemoryTokens = max(0, state.MemoryTokens-reservation.Tokens)
 	}
 	return state
 }
 
 // Adopt counts a call that another daemon placed or makes. The channel is closed if
-// the target is taken to be gone; it is nil for a target that is not known here.
+// the target is considered gone; it is nil if the target is not known or the call is
+// already counted.
 func (t *TargetTable) Adopt(c CallState, at time.Time) <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -64,8 +65,8 @@
 	return gone
 }
 
-// Calls lists the calls in progress of a pool, by the attempts' states that were
-// counted here.
+// Calls returns the states of the calls in progress to the targets of a pool, as far as
+// this daemon counts them.
 func (t *TargetTable) Calls(pool string, at time.Time) []CallState {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -82,7 +83,7 @@
 	return list
 }
 
-// describe is the call's state for another daemon.
+// callState returns the call's state in the form sent to another daemon.
 func (c *activeCall) callState(at time.Time) CallState {
 	state := CallState{Attempt: c.id, Target: c.state.id, MemoryTokens: c.load.MemoryTokens, GapGoal: c.gapGoal, PrefillDone: c.prefillDone, Goal: c.firstEventGoal, PromptTokens: c.promptTokens}
 	state.Waited = c.firstEventGoal - c.firstEventDue.Sub(at).Seconds()
--- a/node/blackboard/target_start.go
+++ b/node/blackboard/target_restart.go
@@ -6,19 +6,19 @@
 	"doorstack.dev/core/routing"
 )
 
-// A target's process may crash and another start under the same id before its entry runs out.
-// The later one holds no calls, no memory set aside and no prompts of the earlier one, and the
-// earlier one's failures and pace say nothing of it.
+// A target's process may crash and restart under the same id before its entry on the host list
+// expires. The new process has none of the old one's calls, memory reservations or prompts, and the
+// old one's failures and slowdown say nothing about it.
 
-// startedAnew tells whether a target's process is a later one than that of which this state
-// is believed.
+// restarted reports whether an incarnation is a later process than the one that this state
+// describes.
 func (s *targetState) restarted(incarnation int64) bool {
 	return s.incarnation > 0 && incarnation > s.incarnation
 }
 
-// endCallsBefore tells whoever waits for an answer of the process before: a host that lost power
-// may leave their connections open. Calls that were sent later are the new process's, by the
-// clocks of two hosts; one that is told wrongly goes elsewhere only where it may.
+// endCallsSentBefore notifies the calls that wait for an answer of the old process: a host that lost
+// power may leave their connections open. Calls sent after the restart belong to the new process. The
+// two times come from different hosts' clocks; a call notified by mistake is retried only if it may be.
 func (s *targetState) endCallsSentBefore(incarnation int64) {
 	for _, c := range s.calls {
 		if c.sent.UnixMilli() < incarnation {
@@ -27,7 +27,7 @@
 	}
 }
 
-// endGone tells that the target of a call is gone, once.
+// closeGone signals once that the target of a call is gone.
 func (c *activeCall) closeGone() {
 	if !c.goneClosed {
 		c.goneClosed = true
@@ -35,9 +35,9 @@
 	}
 }
 
-// Started takes in when a target says that its process started, and tells whether what was
-// believed of an earlier one has ended.
-func (t *TargetTable) RecordStart(id string, incarnation int64, at time.Time) (anew bool) {
+// RecordStart records the start time that a target reports for its process, in Unix milliseconds,
+// and reports whether the state of an earlier process was discarded.
+func (t *TargetTable) RecordStart(id string, incarnation int64, at time.Time) (restarted bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.byID[id]
@@ -57,7 +57,7 @@
 	t.applyNotices(fresh, at)
 	fresh.pool.states[fresh.index] = fresh
 	t.byID[id] = fresh
-	// The calls of the earlier process end at its state, which no decision looks at.
+	// Calls of the old process end at its old state, which routing no longer sees.
 	s.pool, s.index = &targetPool{targets: []routing.Target{fresh.pool.targets[fresh.index]}}, 0
 	fresh.refresh(at)
 	return true
--- a/node/blackboard/target_pace.go
+++ b/node/blackboard/target_slowdown.go
@@ -7,15 +7,15 @@
 	"doorstack.dev/core/routing"
 )
 
-// slowdownReport is how fast a target of known timing said that it works.
+// slowdownReport is the slowdown that a target of known timing reported for its work.
 type slowdownReport struct {
 	factor float64
-	// until is when the report is too old to be used.
+	// validUntil is when the report becomes too old to be used.
 	validUntil time.Time
 }
 
-// SetPace takes in the factor by which a target says that its work takes longer, to be used
-// until a later moment.
+// SetSlowdown records the factor by which a target reports that its work takes longer. The
+// factor is used until the given time.
 func (t *TargetTable) SetSlowdown(id string, reported float64, until, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -25,7 +25,7 @@
 	}
 }
 
-// now is the factor that counts at a moment.
+// valueAt returns the factor in force at a time, 1 if there is none.
 func (p *slowdownReport) valueAt(at time.Time) float64 {
 	if at.After(p.validUntil) {
 		return 1
@@ -33,7 +33,7 @@
 	return max(1, p.factor)
 }
 
-// TimedPools lists the pools whose engines' timing is known.
+// TimedPools returns the pools whose engines' timing is known.
 func (t *TargetTable) TimedPools() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -46,7 +46,7 @@
 	return names
 }
 
-// Askable lists the live targets of a pool that have not asked this daemon for rest.
+// PollableTargets returns the live targets of a pool that are not in backoff for this daemon.
 func (t *TargetTable) PollableTargets(pool string, at time.Time) []TargetAddress {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/blackboard/target_views.go
+++ b/node/blackboard/target_views.go
@@ -20,19 +20,19 @@
 	return slices.Clone(p.targets)
 }
 
-// Capacity is the number of live targets of a pool and their prefill rate.
+// Capacity is the capacity of the live targets of a pool. Rates are in prompt tokens per second.
 type Capacity struct {
 	LiveTargets int
 	PrefillRate float64
-	// LargestMemory is the largest memory of a live target, in tokens.
+	// LargestMemory is the largest memory of a single live target, in tokens.
 	LargestMemory int64
-	// TargetRate is the fastest live target's rate.
+	// MaxTargetRate is the prefill rate of the fastest live target.
 	MaxTargetRate float64
-	// ShortRate is what this daemon's short prompts take of it, tokens a second.
+	// ShortPromptRate is the average rate of the short prompts that this daemon places.
 	ShortPromptRate float64
 }
 
-// Capacity sums the live targets of a pool.
+// Capacity returns the capacity of the live targets of a pool.
 func (t *TargetTable) Capacity(pool string, at time.Time) Capacity {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,18 +55,19 @@
 	return c
 }
 
-// TargetAddress is a target and where it listens.
+// TargetAddress is a target with its address and what it last reported.
 type TargetAddress struct {
 	ID, Pool, Address string
-	// Engine is true for model engines.
+	// Engine is true for model engines, false for plain services.
 	Engine bool
-	// Reservations are what the target last reported to hold.
+	// Reservations are the memory reservations that the target last reported.
 	Reservations []target.Reservation
-	Fence        int64
-	Models       []string
+	// Fence is the fencing token that the target last reported.
+	Fence  int64
+	Models []string
 }
 
-// Addresses lists all targets.
+// Addresses returns all targets, sorted by id.
 func (t *TargetTable) Addresses() []TargetAddress {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,7 +92,7 @@
 	return list
 }
 
-// Address finds where a target listens.
+// Address returns the address of a target, or "" if the target is not known.
 func (t *TargetTable) Address(id string) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -101,20 +102,20 @@
 	return ""
 }
 
-// TargetStatus is a target as operators see it.
+// TargetStatus is the state of a target as shown to operators.
 type TargetStatus struct {
 	Pool     string         `json:"pool"`
 	Address  string         `json:"address"`
 	View     routing.Target `json:"view"`
 	Failures int64          `json:"failures"`
-	// Rest is for how long the target still wants no calls from this daemon.
+	// Backoff is for how much longer the target wants no calls from this daemon.
 	Backoff time.Duration `json:"rest_ns,omitempty"`
-	// Limit is the limit that it has named, with its unit; empty where it names none.
+	// Limit is the rate limit that the target has declared, with its unit; empty if it has declared none.
 	Limit    string `json:"limit,omitempty"`
 	OwnCalls int    `json:"own_calls"`
 }
 
-// Status lists all targets by pool and id.
+// Status returns the status of all targets, sorted by pool and id.
 func (t *TargetTable) Status(at time.Time) []TargetStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/blackboard/targets.go
+++ b/node/blackboard/targets.go
@@ -14,8 +14,8 @@
 	"doorstack.dev/node/target"
 )
 
-// TargetTable holds what this daemon believes of each target: the host list's
-// word, the last report, its own work since, and the breaker.
+// TargetTable holds what this daemon knows of each target: its entry on the host list,
+// its last load report, the calls since that report, and its circuit breaker.
 type TargetTable struct {
 	mu      Mutex
 	pools   map[string]*targetPool
@@ -25,6 +25,8 @@
 	notices *forward.Notices
 }
 
+// targetPool holds the targets of one pool, with their views for routing at the same
+// positions.
 type targetPool struct {
 	name         string
 	model        string
@@ -33,25 +35,27 @@
 	index        map[string]int
 	refreshed    time.Time
 	shortPrompts shortPromptRate
-	// timing is what the engines' work costs; nil where it is not known.
+	// timing is the cost model of the engines; nil if it is not known.
 	timing *engine.Timing
 }
 
-// shortPromptRate is a decaying average of the short prompts' tokens that this daemon
-// placed, from which follows how many targets they need.
+// shortPromptRate is a decaying average of the tokens of short prompts that this daemon
+// has placed. It determines how many targets the short prompts need.
 type shortPromptRate struct {
 	tokens float64
 	at     time.Time
 }
 
-// shortPromptRateWindow is the time over which the average is taken.
+// shortPromptRateWindow is the time constant of the average.
 const shortPromptRateWindow = 10 * time.Second
 
+// add adds the tokens of a prompt.
 func (r *shortPromptRate) add(tokens int64, at time.Time) {
 	r.decay(at)
 	r.tokens += float64(tokens)
 }
 
+// decay applies the decay of the time since the last change.
 func (r *shortPromptRate) decay(at time.Time) {
 	if elapsed := at.Sub(r.at); elapsed > 0 {
 		r.tokens *= math.Exp(-elapsed.Seconds() / shortPromptRateWindow.Seconds())
@@ -59,49 +63,51 @@
 	}
 }
 
-// perSecond is the average in tokens a second.
+// perSecond returns the average in tokens per second.
 func (r *shortPromptRate) perSecond(at time.Time) float64 {
 	r.decay(at)
 	return r.tokens / shortPromptRateWindow.Seconds()
 }
 
+// targetState is the state of one target.
 type targetState struct {
 	id              string
 	address         string
-	incarnation     int64 // when its process started, in Unix milliseconds; zero where it is not told
+	incarnation     int64 // start of its process in Unix milliseconds; zero if not known
 	pool            *targetPool
 	index           int
-	listed          routing.State // the host list's word
-	missedReports   int           // reports missed in a row
-	reportsDraining bool          // the word of its last report
-	// saidLeaving is the target's word beside an answer to a call.
+	listed          routing.State // state on the host list
+	missedReports   int           // consecutive missed reports
+	reportsDraining bool          // its last report said that it is draining
+	// drainNoticed means that the target announced in an answer to a call that it is draining.
 	drainNoticed bool
-	// limiter keeps to the limit that the target has named; nil where it names none.
+	// limiter enforces the rate limit that the target has declared; nil if it has declared none.
 	limiter          *forward.RateLimiter
 	report           target.LoadReport
-	reportAt         time.Time    // when the report was true, by this daemon's clock
-	loadSinceReport  routing.Load // own work sent after reportAt
-	endedSinceReport routing.Load // own work ended after reportAt, sent before
+	reportAt         time.Time    // the time that the report describes, by this daemon's clock
+	loadSinceReport  routing.Load // load of calls sent after reportAt
+	endedSinceReport routing.Load // load of calls ended after reportAt, sent before
 	calls            map[string]*activeCall
 	breaker          admission.Breaker
 	reservedFor      string
 	failures         int64
 	recentFailures   failureCount
 	prefill          prefillState
-	reservedTokens   int64     // tokens of memory for calls that other targets answer
-	suspectUntil     time.Time // until when nothing is sent to it, after it turned a call away
+	reservedTokens   int64     // memory reserved for calls that other targets answer, in tokens
+	suspectUntil     time.Time // until when no calls are sent to it, after it rejected one
 	slowdown         slowdownReport
 }
 
-// failureCount is a decaying count of failed calls.
+// failureCount is an exponentially decaying count of failed calls.
 type failureCount struct {
 	count float64
 	at    time.Time
 }
 
-// failureDecayTime is the time over which a failed call is forgotten.
+// failureDecayTime is the time constant of the decay.
 const failureDecayTime = 4 * time.Second
 
+// valueAt returns the decayed count.
 func (t *failureCount) valueAt(at time.Time) float64 {
 	if t.count == 0 {
 		return 0
@@ -109,17 +115,18 @@
 	return t.count * math.Exp(-at.Sub(t.at).Seconds()/failureDecayTime.Seconds())
 }
 
+// add counts a failed call.
 func (t *failureCount) add(at time.Time) {
 	t.count = t.valueAt(at) + 1
 	t.at = at
 }
 
-// maxMissedReports is the number of reports missed in a row after which a target is
-// taken to be gone.
+// maxMissedReports is the number of consecutive missed reports after which a target is
+// considered gone.
 const maxMissedReports = 3
 
-// refreshInterval is how often a pool's loads are worked out again from the age of
-// their reports.
+// refreshInterval is how often the loads of a pool are recomputed from the age of the
+// targets' reports.
 const refreshInterval = 10 * time.Millisecond
 
 func newTargetTable() *TargetTable {
@@ -131,8 +138,8 @@
 	}
 }
 
-// Sync takes over the host list and the pools of a settings tree. What is known
-// of targets that stay is kept, unless their process started anew.
+// Sync applies the host list and the pools of a settings tree. It keeps the state of
+// targets that stay, unless their process has restarted.
 func (t *TargetTable) Sync(hosts []hostlist.Host, tree *settings.Tree, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -187,6 +194,7 @@
 	}
 }
 
+// add appends a target with the initial view for routing.
 func (p *targetPool) add(s *targetState, view routing.Target) {
 	s.pool, s.index = p, len(p.targets)
 	p.index[s.id] = s.index
@@ -194,6 +202,7 @@
 	p.states = append(p.states, s)
 }
 
+// refresh recomputes the views of all targets.
 func (p *targetPool) refresh(at time.Time) {
 	p.refreshed = at
 	for _, s := range p.states {
@@ -201,8 +210,8 @@
 	}
 }
 
-// refresh works out the target's view for routing. The report's backlog shrinks
-// by what the engine reads in the report's age; own later work stands on top.
+// refresh recomputes the target's view for routing. The reported backlog shrinks by what
+// the engine prefills during the report's age; the load of later calls is added to it.
 func (s *targetState) refresh(at time.Time) {
 	view := &s.pool.targets[s.index]
 	view.State = s.state()
@@ -225,6 +234,8 @@
 	}
 }
 
+// state returns the state for routing, from the missed reports, the host list, the last
+// report and the notices.
 func (s *targetState) state() routing.State {
 	switch {
 	case s.missedReports >= maxMissedReports:
@@ -236,17 +247,19 @@
 	}
 }
 
+// reportedLoad returns the load in a report, less the backlog that the target has prefilled
+// since at the given rate in tokens per second.
 func reportedLoad(r *target.LoadReport, rate float64, age time.Duration) routing.Load {
-	drained := int64(rate * age.Seconds())
+	prefilled := int64(rate * age.Seconds())
 	return routing.Load{
 		Requests:      r.Running + r.Waiting,
 		MemoryTokens:  r.UsedTokens,
-		BacklogTokens: max(0, r.BacklogTokens-drained),
+		BacklogTokens: max(0, r.BacklogTokens-prefilled),
 		LongPrefills:  r.LongPrefills,
 	}
 }
 
-// Report takes over a load report received at the given time.
+// RecordReport applies a load report that was received at the given time.
 func (t *TargetTable) RecordReport(id string, r target.LoadReport, received time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -256,14 +269,14 @@
 	}
 	if s.missedReports >= maxMissedReports {
 		for _, c := range s.calls {
-			c.gone, c.goneClosed = make(chan struct{}), false // Those that still wait were told already.
+			c.gone, c.goneClosed = make(chan struct{}), false // the waiting calls were already notified
 		}
 	}
 	s.missedReports = 0
 	s.reportsDraining = r.Leaving
 	reportAt := received.Add(-r.Age)
 	if reportAt.Before(s.reportAt) {
-		return // An older one that was overtaken.
+		return // a newer report has overtaken it
 	}
 	s.report, s.reportAt = r, reportAt
 	s.loadSinceReport, s.endedSinceReport = routing.Load{}, routing.Load{}
@@ -275,7 +288,7 @@
 	s.refresh(received)
 }
 
-// Silent records that a target did not answer when asked for its report.
+// RecordMissedReport records that a target did not answer a request for its load report.
 func (t *TargetTable) RecordMissedReport(id string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -288,13 +301,13 @@
 	if s.missedReports != maxMissedReports {
 		return
 	}
-	// A frozen target keeps its connections open: whoever waits there is told.
+	// A frozen target keeps its connections open, so the waiting calls are notified here.
 	for _, c := range s.calls {
 		c.closeGone()
 	}
 }
 
-// Void makes all reports count as unknown, after a pause of the process.
+// InvalidateReports discards all load reports, after a pause of the process.
 func (t *TargetTable) InvalidateReports(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
