--- a/node/blackboard/target_views.go
+++ b/node/blackboard/target_views.go
@@ -79,7 +79,7 @@
 			Address:      s.address,
 			Engine:       s.pool.targets[s.index].PrefillRate > 0,
 			Reservations: s.report.Reservations,
-			Fence:        s.report.Fence,
+			Fence:        s.report.FencingToken,
 			Models:       s.report.Models,
 		})
 	}
--- a/node/blackboard/targets.go
+++ b/node/blackboard/targets.go
@@ -273,7 +273,7 @@
 		}
 	}
 	s.missedReports = 0
-	s.reportsDraining = r.Leaving
+	s.reportsDraining = r.Draining
 	reportAt := received.Add(-r.Age)
 	if reportAt.Before(s.reportAt) {
 		return // a newer report has overtaken it
--- a/node/cluster/leases.go
+++ b/node/cluster/leases.go
@@ -141,7 +141,7 @@
 	}
 	sendCtx, cancel := context.WithTimeout(ctx, lease.SendTimeout)
 	defer cancel()
-	err := c.Targets.Order(sendCtx, t.Address, target.Order{Fence: fence, Owner: c.Board.Self.Name, Models: []string{pool.Model}})
+	err := c.Targets.Order(sendCtx, t.Address, target.Order{FencingToken: fence, Owner: c.Board.Self.Name, Models: []string{pool.Model}})
 	rec := decision.Record{Kind: decision.KindOrder, Pool: t.Pool, Target: t.ID, Revision: view.Revision, Outcome: "ordered", Reason: "load " + pool.Model}
 	if err != nil {
 		rec.Outcome, rec.Reason = decision.OutcomeFailed, err.Error()
@@ -205,13 +205,13 @@
 	if err := c.Targets.Release(sendCtx, t.Address, r.ID); err != nil {
 		return // The next round retries.
 	}
-	c.Recorder.Metrics.Released.Inc()
+	c.Recorder.Metrics.ReservationsReleased.Inc()
 	c.Recorder.Record(decision.Record{Kind: decision.KindSweep, Request: r.Request, Pool: t.Pool, Target: t.ID, Outcome: "released", Reason: reason})
 }
 
 // orphanReason returns why a reservation has no owner any more, or the empty string.
 func (c *Cluster) orphanReason(r *target.Reservation, now time.Time) string {
-	if now.After(r.Expires.Add(orphanGrace)) {
+	if now.After(r.ExpiresAt.Add(orphanGrace)) {
 		return "the deadline of its request has passed"
 	}
 	if r.Owner == c.Board.Self.Name {
--- a/node/cluster/limits.go
+++ b/node/cluster/limits.go
@@ -45,7 +45,7 @@
 // mergeLimits takes over what another daemon knows of targets' rate limits.
 func (p *Placer) mergeLimits(pool string, limits []blackboard.LimitState, now time.Time) {
 	for i := range limits {
-		p.cluster.Recorder.TakeWord(pool, limits[i].Target, limits[i].TimedNotice(now))
+		p.cluster.Recorder.RecordTimedNotice(pool, limits[i].Target, limits[i].TimedNotice(now))
 	}
 }
 
--- a/node/cluster/members.go
+++ b/node/cluster/members.go
@@ -171,7 +171,7 @@
 			add(t.Receive(r))
 		}
 	})
-	c.Recorder.Reach(blackboard.StagePeer)
+	c.Recorder.MarkStage(blackboard.StagePeer)
 	c.spreadRumors(ctx, rumors, from)
 	c.reconcile(ctx, from, h.MembersDigest)
 	c.syncVerdicts(from, h.VerdictsDigest)
@@ -244,7 +244,7 @@
 		c.collectHoldings(ctx)
 	}
 	c.Board.Serve()
-	c.Recorder.Reach(blackboard.StageServing)
+	c.Recorder.MarkStage(blackboard.StageServing)
 	c.Recorder.Log.Info("serving", "revision", c.Board.Settings.Current().Revision, "compared_with", len(c.compared))
 }
 
--- a/node/cluster/open.go
+++ b/node/cluster/open.go
@@ -125,7 +125,7 @@
 		c.Recorder.Log.Debug("introduction was not answered", "address", address, "error", err.Error())
 		return false
 	}
-	c.Recorder.Reach(blackboard.StagePeer)
+	c.Recorder.MarkStage(blackboard.StagePeer)
 	c.receiveRumors(ctx, all, name)
 	c.HeartbeatNow()
 	return true
--- a/node/cluster/placement.go
+++ b/node/cluster/placement.go
@@ -191,7 +191,7 @@
 		}
 		answer, err := p.requestPlacement(ctx, c, t)
 		if err == nil {
-			p.cluster.Recorder.Reach(blackboard.StageCoordinator)
+			p.cluster.Recorder.MarkStage(blackboard.StageCoordinator)
 			return p.acceptAnswer(c, t, &answer)
 		}
 		if ctx.Err() != nil {
--- a/node/cmd/doorstackd/main.go
+++ b/node/cmd/doorstackd/main.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return err
 	}
-	d.Metrics.CountDropped(output.Dropped)
+	d.Metrics.RegisterDroppedLines(output.Dropped)
 	return serve(d, log, s)
 }
 
@@ -104,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	d.Metrics.CountDropped(output.Dropped)
+	d.Metrics.RegisterDroppedLines(output.Dropped)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go onplatform.Reload(ctx, d, boot, s.reload, log)
--- a/node/controller/directory.go
+++ b/node/controller/directory.go
@@ -143,8 +143,8 @@
 		c.recordReadFailure(err)
 		return false
 	}
-	c.Recorder.Metrics.PlatformRead.WithLabelValues("hosts", "read").Inc()
-	c.Recorder.Reach(blackboard.StageStore)
+	c.Recorder.Metrics.PlatformReads.WithLabelValues("hosts", "read").Inc()
+	c.Recorder.MarkStage(blackboard.StageStore)
 	returned := false
 	c.Board.Directory.WithLock(func(t *hostlist.Table) { returned = t.MarkStoreUp(now) })
 	if returned {
@@ -184,7 +184,7 @@
 // decide which state of a target holds; settings never go back.
 func (c *Directory) recordEra(at hostlist.Position) {
 	if at.Era() > c.era && c.era > 0 {
-		c.Recorder.Metrics.StoreReturns.Inc()
+		c.Recorder.Metrics.StoreRestores.Inc()
 		c.Recorder.Log.Warn("the store was restored from an older copy", "era", at.Era(), "before", c.era, "revision", at.Revision())
 	}
 	c.era = max(c.era, at.Era())
@@ -203,7 +203,7 @@
 // recordReadFailure counts a failed call, marks the store as down, and logs the first failure of an
 // outage.
 func (c *Directory) recordReadFailure(err error) {
-	c.Recorder.Metrics.PlatformRead.WithLabelValues("hosts", "failed").Inc()
+	c.Recorder.Metrics.PlatformReads.WithLabelValues("hosts", "failed").Inc()
 	alreadyDown := false
 	c.Board.Directory.WithLock(func(t *hostlist.Table) {
 		alreadyDown = t.StoreDown()
@@ -228,7 +228,7 @@
 	c.OnChange()
 	c.logUpdate(update, from)
 	if len(update.Hosts) > 0 {
-		c.Recorder.Reach(blackboard.StageTargets)
+		c.Recorder.MarkStage(blackboard.StageTargets)
 	}
 }
 
--- a/node/controller/hostlist.go
+++ b/node/controller/hostlist.go
@@ -55,11 +55,11 @@
 	before, _ := c.Board.Members.Hosts()
 	next, err := c.readChanges(ctx, before)
 	if err != nil {
-		c.Recorder.Metrics.PlatformRead.WithLabelValues("hosts", "failed").Inc()
+		c.Recorder.Metrics.PlatformReads.WithLabelValues("hosts", "failed").Inc()
 		c.Recorder.Log.Warn("failed to read the host list", "error", err.Error())
 		return
 	}
-	c.Recorder.Metrics.PlatformRead.WithLabelValues("hosts", "read").Inc()
+	c.Recorder.Metrics.PlatformReads.WithLabelValues("hosts", "read").Inc()
 	c.Board.Members.SetHosts(next, time.Now())
 	if next.Revision != before.Revision || before.Revision == 0 {
 		c.Board.SyncTargets()
--- a/node/controller/load.go
+++ b/node/controller/load.go
@@ -45,7 +45,7 @@
 		c.pollTargets(ctx, targets)
 		c.Board.Queues.WakeAll()
 		for pool, n := range c.Board.Queues.Lengths() {
-			c.Recorder.Metrics.Queue.WithLabelValues(pool).Set(float64(n))
+			c.Recorder.Metrics.QueuedRequests.WithLabelValues(pool).Set(float64(n))
 		}
 		Sleep(ctx, c.roundInterval(len(targets))-time.Since(start))
 	}
@@ -96,7 +96,7 @@
 	c.mu.Lock()
 	after := c.lastEvents[t.ID]
 	c.mu.Unlock()
-	events, err := c.Client.Events(ctx, t.Address, after)
+	events, err := c.Client.CacheEvents(ctx, t.Address, after)
 	if err != nil {
 		return // Events are hints; a later round reads them again.
 	}
--- a/node/controller/settings.go
+++ b/node/controller/settings.go
@@ -109,10 +109,10 @@
 	defer cancel()
 	changes, err := c.Source.Config(ctx, since, wait)
 	if err != nil {
-		c.Recorder.Metrics.PlatformRead.WithLabelValues("configuration", "failed").Inc()
+		c.Recorder.Metrics.PlatformReads.WithLabelValues("configuration", "failed").Inc()
 		return err
 	}
-	c.Recorder.Metrics.PlatformRead.WithLabelValues("configuration", "read").Inc()
+	c.Recorder.Metrics.PlatformReads.WithLabelValues("configuration", "read").Inc()
 	err = c.Apply(changes, "configuration service")
 	if errors.Is(err, settings.ErrRevisionGap) {
 		return c.readFull(ctx)
@@ -159,7 +159,7 @@
 	}
 	start := time.Now()
 	tree, err := c.Parse(partData(next))
-	c.Recorder.Metrics.SettingsLag.Observe(time.Since(start).Seconds())
+	c.Recorder.Metrics.SettingsParse.Observe(time.Since(start).Seconds())
 	if err != nil {
 		c.reject(next.Revision, from, err)
 		return err
@@ -168,8 +168,8 @@
 	if !c.Board.Settings.Adopt(view) {
 		return settings.ErrNotNewer
 	}
-	c.Recorder.Metrics.Revision.Set(float64(next.Revision))
-	c.Recorder.Reach(blackboard.StageSettings)
+	c.Recorder.Metrics.SettingsRevision.Set(float64(next.Revision))
+	c.Recorder.MarkStage(blackboard.StageSettings)
 	c.Recorder.Record(decision.Record{Kind: decision.KindSettings, Outcome: "adopted", Revision: next.Revision,
 		Reason: fmt.Sprintf("from %s, %d parts, %d accounts, checked in %v", from, len(next.Parts), len(tree.Accounts()), time.Since(start).Round(time.Millisecond))})
 	c.OnAdopt(view)
--- a/node/controller/slowdown.go
+++ b/node/controller/slowdown.go
@@ -154,13 +154,13 @@
 func (c *SlowdownPoller) readReport(ctx context.Context, t blackboard.TargetAddress) (forward.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, slowdownTimeout)
 	defer cancel()
-	request := c.Exchanger.Dialect.Report(t.ID)
+	request := c.Exchanger.Dialect.ReportMessage(t.ID)
 	reply, err := c.Exchanger.Send(ctx, t.Address, &request)
 	if err != nil {
 		return forward.Report{}, err
 	}
 	defer c.Exchanger.Close(reply)
-	c.Recorder.Notice(t.Pool, t.ID, reply.TargetNotice(), reply.Sent)
+	c.Recorder.RecordNotice(t.Pool, t.ID, reply.TargetNotice(), reply.Sent)
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxReportSize))
 	if err != nil {
 		return forward.Report{}, errors.Wrap(err, "read the report")
--- a/node/internal/soak/anew.go
+++ b/node/internal/soak/anew.go
@@ -46,12 +46,12 @@
 		pause(ctx, e.For)
 		b.link.Set(Fine)
 	}
-	b.target.StartAnew(time.Now())
+	b.target.Restart(time.Now())
 	w.mu.Lock()
 	stays := slices.Contains(w.backends, b)
 	w.mu.Unlock()
 	if stays {
-		w.store.PutStarted(b.target, b.link.Address(), b.service, slots)
+		w.store.PutTargetWithStart(b.target, b.link.Address(), b.service, slots)
 	}
 }
 
--- a/node/internal/soak/backend.go
+++ b/node/internal/soak/backend.go
@@ -144,7 +144,7 @@
 
 // serve answers a call, or fails in one of the ways in which targets do.
 func (b *backend) serve(w http.ResponseWriter, r *http.Request, c standin.Call) {
-	run := b.seen.begin(Run{ID: c.ID, Target: b.target.ID, Service: b.service, Account: c.Account(), Key: c.Key(), At: time.Now(), After: c.LastEvent()})
+	run := b.seen.begin(Run{ID: c.ID, Target: b.target.ID, Service: b.service, Account: c.Account(), Key: c.APIKey(), At: time.Now(), After: c.LastEventID()})
 	defer b.seen.note(func() { run.Ended = time.Now() })
 	if strings.HasPrefix(c.Body, crashBody) {
 		b.seen.note(func() { run.Crashed = true })
@@ -152,7 +152,7 @@
 		return
 	}
 	if b.speak(w, run) {
-		standin.TurnAway(w, r, c)
+		standin.Reject(w, r, c)
 		return
 	}
 	way := 1.0
@@ -162,11 +162,11 @@
 	switch {
 	case way < 0.15:
 		b.seen.note(func() { run.TurnedAway = true })
-		standin.TurnAway(w, r, c)
+		standin.Reject(w, r, c)
 	case way < 0.3:
 		standin.Answer(http.StatusInternalServerError, "broken")(w, r, c)
 	case way < 0.5:
-		standin.Cut(w, r, c)
+		standin.CloseConnection(w, r, c)
 	case way < 0.6:
 		<-r.Context().Done() // It hangs.
 	case b.service == engines:
@@ -182,15 +182,15 @@
 }
 
 func (b *backend) stream(w http.ResponseWriter, r *http.Request, c standin.Call, breaks bool) {
-	s := standin.Events{From: 1, To: events(c.ID), Pause: eventEvery, Text: func(i int) string { return eventText(c.ID, i) }}
-	if after := c.LastEvent(); after != "" {
+	s := standin.EventStream{From: 1, To: events(c.ID), Interval: eventEvery, Text: func(i int) string { return eventText(c.ID, i) }}
+	if after := c.LastEventID(); after != "" {
 		if _, err := fmt.Sscan(after, &s.From); err != nil {
 			panic(http.ErrAbortHandler) // A daemon that asks for no event gets no answer.
 		}
 		s.From++
 	}
 	if breaks && s.From < s.To {
-		s.To, s.Breaks = s.From+rand.IntN(s.To-s.From), true
+		s.To, s.Truncated = s.From+rand.IntN(s.To-s.From), true
 	}
 	s.Serve(w, r, c)
 }
--- a/node/internal/soak/caller.go
+++ b/node/internal/soak/caller.go
@@ -49,9 +49,9 @@
 }
 
 func (w *world) callOf(ctx context.Context, client *http.Client, daemon int, path *Path, route int, body string) Call {
-	ask := &standin.Ask{
-		Daemon: w.daemons[daemon].front.Address(), Host: host, Path: path.Prefix + "x", ID: w.diary.id(), Key: key,
-		Tokens: path.Tokens, LeftMS: int(path.Allowed.Milliseconds()), Body: body,
+	ask := &standin.CallerRequest{
+		Daemon: w.daemons[daemon].front.Address(), Host: host, Path: path.Prefix + "x", ID: w.diary.id(), APIKey: key,
+		TokenCounts: path.Tokens, DeadlineMS: int(path.Allowed.Milliseconds()), Body: body,
 	}
 	if route > 0 {
 		ask.Path = passing(route) + "x"
@@ -60,7 +60,7 @@
 	got := ask.Do(ctx, client)
 	c.Done = time.Now()
 	c.Left = ctx.Err() != nil
-	c.Status, c.Body, c.Whole, c.Again = got.Status, got.Body, got.Err == nil, got.ComeBack() != ""
+	c.Status, c.Body, c.Whole, c.Again = got.Status, got.Body, got.Err == nil, got.RetryAfter() != ""
 	w.diary.add(c)
 	return c
 }
--- a/node/internal/soak/process.go
+++ b/node/internal/soak/process.go
@@ -55,11 +55,11 @@
 	p := &process{
 		number: number, program: program, metrics: metrics, file: filepath.Join(dir, name+".toml"),
 		boot: standin.Boot{
-			Name: name, IP: ip, DataCentre: fmt.Sprint("z", number%2+1), Callers: addresses[0], Ready: addresses[1],
-			Peers: peers, Seeds: seeds, Store: store,
+			Name: name, IP: ip, DataCentre: fmt.Sprint("z", number%2+1), CallerAddress: addresses[0], ReadyAddress: addresses[1],
+			PeerAddress: peers, Seeds: seeds, StoreAddress: store,
 		},
 	}
-	if p.front, err = NewLink(addresses[3], p.boot.Callers); err != nil {
+	if p.front, err = NewLink(addresses[3], p.boot.CallerAddress); err != nil {
 		return nil, err
 	}
 	if p.log, err = os.Create(filepath.Join(dir, name+".log")); err != nil {
@@ -119,7 +119,7 @@
 func (p *process) ready(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.boot.Ready+"/ready", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.boot.ReadyAddress+"/ready", nil)
 	if err != nil {
 		return false
 	}
--- a/node/internal/soak/words.go
+++ b/node/internal/soak/words.go
@@ -78,8 +78,8 @@
 
 // crash ends the target's process under a call, and starts another under its id.
 func (b *backend) crash(w http.ResponseWriter, r *http.Request, c standin.Call) {
-	b.target.StartAnew(time.Now())
-	standin.Cut(w, r, c)
+	b.target.Restart(time.Now())
+	standin.CloseConnection(w, r, c)
 }
 
 // restTargets lets half of the targets turn calls away and ask for rest.
@@ -134,7 +134,7 @@
 // restoreStore brings the store back from a copy, and lets the operators and the targets write
 // again what it lacks.
 func (w *world) restoreStore(ctx context.Context, e Event) {
-	older := w.store.Copy()
+	older := w.store.Backup()
 	pause(ctx, e.For)
 	w.store.Restore(older)
 	pause(ctx, rand.N(writeAgain))
@@ -142,7 +142,7 @@
 	defer w.mu.Unlock()
 	w.store.PutConfig(w.config)
 	for _, b := range w.backends {
-		w.store.PutStarted(b.target, b.link.Address(), b.service, slots)
+		w.store.PutTargetWithStart(b.target, b.link.Address(), b.service, slots)
 	}
 	for _, b := range w.gone {
 		w.store.RemoveTarget(b.target)
--- a/node/internal/soak/world.go
+++ b/node/internal/soak/world.go
@@ -22,7 +22,7 @@
 type world struct {
 	dir     string
 	store   *standin.Store
-	door    *standin.Door
+	door    *standin.Endpoint
 	toStore *Link
 	daemons []*process
 	seen    *ledger
@@ -50,7 +50,7 @@
 		dir: dir, store: standin.NewStore(), seen: &ledger{runs: map[string][]*Run{}}, diary: &diary{},
 		isReady: make([]bool, size.Daemons),
 	}
-	w.door = w.store.Open()
+	w.door = w.store.OpenEndpoint()
 	address, err := testaddr.Find()
 	if err != nil {
 		return nil, err
@@ -104,7 +104,7 @@
 	w.mu.Lock()
 	w.backends = append(w.backends, b)
 	w.mu.Unlock()
-	w.store.PutStarted(b.target, b.link.Address(), service, slots)
+	w.store.PutTargetWithStart(b.target, b.link.Address(), service, slots)
 	return nil
 }
 
@@ -120,7 +120,7 @@
 	c := standin.Config{
 		Version:  w.version,
 		Services: []standin.Service{{Name: plain}, {Name: engines, Engine: standin.Engine(100_000)}},
-		Tenants:  []standin.Tenant{{Name: account, Keys: []string{key}}},
+		Tenants:  []standin.Tenant{{Name: account, APIKeys: []string{key}}},
 	}
 	for _, path := range paths {
 		c.Routes = append(c.Routes, path.route(path.Prefix))
@@ -137,11 +137,11 @@
 // route is the path's form in a configuration, under a prefix.
 func (p *Path) route(prefix string) standin.Route {
 	r := standin.Route{
-		Name: "r" + prefix, Host: host, Prefix: prefix, Kind: p.Kind, Service: p.Service, Attempts: p.Attempts,
-		TimeoutMS: int(p.Allowed.Milliseconds()), AimMS: int(p.Goal.Milliseconds()),
+		Name: "r" + prefix, Host: host, Prefix: prefix, Kind: p.Kind, Service: p.Service, MaxAttempts: p.Attempts,
+		TimeoutMS: int(p.Allowed.Milliseconds()), TargetLatencyMS: int(p.Goal.Milliseconds()),
 	}
 	if p.Streams {
-		r.Resumable, r.GapMS = true, float64(p.Goal.Milliseconds())
+		r.Resumable, r.GapGoalMS = true, float64(p.Goal.Milliseconds())
 	}
 	return r
 }
@@ -310,9 +310,9 @@
 	case StoreForget:
 		w.store.DropHistory()
 	case StoreMute:
-		w.store.Mute(true)
+		w.store.StallWatches(true)
 		pause(ctx, e.For)
-		w.store.Mute(false)
+		w.store.StallWatches(false)
 		w.door.CloseClientConnections() // The watches that waited never hear again.
 	default:
 		harm(ctx, w.toStore, e)
@@ -376,7 +376,7 @@
 		panic(err) // No port is free.
 	}
 	if which%2 == 0 { // Others say nothing before their entry goes.
-		w.store.PutLeaving(b.target.ID, b.link.Address(), b.service, slots)
+		w.store.PutDraining(b.target.ID, b.link.Address(), b.service, slots)
 		pause(ctx, drainFor)
 	} else { // Some of them say so in their answers.
 		b.say(func() { b.leaves = which%4 == 1 })
@@ -406,7 +406,7 @@
 func (w *world) held() []string {
 	var list []string
 	for _, b := range slices.Concat(w.backends, w.gone) {
-		for _, id := range b.target.Held(time.Now()) {
+		for _, id := range b.target.Reservations(time.Now()) {
 			list = append(list, id+" at "+b.target.ID)
 		}
 	}
--- a/node/internal/standin/engine.go
+++ b/node/internal/standin/engine.go
@@ -237,10 +237,10 @@
 		return nil, r
 	}
 	if e.sequences[g.Attempt] != nil {
-		return nil, &target.ErrorAnswer{Code: target.CodeDuplicate, Message: "this attempt is known already", Ran: true}
+		return nil, &target.ErrorAnswer{Code: target.CodeDuplicateAttempt, Message: "this attempt is known already", Ran: true}
 	}
 	if !slices.Contains(e.models, g.Model) {
-		return nil, &target.ErrorAnswer{Code: target.CodeBadModel, Message: "model " + g.Model + " is not loaded"}
+		return nil, &target.ErrorAnswer{Code: target.CodeModelNotLoaded, Message: "model " + g.Model + " is not loaded"}
 	}
 	s := e.newSequence(g.Attempt, g.Prompt, g.Level)
 	s.max = g.MaxTokens
@@ -279,7 +279,7 @@
 	}
 	r, ok := e.reservations[reservation]
 	if !ok {
-		return &target.ErrorAnswer{Code: target.CodeUnknown, Message: "there is no such reservation"}
+		return &target.ErrorAnswer{Code: target.CodeUnknownID, Message: "there is no such reservation"}
 	}
 	if s.prompt+s.max > r.Tokens {
 		return &target.ErrorAnswer{Code: target.CodeNoMemory, Message: "the part is larger than its reservation"}
@@ -355,10 +355,10 @@
 func (e *Engine) order(o target.Order) *target.ErrorAnswer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if o.Fence < e.fence && !e.faults.IgnoreFence {
-		return &target.ErrorAnswer{Code: target.CodeOldFence, Message: fmt.Sprintf("the number %d is older than %d", o.Fence, e.fence)}
+	if o.FencingToken < e.fence && !e.faults.IgnoreFence {
+		return &target.ErrorAnswer{Code: target.CodeStaleFencingToken, Message: fmt.Sprintf("the number %d is older than %d", o.FencingToken, e.fence)}
 	}
-	e.fence = max(e.fence, o.Fence)
+	e.fence = max(e.fence, o.FencingToken)
 	e.models = slices.Clone(o.Models)
 	e.orders = append(e.orders, o)
 	return nil
--- a/node/internal/standin/enginehttp.go
+++ b/node/internal/standin/enginehttp.go
@@ -96,7 +96,7 @@
 	s := e.sequences[q.Attempt]
 	e.mu.Unlock()
 	if s == nil || q.From < s.first {
-		writeJSON(w, http.StatusNotFound, target.ErrorAnswer{Code: target.CodeUnknown, Message: "there is no such stream"})
+		writeJSON(w, http.StatusNotFound, target.ErrorAnswer{Code: target.CodeUnknownID, Message: "there is no such stream"})
 		return
 	}
 	e.relay(w, r, s, q.From)
@@ -119,7 +119,7 @@
 		return
 	}
 	if s.failed != "" {
-		writeJSON(w, http.StatusConflict, target.ErrorAnswer{Code: target.CodeUnknown, Message: s.failed, Ran: true})
+		writeJSON(w, http.StatusConflict, target.ErrorAnswer{Code: target.CodeUnknownID, Message: s.failed, Ran: true})
 		return
 	}
 	writeJSON(w, http.StatusOK, struct{}{})
@@ -207,7 +207,7 @@
 		_ = lines.Encode(target.Chunk{Attempt: s.attempt, Error: failed})
 		return
 	}
-	_ = lines.Encode(target.Chunk{Attempt: s.attempt, End: true, Total: total, Finish: "length"})
+	_ = lines.Encode(target.Chunk{Attempt: s.attempt, End: true, Total: total, FinishReason: "length"})
 }
 
 // Server is a stand-in listening on loopback.
--- a/node/internal/standin/report.go
+++ b/node/internal/standin/report.go
@@ -10,12 +10,12 @@
 // report makes a load report of this moment.
 func (e *Engine) report() target.LoadReport {
 	r := target.LoadReport{
-		At:           time.Now(),
+		CreatedAt:    time.Now(),
 		MemoryTokens: e.cost.Memory,
 		UsedTokens:   e.used,
-		Leaving:      e.faults.Leaving,
+		Draining:     e.faults.Leaving,
 		Models:       slices.Clone(e.models),
-		Fence:        e.fence,
+		FencingToken: e.fence,
 	}
 	for _, s := range e.queue {
 		left := s.prompt - s.read
@@ -43,7 +43,7 @@
 	}
 	e.history = append(e.history, e.report())
 	oldest := time.Now().Add(-2 * e.faults.ReportLag)
-	for len(e.history) > 1 && e.history[1].At.Before(oldest) {
+	for len(e.history) > 1 && e.history[1].CreatedAt.Before(oldest) {
 		e.history = e.history[1:]
 	}
 }
@@ -59,13 +59,13 @@
 	wanted := now.Add(-e.faults.ReportLag)
 	found := e.history[0]
 	for _, r := range e.history {
-		if r.At.After(wanted) {
+		if r.CreatedAt.After(wanted) {
 			break
 		}
 		found = r
 	}
-	found.Age = now.Sub(found.At)
-	found.Leaving = e.faults.Leaving
+	found.Age = now.Sub(found.CreatedAt)
+	found.Draining = e.faults.Leaving
 	return found
 }
 
--- a/node/internal/standin/service.go
+++ b/node/internal/standin/service.go
@@ -69,7 +69,7 @@
 	mux.HandleFunc("GET /v1/load", func(w http.ResponseWriter, _ *http.Request) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		writeJSON(w, http.StatusOK, target.LoadReport{At: time.Now(), Running: s.open, Leaving: s.faults.Leaving})
+		writeJSON(w, http.StatusOK, target.LoadReport{CreatedAt: time.Now(), Running: s.open, Draining: s.faults.Leaving})
 	})
 	mux.HandleFunc("/", s.call)
 	return mux
--- a/node/onplatform/answers_test.go
+++ b/node/onplatform/answers_test.go
@@ -28,25 +28,25 @@
 		t.Fatalf("%d calls", len(calls))
 	}
 	c := calls[0]
-	if c.Method != "POST" || c.URI != unsafe+"x?q=1" || c.Body != a.Body || c.Account() != "a" || c.Key() != "" || c.MeantFor() != "t1" {
-		t.Fatalf("%+v account %q key %q for %q", c, c.Account(), c.Key(), c.MeantFor())
+	if c.Method != "POST" || c.URI != unsafe+"x?q=1" || c.Body != a.Body || c.Account() != "a" || c.APIKey() != "" || c.TargetID() != "t1" {
+		t.Fatalf("%+v account %q key %q for %q", c, c.Account(), c.APIKey(), c.TargetID())
 	}
-	if left, err := strconv.Atoi(c.Left()); err != nil || left > a.LeftMS || left < a.LeftMS-1000 {
-		t.Fatalf("the target may work for %q ms of %d", c.Left(), a.LeftMS)
+	if left, err := strconv.Atoi(c.DeadlineMS()); err != nil || left > a.DeadlineMS || left < a.DeadlineMS-1000 {
+		t.Fatalf("the target may work for %q ms of %d", c.DeadlineMS(), a.DeadlineMS)
 	}
 }
 
 func TestRoutesAndKeys(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	for name, c := range map[string]struct {
-		change func(*standin.Ask)
+		change func(*standin.CallerRequest)
 		status int
 	}{
-		"unknown path": {func(a *standin.Ask) { a.Path = "/nothing/" }, 404},
-		"unknown host": {func(a *standin.Ask) { a.Host = "other.example" }, 404},
-		"unknown key":  {func(a *standin.Ask) { a.Key = "wrong" }, 401},
-		"no key":       {func(a *standin.Ask) { a.Key = "" }, 401},
-		"open route":   {func(a *standin.Ask) { a.Path, a.Key = open, "" }, 200},
+		"unknown path": {func(a *standin.CallerRequest) { a.Path = "/nothing/" }, 404},
+		"unknown host": {func(a *standin.CallerRequest) { a.Host = "other.example" }, 404},
+		"unknown key":  {func(a *standin.CallerRequest) { a.APIKey = "wrong" }, 401},
+		"no key":       {func(a *standin.CallerRequest) { a.APIKey = "" }, 401},
+		"open route":   {func(a *standin.CallerRequest) { a.Path, a.APIKey = open, "" }, 200},
 	} {
 		a := f.ask(safe)
 		c.change(a)
@@ -61,7 +61,7 @@
 func TestWithoutAConfigurationNothingIsDenied(t *testing.T) {
 	f := &fleet{t: t, store: standin.NewStore(), client: http.DefaultClient, targets: map[string]*standin.Target{}}
 	d := f.addDaemon(0)
-	var got standin.Got
+	var got standin.CallerResponse
 	f.eventually("an answer", func() bool {
 		got = f.do(f.ask(safe))
 		return got.Err == nil
@@ -77,12 +77,12 @@
 		status int
 		signed bool
 	}{
-		"cut":                {standin.Cut, 502, false},
+		"cut":                {standin.CloseConnection, 502, false},
 		"own failure":        {standin.Answer(500, "no"), 500, true},
 		"503 without a word": {standin.Answer(503, "no"), 502, false},
 		"429 without a word": {standin.Answer(429, "no"), 502, false},
 		"truncated":          {standin.Truncate, 502, false},
-		"unsigned":           {standin.Unsigned, 502, false},
+		"unsigned":           {standin.AnswerUnsigned, 502, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 1, 2)
@@ -109,7 +109,7 @@
 		from[r.RemoteAddr] = true
 		mu.Unlock()
 		if strings.HasPrefix(c.URI, stream) {
-			standin.Stream(1, 3, false)(w, r, c)
+			standin.AnswerStream(1, 3, false)(w, r, c)
 			return
 		}
 		standin.Succeed("ok")(w, r, c)
@@ -130,8 +130,8 @@
 
 func TestSafeGoesToAnotherTarget(t *testing.T) {
 	for name, first := range map[string]func(http.ResponseWriter, *http.Request, standin.Call){
-		"cut": standin.Cut, "own failure": standin.Answer(500, "no"), "truncated": standin.Truncate,
-		"full": standin.TurnAway, "503 without a word": standin.Answer(503, "no"),
+		"cut": standin.CloseConnection, "own failure": standin.Answer(500, "no"), "truncated": standin.Truncate,
+		"full": standin.Reject, "503 without a word": standin.Answer(503, "no"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 1, 2)
@@ -140,7 +140,7 @@
 			if got := f.do(a); got.Status != 200 || got.Body != "second" {
 				t.Errorf("%+v", got)
 			}
-			if calls := f.calls(a.ID); len(calls) != 2 || calls[0].MeantFor() == calls[1].MeantFor() {
+			if calls := f.calls(a.ID); len(calls) != 2 || calls[0].TargetID() == calls[1].TargetID() {
 				t.Errorf("%d calls", len(calls))
 			}
 		})
@@ -161,13 +161,13 @@
 // with the time to come back; one that may have run at the first is not.
 func TestNotRunIsSaidOnlyWhereItIsTrue(t *testing.T) {
 	f := newFleet(t, 1, 2)
-	f.scriptAll(standin.TurnAway)
+	f.scriptAll(standin.Reject)
 	got := f.do(f.ask(unsafe))
 	if got.Status != 503 || got.Signed() || got.Header.Get("Retry-After") == "" {
 		t.Fatalf("turned away by all: %+v", got)
 	}
 	g := newFleet(t, 1, 2)
-	g.scriptOnce(standin.Cut, standin.TurnAway)
+	g.scriptOnce(standin.CloseConnection, standin.Reject)
 	if got := g.do(g.ask(safe)); got.Status == 503 || got.Status == 429 {
 		t.Fatalf("it may have run, and the caller is told that it has not: %+v", got)
 	}
@@ -175,15 +175,15 @@
 
 func TestAStreamGoesOnElsewhere(t *testing.T) {
 	f := newFleet(t, 1, 2)
-	f.scriptOnce(standin.Stream(1, 3, true), standin.Stream(4, 6, false))
+	f.scriptOnce(standin.AnswerStream(1, 3, true), standin.AnswerStream(4, 6, false))
 	a := f.ask(stream)
 	got := f.do(a)
 	if got.Err != nil || got.Status != 200 || got.Body != events(1, 6) || got.Signature() != "sign from 1" {
 		t.Fatalf("%+v", got)
 	}
 	calls := f.calls(a.ID)
-	if len(calls) != 2 || calls[0].LastEvent()+calls[1].LastEvent() != "3" {
-		t.Fatalf("%d calls, asked to go on after %q and %q", len(calls), calls[0].LastEvent(), calls[1].LastEvent())
+	if len(calls) != 2 || calls[0].LastEventID()+calls[1].LastEventID() != "3" {
+		t.Fatalf("%d calls, asked to go on after %q and %q", len(calls), calls[0].LastEventID(), calls[1].LastEventID())
 	}
 }
 
@@ -191,7 +191,7 @@
 // never in the middle of an event.
 func TestABrokenStreamLooksBroken(t *testing.T) {
 	f := newFleet(t, 1, 2)
-	f.scriptAll(standin.Stream(1, 3, true))
+	f.scriptAll(standin.AnswerStream(1, 3, true))
 	a := f.ask(once)
 	got := f.do(a)
 	if got.Err == nil || got.Body != events(1, 3) {
@@ -206,7 +206,7 @@
 // does not make the caller get events twice.
 func TestAStreamOutOfOrderIsNotJoined(t *testing.T) {
 	f := newFleet(t, 1, 2)
-	f.scriptOnce(standin.Stream(1, 3, true), standin.Stream(1, 6, false))
+	f.scriptOnce(standin.AnswerStream(1, 3, true), standin.AnswerStream(1, 6, false))
 	got := f.do(f.ask(stream))
 	if got.Err == nil || got.Body != events(1, 3) {
 		t.Fatalf("err %v, body %q", got.Err, got.Body)
@@ -215,11 +215,11 @@
 
 func TestACallersStreamGoesOnFromItsLastEvent(t *testing.T) {
 	f := newFleet(t, 1, 1)
-	f.scriptAll(standin.Stream(8, 9, false))
+	f.scriptAll(standin.AnswerStream(8, 9, false))
 	a := f.ask(stream)
-	a.LastEvent = "7"
+	a.LastEventID = "7"
 	got := f.do(a)
-	if calls := f.calls(a.ID); got.Body != events(8, 9) || len(calls) != 1 || calls[0].LastEvent() != "7" {
+	if calls := f.calls(a.ID); got.Body != events(8, 9) || len(calls) != 1 || calls[0].LastEventID() != "7" {
 		t.Fatalf("%+v", got)
 	}
 }
@@ -247,7 +247,7 @@
 					if err != nil {
 						return
 					}
-					_, _ = fmt.Fprint(conn, answer(standin.IDOf(r), int(calls.Add(1))))
+					_, _ = fmt.Fprint(conn, answer(standin.RequestID(r), int(calls.Add(1))))
 				}
 			}()
 		}
@@ -279,7 +279,7 @@
 	f := newFleet(t, 1, 1)
 	f.scriptAll(func(_ http.ResponseWriter, r *http.Request, _ standin.Call) { <-r.Context().Done() })
 	a := f.ask(unsafe)
-	a.LeftMS = 300
+	a.DeadlineMS = 300
 	began := time.Now()
 	got := f.do(a)
 	if took := time.Since(began); got.Status != 504 || took > 2*time.Second {
@@ -305,9 +305,9 @@
 		f.addTarget(fmt.Sprint("e", i+1), engines, 16)
 	}
 	f.waitReady(f.daemons[0])
-	f.scriptAll(standin.Stream(1, 3, false))
+	f.scriptAll(standin.AnswerStream(1, 3, false))
 	a := f.ask(prompt)
-	a.Tokens = "150000,50"
+	a.TokenCounts = "150000,50"
 	if got := f.do(a); got.Status != 200 || got.Body != events(1, 3) {
 		t.Fatalf("%+v", got)
 	}
@@ -353,10 +353,10 @@
 		sends       int
 	}{
 		"plain":         {safe, hang(nil), standin.Succeed("second"), "second", 2},
-		"before events": {stream, hang(nil), standin.Stream(1, 3, false), events(1, 3), 2},
-		"after events":  {stream, hang(standin.Stream(1, 3, false)), standin.Stream(4, 6, false), events(1, 6), 2},
+		"before events": {stream, hang(nil), standin.AnswerStream(1, 3, false), events(1, 3), 2},
+		"after events":  {stream, hang(standin.AnswerStream(1, 3, false)), standin.AnswerStream(4, 6, false), events(1, 6), 2},
 		"unsafe":        {unsafe, hang(nil), standin.Succeed("second"), "", 1},
-		"not resumable": {once, hang(nil), standin.Stream(1, 3, false), "", 1},
+		"not resumable": {once, hang(nil), standin.AnswerStream(1, 3, false), "", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 1, 2)
--- a/node/onplatform/crashing_calls_test.go
+++ b/node/onplatform/crashing_calls_test.go
@@ -33,9 +33,9 @@
 func crash(w http.ResponseWriter, r *http.Request, c standin.Call) {
 	switch {
 	case c.Body == crashing:
-		standin.Cut(w, r, c)
+		standin.CloseConnection(w, r, c)
 	case strings.HasPrefix(c.URI, stream):
-		standin.Stream(1, 3, false)(w, r, c)
+		standin.AnswerStream(1, 3, false)(w, r, c)
 	default:
 		standin.Succeed("ok")(w, r, c)
 	}
@@ -55,9 +55,9 @@
 }
 
 // askOf is a call with a body by one of the daemons.
-func (f *fleet) askOf(d *testDaemon, path, body string) *standin.Ask {
+func (f *fleet) askOf(d *testDaemon, path, body string) *standin.CallerRequest {
 	a := f.ask(path)
-	a.Daemon, a.Body = d.boot.Callers, body
+	a.Daemon, a.Body = d.boot.CallerAddress, body
 	return a
 }
 
@@ -104,7 +104,7 @@
 	for _, d := range f.daemons {
 		a := f.askOf(d, path, body)
 		got := f.do(a)
-		all = all && got.Status == 503 && got.ComeBack() != "" && len(f.calls(a.ID)) == 0
+		all = all && got.Status == 503 && got.RetryAfter() != "" && len(f.calls(a.ID)) == 0
 	}
 	return all
 }
@@ -160,7 +160,7 @@
 		cuts--
 		mu.Unlock()
 		if unlucky {
-			standin.Cut(w, r, c)
+			standin.CloseConnection(w, r, c)
 			return
 		}
 		standin.Succeed("ok")(w, r, c)
@@ -181,7 +181,7 @@
 	const copies = 6
 	f := newFleet(t, 3, copies+2)
 	f.eventuallyAcquainted()
-	f.scriptAll(standin.Cut)
+	f.scriptAll(standin.CloseConnection)
 	for range 2 {
 		f.do(f.askOf(f.daemons[0], unsafe, crashing))
 	}
@@ -190,7 +190,7 @@
 		arrived <- struct{}{}
 		select {
 		case <-mayCrash:
-			standin.Cut(w, r, c)
+			standin.CloseConnection(w, r, c)
 		case <-r.Context().Done():
 			calledBack <- struct{}{}
 		}
@@ -231,7 +231,7 @@
 			t.Fatalf("%+v", got)
 		}
 	}
-	f.scriptAll(standin.Cut)
+	f.scriptAll(standin.CloseConnection)
 	for range 5 {
 		for _, d := range f.daemons {
 			f.do(f.askOf(d, safe, beside))
@@ -252,7 +252,7 @@
 func TestACallThatIsTakenForACrashingOneComesBack(t *testing.T) {
 	f := newFleet(t, 3, 4)
 	f.eventuallyAcquainted()
-	f.scriptAll(standin.Cut)
+	f.scriptAll(standin.CloseConnection)
 	f.eventually("the call is refused", func() bool { return f.allRefuse(safe, beside) })
 	f.scriptAll(standin.Succeed("ok"))
 	for _, d := range f.daemons {
--- a/node/onplatform/findings_test.go
+++ b/node/onplatform/findings_test.go
@@ -38,8 +38,8 @@
 		d.Board.MergeUpdate(hostlist.Update{AsOf: hostlist.NewPosition(1, 1000), Hosts: []hostlist.Host{leaving}}, time.Now())
 		for range 6 {
 			a := f.ask(safe)
-			a.Daemon = d.boot.Callers
-			if got := f.do(a); got.Status != 200 || f.calls(a.ID)[0].MeantFor() != "t2" {
+			a.Daemon = d.boot.CallerAddress
+			if got := f.do(a); got.Status != 200 || f.calls(a.ID)[0].TargetID() != "t2" {
 				t.Fatalf("%+v by %+v", got, f.calls(a.ID))
 			}
 		}
@@ -50,11 +50,11 @@
 func TestAWatchThatIsCutWithoutAWord(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	d := f.daemons[0]
-	f.eventually("it watches", func() bool { return f.store.Watching() == 1 })
-	f.store.Mute(true)
+	f.eventually("it watches", func() bool { return f.store.WaitingWatches() == 1 })
+	f.store.StallWatches(true)
 	f.store.PutConfig(testConfig(5))
 	f.store.DropHistory()
-	f.store.Mute(false)
+	f.store.StallWatches(false)
 	f.eventually("version 5", func() bool { return f.revision(d) == 5 })
 }
 
@@ -66,14 +66,14 @@
 	const within = 3500 * time.Millisecond
 	f := newFleet(t, 2, 1)
 	for i, cutOff := range f.daemons {
-		f.eventually("both watch", func() bool { return f.store.Watching() == len(f.daemons) })
+		f.eventually("both watch", func() bool { return f.store.WaitingWatches() == len(f.daemons) })
 		cutOff.door.Refuse(true)
-		f.eventually("one watches", func() bool { return f.store.Watching() == 1 })
+		f.eventually("one watches", func() bool { return f.store.WaitingWatches() == 1 })
 		version := 5 + i
-		f.store.Mute(true)
+		f.store.StallWatches(true)
 		f.store.PutConfig(testConfig(version))
 		f.store.DropHistory()
-		f.store.Mute(false)
+		f.store.StallWatches(false)
 		began := time.Now()
 		for _, d := range f.daemons {
 			f.eventually("the version", func() bool { return f.revision(d) == int64(version) })
@@ -102,7 +102,7 @@
 	}
 	buffer := &testlog.Buffer{}
 	log := slog.New(slog.NewJSONHandler(buffer, nil))
-	boot.Callers, boot.Ready, boot.Peers = testaddr.Free(t), testaddr.Free(t), testaddr.Free(t)
+	boot.CallerAddress, boot.ReadyAddress, boot.PeerAddress = testaddr.Free(t), testaddr.Free(t), testaddr.Free(t)
 	d, err := New(boot, "0", log)
 	if err != nil {
 		t.Fatal(err)
@@ -139,7 +139,7 @@
 	f.t.Helper()
 	for i, d := range f.daemons {
 		a := f.ask(safe)
-		a.Daemon = d.boot.Callers
+		a.Daemon = d.boot.CallerAddress
 		if got := f.do(a); got.Status != 200 {
 			f.t.Fatalf("%+v", got)
 		}
@@ -194,10 +194,10 @@
 			}
 			standin.Succeed("ok")(w, r, c)
 		})
-		ask := func(body string) chan standin.Got {
+		ask := func(body string) chan standin.CallerResponse {
 			a := f.ask(unsafe)
-			a.Daemon, a.Body, a.LeftMS = f.daemons[asker].boot.Callers, body, 0
-			answer := make(chan standin.Got, 1)
+			a.Daemon, a.Body, a.DeadlineMS = f.daemons[asker].boot.CallerAddress, body, 0
+			answer := make(chan standin.CallerResponse, 1)
 			go func() { answer <- f.do(a) }()
 			return answer
 		}
@@ -215,7 +215,7 @@
 		})
 		released := time.Now()
 		close(release)
-		for _, answer := range []chan standin.Got{long, second} {
+		for _, answer := range []chan standin.CallerResponse{long, second} {
 			if got := <-answer; got.Status != 200 {
 				t.Fatalf("%+v", got)
 			}
@@ -230,7 +230,7 @@
 // in nobody's list. Its coordinator asks and learns of it, and of its recovery.
 func TestSlowEnginesAreKnown(t *testing.T) {
 	f := newFleet(t, 1, 1)
-	f.addTarget("slow", engines, 16).SetPace(4.5)
+	f.addTarget("slow", engines, 16).SetSlowdown(4.5)
 	f.addTarget("sound", engines, 16)
 	d := f.daemons[0]
 	f.waitReady(d)
@@ -246,6 +246,6 @@
 	if got := pace("sound"); got != 1 {
 		t.Errorf("the sound engine's pace is %v", got)
 	}
-	f.targets["slow"].SetPace(1)
+	f.targets["slow"].SetSlowdown(1)
 	f.eventually("the slow engine's recovery", func() bool { return pace("slow") == 1 })
 }
--- a/node/onplatform/fleet_test.go
+++ b/node/onplatform/fleet_test.go
@@ -25,7 +25,7 @@
 	f := newFleet(t, 2, 1)
 	next := testConfig(7)
 	next.Routes = next.Routes[1:]
-	next.Tenants[0].Keys = []string{"new-key"}
+	next.Tenants[0].APIKeys = []string{"new-key"}
 	f.store.PutConfig(next)
 	for _, d := range f.daemons {
 		f.eventually("version 7 at "+d.boot.Name, func() bool { return f.revision(d) == 7 })
@@ -34,7 +34,7 @@
 		t.Errorf("a key that was taken away: %+v", got)
 	}
 	a := f.ask(safe)
-	a.Key = "new-key"
+	a.APIKey = "new-key"
 	if got := f.do(a); got.Status != 404 {
 		t.Errorf("a route that was taken away: %+v", got)
 	}
@@ -61,7 +61,7 @@
 	cut := f.daemons[0]
 	cut.door.Refuse(true)
 	next := testConfig(3)
-	next.Tenants[0].Keys = nil
+	next.Tenants[0].APIKeys = nil
 	f.store.PutConfig(next)
 	f.store.PutTarget(f.targets["t1"], plain, "draining", 6)
 	f.eventually("version 3 through peers", func() bool { return f.revision(cut) == 3 })
@@ -76,7 +76,7 @@
 	})
 	for range 6 {
 		a := f.ask(open)
-		if got := f.do(a); got.Status != 200 || f.calls(a.ID)[0].MeantFor() != "t2" {
+		if got := f.do(a); got.Status != 200 || f.calls(a.ID)[0].TargetID() != "t2" {
 			t.Fatalf("%+v by %+v", got, f.calls(a.ID))
 		}
 	}
@@ -97,12 +97,12 @@
 	if got := f.do(a); got.Status != 413 {
 		t.Errorf("%+v", got)
 	}
-	conn, err := net.Dial("tcp", f.daemons[0].boot.Callers)
+	conn, err := net.Dial("tcp", f.daemons[0].boot.CallerAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	if err := f.ask(safe).Request(context.Background()).Write(conn); err != nil {
+	if err := f.ask(safe).HTTPRequest(context.Background()).Write(conn); err != nil {
 		t.Fatal(err)
 	}
 	if err := conn.SetReadDeadline(time.Now().Add(waitMost)); err != nil {
@@ -124,7 +124,7 @@
 	})
 	for range 8 {
 		a := f.ask(safe)
-		if got := f.do(a); got.Status != 200 || f.calls(a.ID)[0].MeantFor() != "t3" {
+		if got := f.do(a); got.Status != 200 || f.calls(a.ID)[0].TargetID() != "t3" {
 			t.Fatalf("%+v by %+v", got, f.calls(a.ID))
 		}
 	}
@@ -231,7 +231,7 @@
 		var answers sync.WaitGroup
 		for i := range 4 {
 			a := f.ask(safe)
-			a.Daemon = f.daemons[i%3].boot.Callers
+			a.Daemon = f.daemons[i%3].boot.CallerAddress
 			ids[a.ID] = true
 			answers.Go(func() {
 				if got := f.do(a); got.Status != 200 {
@@ -243,7 +243,7 @@
 		used := map[string]int{}
 		for id := range ids {
 			for _, c := range f.calls(id) {
-				used[c.MeantFor()]++
+				used[c.TargetID()]++
 			}
 		}
 		close(release)
@@ -295,8 +295,8 @@
 		standin.Succeed("whole")(w, r, c)
 	})
 	slow := f.ask(unsafe)
-	slow.Body, slow.LeftMS = "slow", 10_000
-	answer := make(chan standin.Got, 1)
+	slow.Body, slow.DeadlineMS = "slow", 10_000
+	answer := make(chan standin.CallerResponse, 1)
 	go func() { answer <- f.do(slow) }()
 	<-started
 	d.Drain()
@@ -304,7 +304,7 @@
 		t.Error("ready while it leaves")
 	}
 	first := f.do(f.ask(safe))
-	if first.Status != 200 || !first.Closes {
+	if first.Status != 200 || !first.ClosesConnection {
 		t.Errorf("just after: %+v", first)
 	}
 	f.eventually("refusals", func() bool {
@@ -317,7 +317,7 @@
 	default:
 	}
 	close(release)
-	if got := <-answer; got.Status != 200 || got.Body != "whole" || !got.Closes {
+	if got := <-answer; got.Status != 200 || got.Body != "whole" || !got.ClosesConnection {
 		t.Errorf("the call under way: %+v", got)
 	}
 	select {
@@ -331,7 +331,7 @@
 // lines with its id.
 func TestLogsLeadFromAnIDToTheCause(t *testing.T) {
 	f := newFleet(t, 1, 2)
-	f.scriptAll(standin.TurnAway)
+	f.scriptAll(standin.Reject)
 	a := f.ask(unsafe)
 	f.do(a)
 	kinds := map[string]int{}
--- a/node/onplatform/harness_test.go
+++ b/node/onplatform/harness_test.go
@@ -32,7 +32,7 @@
 
 type testDaemon struct {
 	*daemon.Daemon
-	door  *standin.Door
+	door  *standin.Endpoint
 	boot  *platform.Boot
 	log   *testlog.Buffer
 	ended chan struct{}
@@ -58,7 +58,7 @@
 	route := func(prefix, kind, service string, attempts int) standin.Route {
 		return standin.Route{
 			Name: "r" + prefix, Host: host, Prefix: prefix, Kind: kind, Service: service,
-			TimeoutMS: 5000, AimMS: 300, Attempts: attempts, Unforeseen: "x",
+			TimeoutMS: 5000, TargetLatencyMS: 300, MaxAttempts: attempts, UnknownField: "x",
 		}
 	}
 	c := standin.Config{
@@ -69,10 +69,10 @@
 			route(prompt, "streaming", engines, 2), route(open, "safe", plain, 2),
 		},
 		Services: []standin.Service{{Name: plain}, {Name: engines, Engine: standin.Engine(100_000)}},
-		Tenants:  []standin.Tenant{{Name: "a", Keys: []string{key}}},
+		Tenants:  []standin.Tenant{{Name: "a", APIKeys: []string{key}}},
 	}
-	c.Routes[2].Resumable, c.Routes[2].GapMS = true, 100
-	c.Routes[4].Resumable, c.Routes[4].GapMS, c.Routes[4].AimMS = true, 250, 3000
+	c.Routes[2].Resumable, c.Routes[2].GapGoalMS = true, 100
+	c.Routes[4].Resumable, c.Routes[4].GapGoalMS, c.Routes[4].TargetLatencyMS = true, 250, 3000
 	c.Routes[5].NoAuth = true
 	return c
 }
@@ -112,7 +112,7 @@
 
 func (f *fleet) addDaemon(i int) *testDaemon {
 	f.t.Helper()
-	door := f.store.Open()
+	door := f.store.OpenEndpoint()
 	f.t.Cleanup(door.Close)
 	ip, metrics, err := net.SplitHostPort(testaddr.Free(f.t))
 	if err != nil {
@@ -120,12 +120,12 @@
 	}
 	boot := &platform.Boot{
 		Name: fmt.Sprint("d", i+1), DataCentre: "z1", Region: "r1", IP: ip,
-		Callers: testaddr.Free(f.t), Ready: testaddr.Free(f.t), Peers: testaddr.Free(f.t),
-		Store: door.Address(), Regions: map[string]string{"z1": "r1"},
-		Bounds: platform.Bounds{Grace: 8 * time.Second, RepeatShare: 0.2, RepeatSlack: 100, RepeatWindow: 10 * time.Second},
+		CallerAddress: testaddr.Free(f.t), ReadyAddress: testaddr.Free(f.t), PeerAddress: testaddr.Free(f.t),
+		StoreAddress: door.Address(), Regions: map[string]string{"z1": "r1"},
+		Bounds: platform.Bounds{ShutdownGrace: 8 * time.Second, RepeatShare: 0.2, RepeatSlack: 100, RepeatWindow: 10 * time.Second},
 	}
 	for _, other := range f.daemons {
-		boot.Seeds = append(boot.Seeds, other.boot.Peers)
+		boot.Seeds = append(boot.Seeds, other.boot.PeerAddress)
 	}
 	d := &testDaemon{door: door, boot: boot, log: &testlog.Buffer{}, ended: make(chan struct{})}
 	// The store's address differs by daemon here; the fleet's key must not.
@@ -167,7 +167,7 @@
 }
 
 func (f *fleet) ready(d *testDaemon) bool {
-	resp, err := f.client.Get("http://" + d.boot.Ready + "/ready")
+	resp, err := f.client.Get("http://" + d.boot.ReadyAddress + "/ready")
 	if err != nil {
 		return false
 	}
@@ -183,12 +183,12 @@
 	})
 }
 
-func (f *fleet) ask(path string) *standin.Ask {
+func (f *fleet) ask(path string) *standin.CallerRequest {
 	f.next++
-	return &standin.Ask{Daemon: f.daemons[0].boot.Callers, Host: host, Path: path + "x?q=1", ID: fmt.Sprint("id-", f.next), Key: key, LeftMS: 4000}
+	return &standin.CallerRequest{Daemon: f.daemons[0].boot.CallerAddress, Host: host, Path: path + "x?q=1", ID: fmt.Sprint("id-", f.next), APIKey: key, DeadlineMS: 4000}
 }
 
-func (f *fleet) do(a *standin.Ask) standin.Got {
+func (f *fleet) do(a *standin.CallerRequest) standin.CallerResponse {
 	ctx, cancel := context.WithTimeout(context.Background(), waitMost)
 	defer cancel()
 	return a.Do(ctx, f.client)
--- a/node/onplatform/leaving_callers_test.go
+++ b/node/onplatform/leaving_callers_test.go
@@ -51,12 +51,12 @@
 				close(started)
 				<-release
 			}
-			standin.Stream(1, 2, false)(w, r, c)
+			standin.AnswerStream(1, 2, false)(w, r, c)
 		})
-		ask := func(ctx context.Context, body string) (*standin.Ask, chan standin.Got) {
+		ask := func(ctx context.Context, body string) (*standin.CallerRequest, chan standin.CallerResponse) {
 			a := f.ask(prompt)
-			a.Daemon, a.Body, a.Tokens = d.boot.Callers, body, "1000,50"
-			got := make(chan standin.Got, 1)
+			a.Daemon, a.Body, a.TokenCounts = d.boot.CallerAddress, body, "1000,50"
+			got := make(chan standin.CallerResponse, 1)
 			go func() { got <- a.Do(ctx, f.client) }()
 			return a, got
 		}
--- a/node/onplatform/leaving_in_time_test.go
+++ b/node/onplatform/leaving_in_time_test.go
@@ -21,9 +21,9 @@
 		arrived <- struct{}{}
 		<-r.Context().Done()
 	})
-	answers := make(chan standin.Got, 1)
+	answers := make(chan standin.CallerResponse, 1)
 	a := f.ask(unsafe)
-	a.LeftMS = 60_000
+	a.DeadlineMS = 60_000
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), waitMost)
 		defer cancel()
--- a/node/onplatform/limit_fleet_test.go
+++ b/node/onplatform/limit_fleet_test.go
@@ -193,7 +193,7 @@
 		target.tell(d.name)
 	}
 	record := telemetry.Recorder{Board: d.board, Log: slog.New(slog.DiscardHandler), Metrics: d.metrics}
-	if news := record.Notice("svc", id, forward.Notice{Limit: said}, sent); said.Declared || news {
+	if news := record.RecordNotice("svc", id, forward.Notice{Limit: said}, sent); said.Declared || news {
 		d.cluster.Placer.ReportLimit("svc", id, said, sent)
 	}
 	d.board.Targets.Finish(attempt, blackboard.CallSucceeded, time.Now())
--- a/node/onplatform/limits_test.go
+++ b/node/onplatform/limits_test.go
@@ -23,7 +23,7 @@
 const callersOfEach = 2
 
 // send starts callers of a path at the daemons; got is told of each answer.
-func (f *fleet) send(daemons []*testDaemon, path string, got func(*testDaemon, standin.Got)) *herd {
+func (f *fleet) send(daemons []*testDaemon, path string, got func(*testDaemon, standin.CallerResponse)) *herd {
 	h := &herd{stop: make(chan struct{})}
 	for _, d := range daemons {
 		for caller := range callersOfEach {
@@ -34,9 +34,9 @@
 						return
 					default:
 					}
-					a := &standin.Ask{
-						Daemon: d.boot.Callers, Host: host, Path: path + "x", ID: fmt.Sprintf("%s-%d-%d-%s", d.boot.Name, caller, n, path[1:2]),
-						Key: key, LeftMS: 4000, Body: beside, Tokens: "100,10",
+					a := &standin.CallerRequest{
+						Daemon: d.boot.CallerAddress, Host: host, Path: path + "x", ID: fmt.Sprintf("%s-%d-%d-%s", d.boot.Name, caller, n, path[1:2]),
+						APIKey: key, DeadlineMS: 4000, Body: beside, TokenCounts: "100,10",
 					}
 					got(d, f.do(a))
 				}
@@ -94,13 +94,13 @@
 			f.eventuallyAcquainted()
 			answer := standin.Succeed("ok")
 			if path == prompt {
-				answer = standin.Stream(1, 3, false)
+				answer = standin.AnswerStream(1, 3, false)
 			}
 			f.scriptAll(answer)
 			f.targets[target].Script(words(limitHeader, fmt.Sprint(perSecond), answer))
 			heard := told{seen: map[string]bool{}}
 			var answered atomic.Int64
-			callers := f.send(f.daemons, path, func(d *testDaemon, got standin.Got) {
+			callers := f.send(f.daemons, path, func(d *testDaemon, got standin.CallerResponse) {
 				answered.Add(1)
 				if got.Header.Get(limitHeader) != "" {
 					heard.by(d)
@@ -123,7 +123,7 @@
 	f.eventuallyAcquainted()
 	f.targets["t1"].Script(words(limitHeader, "2", standin.Succeed("ok")))
 	var answered atomic.Int64
-	callers := f.send(f.daemons, safe, func(*testDaemon, standin.Got) { answered.Add(1) })
+	callers := f.send(f.daemons, safe, func(*testDaemon, standin.CallerResponse) { answered.Add(1) })
 	defer callers.end()
 	limited := func(d *testDaemon) bool { return len(d.Board.Targets.Limits(plain, time.Now())) > 0 }
 	f.eventually("all know the limit", func() bool { return limited(f.daemons[0]) && limited(f.daemons[1]) })
@@ -165,7 +165,7 @@
 		if time.Since(sent) > 100*time.Millisecond {
 			late++
 		}
-		back, err := strconv.ParseFloat(got.ComeBack(), 64)
+		back, err := strconv.ParseFloat(got.RetryAfter(), 64)
 		if got.Status != 503 || got.Signed() || err != nil || back <= 0 || back > 4/perSecond || len(f.calls(a.ID)) > 0 {
 			t.Fatalf("%+v, at targets %d times", got, len(f.calls(a.ID)))
 		}
--- a/node/onplatform/onplatform.go
+++ b/node/onplatform/onplatform.go
@@ -66,8 +66,8 @@
 
 // apply puts changed settings in force.
 func apply(d *daemon.Daemon, old, next *platform.Boot, log *slog.Logger) {
-	d.Adapt(next.Seeds, repeatsOf(next), next.Bounds.Grace)
-	restart := next.Callers != old.Callers || next.Ready != old.Ready || next.Peers != old.Peers || next.Name != old.Name || next.Store != old.Store
+	d.Adapt(next.Seeds, repeatsOf(next), next.Bounds.ShutdownGrace)
+	restart := next.CallerAddress != old.CallerAddress || next.ReadyAddress != old.ReadyAddress || next.PeerAddress != old.PeerAddress || next.Name != old.Name || next.StoreAddress != old.StoreAddress
 	log.Info("reload", "outcome", "adopted", "seeds", next.Seeds, "needs_restart", restart)
 }
 
@@ -100,12 +100,12 @@
 	}
 	file := config.Default()
 	file.Name, file.DataCentre, file.Region = boot.Name, boot.DataCentre, boot.Region
-	file.Listen, file.Peer = boot.Callers, boot.Peers
+	file.Listen, file.Peer = boot.CallerAddress, boot.PeerAddress
 	file.Admin = net.JoinHostPort(boot.IP, metricsPort)
 	file.BodyMemoryMB, file.ExplainMemoryMB, file.Workers = bodyMemoryMB, explainMemoryMB, workers
 	// The platform gives no secret. The key keeps daemons of another fleet out that
 	// dial a stale seed by mistake; it is no protection against an attacker.
-	file.PeerKeys = []string{"fleet of the store at " + boot.Store}
+	file.PeerKeys = []string{"fleet of the store at " + boot.StoreAddress}
 	return file
 }
 
@@ -113,11 +113,11 @@
 	foreign := &foreignLog{log: log}
 	parser := platform.NewParser()
 	parser.Yield = runtime.Gosched
-	feed := platform.NewFeed(platform.NewStore(boot.Store), boot.Regions, foreign.warn)
+	feed := platform.NewFeed(platform.NewStore(boot.StoreAddress), boot.Regions, foreign.warn)
 	return &daemon.Adapter{
 		Settings: feed, Targets: feed, Parse: parser.Parse, Dialect: platform.Headers{},
-		Ready: boot.Ready, Seeds: boot.Seeds, Grace: boot.Bounds.Grace,
-		Repeats: repeatsOf(boot), Cores: boot.Cores, Settles: boot.Bounds.StoreSettles,
+		Ready: boot.ReadyAddress, Seeds: boot.Seeds, Grace: boot.Bounds.ShutdownGrace,
+		Repeats: repeatsOf(boot), Cores: boot.Cores, Settles: boot.Bounds.StoreSettleTime,
 	}
 }
 
--- a/node/onplatform/promises_test.go
+++ b/node/onplatform/promises_test.go
@@ -23,13 +23,13 @@
 // again, or lost where the caller believes the word.
 func TestNoPromiseAfterARunThatWasLost(t *testing.T) {
 	lost := map[string]func(http.ResponseWriter, *http.Request, standin.Call){
-		"cut":       standin.Cut,
+		"cut":       standin.CloseConnection,
 		"truncated": standin.Truncate,
-		"unsigned":  standin.Unsigned,
+		"unsigned":  standin.AnswerUnsigned,
 	}
 	then := map[string]func(http.ResponseWriter, *http.Request, standin.Call){
-		"wants rest":       words(restHeader, "5", standin.TurnAway),
-		"leaves":           words(leavingHeader, "1", standin.TurnAway),
+		"wants rest":       words(restHeader, "5", standin.Reject),
+		"leaves":           words(leavingHeader, "1", standin.Reject),
 		"503 without word": standin.Answer(503, "no"),
 	}
 	try := func(name string, run, refuse func(http.ResponseWriter, *http.Request, standin.Call)) {
@@ -47,10 +47,10 @@
 		})
 	}
 	for first, run := range lost {
-		try(first+", turned away", run, standin.TurnAway)
+		try(first+", turned away", run, standin.Reject)
 	}
 	for second, refuse := range then {
-		try("cut, "+second, standin.Cut, refuse)
+		try("cut, "+second, standin.CloseConnection, refuse)
 	}
 }
 
@@ -58,10 +58,10 @@
 // to come back.
 func TestAPromiseWhereNothingRan(t *testing.T) {
 	f := newFleet(t, 1, 2)
-	f.scriptAll(standin.TurnAway)
+	f.scriptAll(standin.Reject)
 	for _, path := range []string{safe, unsafe} {
 		got := f.do(f.ask(path))
-		if got.Err != nil || !promised(got.Status) || got.ComeBack() == "" {
+		if got.Err != nil || !promised(got.Status) || got.RetryAfter() == "" {
 			t.Errorf("%s: %+v", path, got)
 		}
 	}
--- a/node/onplatform/ready_test.go
+++ b/node/onplatform/ready_test.go
@@ -35,7 +35,7 @@
 		callers.Go(func() { f.do(a) })
 	}
 	for range stalled {
-		conn, err := net.Dial("tcp", d.boot.Callers)
+		conn, err := net.Dial("tcp", d.boot.CallerAddress)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -74,7 +74,7 @@
 	}
 	for i := range calls {
 		a := f.askOf(f.daemons[i%2], unsafe, beside)
-		a.LeftMS = 1000
+		a.DeadlineMS = 1000
 		got := f.do(a)
 		runs := f.calls(a.ID)
 		if len(runs) > 1 {
--- a/node/onplatform/restored_store_test.go
+++ b/node/onplatform/restored_store_test.go
@@ -31,14 +31,14 @@
 // the lost one had is in force, and until then nothing goes back.
 func TestSettingsAfterTheStoreCameBackOlder(t *testing.T) {
 	f := newFleet(t, 2, 1)
-	older := f.store.Copy()
+	older := f.store.Backup()
 	f.store.PutConfig(testConfig(5))
 	for _, d := range f.daemons {
 		f.eventually("version 5", func() bool { return f.revision(d) == 5 })
 	}
 	f.store.Restore(older)
 	for _, d := range f.daemons {
-		f.eventually("it watches again", func() bool { return f.store.Watching() == len(f.daemons) })
+		f.eventually("it watches again", func() bool { return f.store.WaitingWatches() == len(f.daemons) })
 		if f.revision(d) != 5 {
 			t.Errorf("%s went back to version %d", d.boot.Name, f.revision(d))
 		}
@@ -54,7 +54,7 @@
 // target is not taken back by the copy.
 func TestTargetsAfterTheStoreCameBackOlder(t *testing.T) {
 	f := newFleet(t, 2, 4)
-	older := f.store.Copy()
+	older := f.store.Backup()
 	f.store.PutTarget(f.targets["t2"], plain, "draining", 6)
 	f.store.RemoveTarget(f.targets["t3"])
 	for range 5 {
@@ -92,7 +92,7 @@
 // its process never ended. It is used again once the store has settled.
 func TestATargetThatTheCopyKnewAndLives(t *testing.T) {
 	f := newFleet(t, 2, 2)
-	older := f.store.Copy()
+	older := f.store.Backup()
 	f.store.RemoveTarget(f.targets["t1"])
 	f.allBelieve("t1", routing.Unavailable)
 	f.store.Restore(older)
@@ -104,7 +104,7 @@
 func TestADaemonThatDidNotSeeTheStoreComeBack(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	d := f.daemons[0]
-	older := f.store.Copy()
+	older := f.store.Backup()
 	f.store.PutTarget(f.targets["t1"], plain, "ready", 5)
 	f.eventually("the newest of t1", func() bool { return f.slotsOf(d, "t1") == 5 })
 	d.door.Refuse(true)
@@ -121,7 +121,7 @@
 func TestAFreshDaemonThatKnowsOnlyTheCopy(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	f.eventuallyAcquainted()
-	older := f.store.Copy()
+	older := f.store.Backup()
 	f.store.PutConfig(testConfig(5))
 	f.store.PutTarget(f.targets["t2"], plain, "draining", 6)
 	f.allBelieve("t2", routing.Draining)
--- a/node/onplatform/targets_words_test.go
+++ b/node/onplatform/targets_words_test.go
@@ -49,8 +49,8 @@
 	answers := map[string]func(http.ResponseWriter, *http.Request, standin.Call){
 		"an answer":      standin.Succeed("ok"),
 		"its own error":  standin.Answer(500, "no"),
-		"turned away":    standin.TurnAway,
-		"a whole stream": standin.Stream(1, 3, false),
+		"turned away":    standin.Reject,
+		"a whole stream": standin.AnswerStream(1, 3, false),
 	}
 	for name, answer := range answers {
 		t.Run(name, func(t *testing.T) {
@@ -97,13 +97,13 @@
 func TestATargetThatLeftAndStartedAnewIsUsed(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	d, target := f.daemons[0], f.targets["t1"]
-	f.store.PutStarted(target, target.Address(), plain, 7)
+	f.store.PutTargetWithStart(target, target.Address(), plain, 7)
 	f.eventually("its start", func() bool { return f.slotsOf(d, "t1") == 7 })
 	target.Script(words(leavingHeader, "1", standin.Succeed("ok")))
 	f.until(d, safe, "t1")
 	target.Script(standin.Succeed("ok"))
-	target.StartAnew(time.Now().Add(time.Second))
-	f.store.PutStarted(target, target.Address(), plain, 6)
+	target.Restart(time.Now().Add(time.Second))
+	f.store.PutTargetWithStart(target, target.Address(), plain, 6)
 	f.eventually("its second start", func() bool { return f.slotsOf(d, "t1") == 6 })
 	f.until(d, safe, "t1")
 }
@@ -115,7 +115,7 @@
 		f := newFleet(t, 2, 3)
 		f.eventuallyAcquainted()
 		d := f.daemons[asker]
-		f.targets["t1"].Script(words(restHeader, strconv.FormatFloat(rest.Seconds(), 'f', 1, 64), standin.TurnAway))
+		f.targets["t1"].Script(words(restHeader, strconv.FormatFloat(rest.Seconds(), 'f', 1, 64), standin.Reject))
 		f.until(d, safe, "t1")
 		began, before := time.Now(), f.callsAt("t1")
 		f.targets["t1"].Script(standin.Succeed("ok"))
@@ -136,7 +136,7 @@
 func TestWhereAllTargetsRestACallIsRefusedAtOnce(t *testing.T) {
 	const rest = 3 * time.Second
 	f := newFleet(t, 1, 2)
-	f.scriptAll(words(restHeader, "3", standin.TurnAway))
+	f.scriptAll(words(restHeader, "3", standin.Reject))
 	d := f.daemons[0]
 	f.eventually("both asked for rest", func() bool {
 		f.do(f.askOf(d, safe, beside))
@@ -145,9 +145,9 @@
 	began, before := time.Now(), f.callsAt("t1")+f.callsAt("t2")
 	got := f.do(f.askOf(d, safe, beside))
 	took := time.Since(began)
-	back, err := strconv.ParseFloat(got.ComeBack(), 64)
+	back, err := strconv.ParseFloat(got.RetryAfter(), 64)
 	if got.Status != 503 || err != nil || back < 0.5 || back > rest.Seconds() || took > 250*time.Millisecond {
-		t.Errorf("%d after %v, back after %q s", got.Status, took, got.ComeBack())
+		t.Errorf("%d after %v, back after %q s", got.Status, took, got.RetryAfter())
 	}
 	if after := f.callsAt("t1") + f.callsAt("t2") - before; after > 0 {
 		t.Errorf("%d calls reached targets in the time of rest", after)
--- a/node/peer/large_answer_test.go
+++ b/node/peer/large_answer_test.go
@@ -85,7 +85,7 @@
 			t.Errorf("sender sent %d bytes, want at most %d for %d answers of %d bytes", sent, peers*answerBytes*11/10, peers, answerBytes)
 		}
 		for _, hub := range f.peers {
-			if unwanted := testutil.ToFloat64(hub.metrics.PeerUnwanted.WithLabelValues(KindSettingsChanges.String())); unwanted > 0 {
+			if unwanted := testutil.ToFloat64(hub.metrics.PeerUnwantedBytes.WithLabelValues(KindSettingsChanges.String())); unwanted > 0 {
 				t.Errorf("received %v bytes of answers after their call had ended, want 0", unwanted)
 			}
 		}
--- a/node/peer/link.go
+++ b/node/peer/link.go
@@ -124,7 +124,7 @@
 		delete(l.pending, f.ID)
 		l.mu.Unlock()
 		if answer == nil {
-			l.hub.metrics.PeerUnwanted.WithLabelValues(f.Kind.String()).Add(float64(len(f.Body)))
+			l.hub.metrics.PeerUnwantedBytes.WithLabelValues(f.Kind.String()).Add(float64(len(f.Body)))
 			return
 		}
 		answer <- f
--- a/node/requestcontrol/forward.go
+++ b/node/requestcontrol/forward.go
@@ -150,7 +150,7 @@
 	if !retry {
 		d.Board.Repeats.CountCall(r.Route.Pool.Name, time.Now())
 	}
-	d.Recorder.Reach(blackboard.StagePlaced)
+	d.Recorder.MarkStage(blackboard.StagePlaced)
 	f.lastTarget = placement.Decision.Chosen
 	err = f.send(ctx, &placement)
 	f.finishAttempt(ctx, &placement, err)
@@ -258,7 +258,7 @@
 	header := http.Header(r.Forward.Header).Clone()
 	call.Header = header
 	call.ProbeConnection = probesConnection(p)
-	d.Exchanger.Dialect.WriteSend(header, &forward.SendParams{
+	d.Exchanger.Dialect.WriteSendParams(header, &forward.SendParams{
 		Target: p.Decision.Chosen, Account: r.Account.Path, Timeout: time.Until(r.Deadline), LastEventID: f.lastEventID,
 		Helpers: forwardHelpers(p),
 	})
@@ -277,7 +277,7 @@
 	if err != nil {
 		execution := target.ExecutionOf(err)
 		f.progress.RecordFailure(execution, execution != fault.NotRun)
-		if errors.Is(err, target.ErrCallerLeft) {
+		if errors.Is(err, target.ErrCallerDisconnected) {
 			return errors.Wrap(errCallerWrite, err.Error())
 		}
 		return watch.stop(attemptCtx, err)
@@ -299,8 +299,8 @@
 // limit, or the lifting of one, is also reported to the coordinator, as it applies to all daemons.
 func (f *forwarding) recordNotice(target string, reply *target.Reply) {
 	d, pool, notice := f.director, f.request.Route.Pool.Name, reply.TargetNotice()
-	d.Recorder.Unread(pool, target, reply.UnknownHeaders)
-	news := d.Recorder.Notice(pool, target, notice, reply.Sent)
+	d.Recorder.RecordUnknownHeaders(pool, target, reply.UnknownHeaders)
+	news := d.Recorder.RecordNotice(pool, target, notice, reply.Sent)
 	if d.Placer != nil && (notice.Limit.Declared || news && notice.Limit.Lifted) {
 		d.Placer.ReportLimit(pool, target, notice.Limit, reply.Sent)
 	}
@@ -390,7 +390,7 @@
 		Stream: &decision.StreamTiming{Events: f.eventCount, FirstEvent: f.timeToFirstEvent, LongestGap: f.longestGap, Total: time.Since(r.Arrived), FirstEventGoal: r.firstEventGoal(), LongestGapGoal: r.gapGoal()},
 	}
 	if err == nil {
-		f.director.Recorder.Reach(blackboard.StageAnswered)
+		f.director.Recorder.MarkStage(blackboard.StageAnswered)
 	} else {
 		rec.Outcome = decision.OutcomeFailed
 		rec.Reason = fmt.Sprintf("after %d sends: %v", f.progress.Sends(), err)
--- a/node/requestcontrol/group.go
+++ b/node/requestcontrol/group.go
@@ -158,7 +158,7 @@
 		Owner:       d.Board.Self.Name,
 		Incarnation: d.Board.Self.Incarnation,
 		Tokens:      p.MemoryTokens,
-		Expires:     run.request.Deadline,
+		ExpiresAt:   run.request.Deadline,
 	})
 	return err
 }
--- a/node/requestcontrol/poison.go
+++ b/node/requestcontrol/poison.go
@@ -99,7 +99,7 @@
 
 // recordCrash records a crash of the target if the send failed because its connection ended.
 func (d *Director) recordCrash(r *Request, id string, err error) {
-	if !target.ConnectionEnded(err) {
+	if !target.ConnectionClosed(err) {
 		return
 	}
 	d.Recorder.Metrics.Crashes.WithLabelValues(r.Route.Pool.Name).Inc()
--- a/node/requestcontrol/reservations.go
+++ b/node/requestcontrol/reservations.go
@@ -95,7 +95,7 @@
 }
 
 func (h *heldReservations) reserve(ctx context.Context, r *heldReservation) error {
-	return h.send(ctx, r, h.director.Exchanger.Dialect.Reserve(r.target, r.id, r.tokens, reservationTTL))
+	return h.send(ctx, r, h.director.Exchanger.Dialect.ReserveMessage(r.target, r.id, r.tokens, reservationTTL))
 }
 
 // renew renews the reservations until the call has ended. A failed renewal is only
@@ -137,7 +137,7 @@
 func (h *heldReservations) releaseOne(ctx context.Context, r *heldReservation) {
 	var err error
 	for range maxReleaseAttempts {
-		if err = h.send(ctx, r, h.director.Exchanger.Dialect.Release(r.target, r.id)); err == nil {
+		if err = h.send(ctx, r, h.director.Exchanger.Dialect.ReleaseMessage(r.target, r.id)); err == nil {
 			return
 		}
 	}
@@ -155,7 +155,7 @@
 	if err != nil {
 		return err
 	}
-	h.director.Recorder.Notice(h.request.Route.Pool.Name, r.target, reply.TargetNotice(), reply.Sent)
+	h.director.Recorder.RecordNotice(h.request.Route.Pool.Name, r.target, reply.TargetNotice(), reply.Sent)
 	_, err = bufferAnswer(reply)
 	exchanger.Close(reply)
 	if err != nil {
--- a/node/requestcontrol/service.go
+++ b/node/requestcontrol/service.go
@@ -131,7 +131,7 @@
 			"the permit to send this call expired before it was sent",
 			"retry with the same key").WithRetry(0)
 	}
-	return d.Targets.Service(ctx, p.Address, &call)
+	return d.Targets.CallService(ctx, p.Address, &call)
 }
 
 func (d *Director) finishServiceCall(ctx context.Context, r *Request, p blackboard.Placement, err error) {
--- a/node/requestcontrol/silence.go
+++ b/node/requestcontrol/silence.go
@@ -120,7 +120,7 @@
 // cancelAttempt cancels the attempt and counts it.
 func (s *silenceWatch) cancelAttempt() {
 	f := s.forwarding
-	f.director.Recorder.Metrics.Silent.WithLabelValues(f.request.Route.Pool.Name).Inc()
+	f.director.Recorder.Metrics.SilentTargets.WithLabelValues(f.request.Route.Pool.Name).Inc()
 	s.cancel(errSilent)
 }
 
--- a/node/target/channel.go
+++ b/node/target/channel.go
@@ -17,46 +17,46 @@
 	"golang.org/x/sys/unix"
 )
 
-// channel is a connection to a target, used by one call at a time.
-type channel struct {
-	address   string
-	conn      net.Conn
-	reader    *bufio.Reader
-	idleSince time.Time
-	keepFor   time.Duration
+// persistConn is a connection to a target, used by one call at a time.
+type persistConn struct {
+	address     string
+	conn        net.Conn
+	reader      *bufio.Reader
+	idleSince   time.Time
+	idleTimeout time.Duration
 	// sent counts the bytes of the present call that the system took.
-	sent atomic.Int64
+	bytesSent atomic.Int64
 	// writing is closed when the call has been written, whole or not.
-	writing chan struct{}
-	writeOK bool
+	writeDone chan struct{}
+	writeOK   bool
 	// probed tells whether the system probes the connection while nothing comes.
-	probed bool
+	probesEnabled bool
 }
 
-// inlineWrite is the size up to which a call is written before its answer is read.
+// maxInlineWrite is the size up to which a call is written before its answer is read.
 // A larger one is written beside: a target may answer before it has read it all, and
 // stop reading.
-const inlineWrite = 16 << 10
+const maxInlineWrite = 16 << 10
 
 // begin writes a call.
-func (ch *channel) begin(req *http.Request, body []byte) {
+func (ch *persistConn) startWrite(req *http.Request, body []byte) {
 	if len(body) > 0 {
 		req.Body = io.NopCloser(bytes.NewReader(body))
 	}
 	if req.Header.Get("User-Agent") == "" {
 		req.Header["User-Agent"] = []string{""} // None is added that the caller did not send.
 	}
-	ch.writing = make(chan struct{})
+	ch.writeDone = make(chan struct{})
 	ch.writeOK = false
 	write := func() {
-		defer close(ch.writing)
-		out := bufio.NewWriterSize(countingWriter{ch}, min(inlineWrite, len(body)+readBuffer))
+		defer close(ch.writeDone)
+		out := bufio.NewWriterSize(countingWriter{ch}, min(maxInlineWrite, len(body)+readBufferSize))
 		if err := req.Write(out); err != nil {
 			return // What the target received decides; reading the answer fails.
 		}
 		ch.writeOK = out.Flush() == nil
 	}
-	if len(body) > inlineWrite {
+	if len(body) > maxInlineWrite {
 		go write()
 		return
 	}
@@ -64,16 +64,16 @@
 }
 
 // countingWriter writes to the connection and counts.
-type countingWriter struct{ ch *channel }
+type countingWriter struct{ pc *persistConn }
 
 func (w countingWriter) Write(p []byte) (int, error) {
-	n, err := w.ch.conn.Write(p)
-	w.ch.sent.Add(int64(n))
+	n, err := w.pc.conn.Write(p)
+	w.pc.bytesSent.Add(int64(n))
 	return n, err
 }
 
 // readHead reads the head of the next final answer.
-func (ch *channel) readHead(req *http.Request) (*http.Response, error) {
+func (ch *persistConn) readFinalResponse(req *http.Request) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(ch.reader, req)
 		if err != nil {
@@ -87,44 +87,44 @@
 
 // clean tells whether the connection can carry another call: the last one was
 // written whole and nothing has come after its answer.
-func (ch *channel) clean() bool {
+func (ch *persistConn) reusable() bool {
 	select {
-	case <-ch.writing:
+	case <-ch.writeDone:
 		return ch.writeOK && ch.reader.Buffered() == 0
 	default:
 		return false
 	}
 }
 
-func (ch *channel) expired(now time.Time) bool { return now.Sub(ch.idleSince) >= ch.keepFor }
+func (ch *persistConn) expired(now time.Time) bool { return now.Sub(ch.idleSince) >= ch.idleTimeout }
 
 // usable tells whether a kept connection is neither too old, nor closed by the
 // target, nor holding bytes that belong to no call.
-func (ch *channel) usable(now time.Time) bool {
-	return !ch.expired(now) && ch.quiet()
+func (ch *persistConn) usable(now time.Time) bool {
+	return !ch.expired(now) && ch.openAndIdle()
 }
 
 // quiet looks without waiting whether the connection is open and empty.
-func (ch *channel) quiet() bool { return sock.Peek(ch.conn) == sock.Idle }
+func (ch *persistConn) openAndIdle() bool { return sock.Peek(ch.conn) == sock.Idle }
 
-func (ch *channel) close() { _ = ch.conn.Close() }
+func (ch *persistConn) close() { _ = ch.conn.Close() }
 
 // The probes of a connection whose target owes an answer and has nothing to say yet: after a
 // second without a byte one goes out each second, and after two without an answer the
 // connection is dead, 3 s after the last byte. Memory set aside at other targets must be free
 // again 4 s after the target that used it has died; one lost packet must not end a call.
 const (
-	probeAfter = time.Second
-	probeEvery = time.Second
-	probeCount = 2
+	probeIdle     = time.Second
+	probeInterval = time.Second
+	probeCount    = 2
 	// probedUnackedTimeout replaces unackedTimeout, which would end the connection with the
 	// first probe that is not answered: it lies between the second and the third.
 	probedUnackedTimeout = 2500 * time.Millisecond
 )
 
 // setProbed turns the probes on or off.
-func (ch *channel) setProbed(on bool) error {
-	if ch.probed == on {
+func (ch *persistConn) setProbes(on bool) error {
+	if ch.probesEnabled == on {
 		return nil
 	}
 	conn, ok := ch.conn.(*net.TCPConn)
@@ -142,8 +142,8 @@
 	if err := setUnackedTimeout(raw, unacked); err != nil {
 		return err
 	}
-	ch.probed = on
-	return conn.SetKeepAliveConfig(net.KeepAliveConfig{Enable: on, Idle: probeAfter, Interval: probeEvery, Count: probeCount})
+	ch.probesEnabled = on
+	return conn.SetKeepAliveConfig(net.KeepAliveConfig{Enable: on, Idle: probeIdle, Interval: probeInterval, Count: probeCount})
 }
 
 // setUnackedTimeout bounds the time that sent bytes may stay unacknowledged.
@@ -158,16 +158,16 @@
 	return failed
 }
 
-// keepFor reads the time for which the target keeps an idle connection.
-func keepFor(h http.Header) time.Duration {
+// idleTimeoutFrom reads the time for which the target keeps an idle connection.
+func idleTimeoutFrom(h http.Header) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		text, found := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		if !found {
 			continue
 		}
 		if s, err := strconv.Atoi(text); err == nil {
-			return min(idleDefault, time.Duration(idleShare*float64(s)*float64(time.Second)))
+			return min(defaultIdleTimeout, time.Duration(idleTimeoutShare*float64(s)*float64(time.Second)))
 		}
 	}
-	return idleDefault
+	return defaultIdleTimeout
 }
--- a/node/target/client.go
+++ b/node/target/client.go
@@ -47,9 +47,9 @@
 	return fault.Unknown
 }
 
-// ConnectionEnded tells whether a call that may have run failed because the target's end of the
+// ConnectionClosed tells whether a call that may have run failed because the target's end of the
 // connection was closed or reset, as it is when its process ends.
-func ConnectionEnded(err error) bool {
+func ConnectionClosed(err error) bool {
 	if ExecutionOf(err) == fault.NotRun {
 		return false
 	}
@@ -58,8 +58,8 @@
 
 // Client speaks to targets over HTTP. It is safe for concurrent use.
 type Client struct {
-	http *http.Client
-	down atomic.Bool
+	http         *http.Client
+	disconnected atomic.Bool
 }
 
 // dialTimeout bounds the connection to a target.
@@ -78,15 +78,15 @@
 
 // Disconnect fails every call from now on and cuts those under way.
 func (c *Client) Disconnect() {
-	c.down.Store(true)
+	c.disconnected.Store(true)
 	c.http.CloseIdleConnections()
 }
 
 // errDisconnected is the failure of calls after Disconnect.
 var errDisconnected = errors.New("this client has been disconnected")
 
-// call is a request on its way, with the moment a connection was taken for it.
-type call struct {
+// sendState is a request on its way, with the moment a connection was taken for it.
+type sendState struct {
 	connected atomic.Bool
 }
 
@@ -94,10 +94,10 @@
 // has no GetBody, so net/http never sends it a second time on its own, which it
 // would otherwise do for a request that carries an Idempotency-Key header.
 func (c *Client) send(ctx context.Context, method, address string, header http.Header, body []byte) (*http.Response, error) {
-	if c.down.Load() {
+	if c.disconnected.Load() {
 		return nil, &CallError{Execution: fault.Unknown, Err: errDisconnected}
 	}
-	sent := &call{}
+	sent := &sendState{}
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { sent.connected.Store(true) },
 	})
@@ -125,7 +125,7 @@
 }
 
 // post sends a JSON message and waits until the target has carried it out.
-func (c *Client) post(ctx context.Context, address, path string, in any) error {
+func (c *Client) postJSON(ctx context.Context, address, path string, in any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return &CallError{Execution: fault.NotRun, Err: err}
@@ -134,15 +134,15 @@
 	if err != nil {
 		return err
 	}
-	defer drain(resp)
+	defer drainAndClose(resp)
 	if resp.StatusCode != http.StatusOK {
-		return refusal(resp)
+		return refusalError(resp)
 	}
 	return nil
 }
 
 // get reads a JSON document of a target.
-func (c *Client) get(ctx context.Context, address, path string, out any) error {
+func (c *Client) getJSON(ctx context.Context, address, path string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
 		return errors.Wrap(err, "build the call")
@@ -151,24 +151,24 @@
 	if err != nil {
 		return errors.Wrap(err, "call the target")
 	}
-	defer drain(resp)
+	defer drainAndClose(resp)
 	if resp.StatusCode != http.StatusOK {
 		return errors.New("the target answered " + resp.Status)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxReport)).Decode(out); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxReportSize)).Decode(out); err != nil {
 		return errors.Wrap(err, "decode the target's report")
 	}
 	return nil
 }
 
-// maxReport bounds a report of a target.
-const maxReport = 4 << 20
+// maxReportSize bounds a report of a target.
+const maxReportSize = 4 << 20
 
-// maxDrain bounds what is read to keep a connection for the next call.
-const maxDrain = 64 << 10
+// maxDrainSize bounds what is read to keep a connection for the next call.
+const maxDrainSize = 64 << 10
 
-func drain(resp *http.Response) {
-	_, _ = io.CopyN(io.Discard, resp.Body, maxDrain)
+func drainAndClose(resp *http.Response) {
+	_, _ = io.CopyN(io.Discard, resp.Body, maxDrainSize)
 	_ = resp.Body.Close()
 }
 
@@ -176,10 +176,10 @@
 	return http.Header{"Content-Type": {"application/json"}}
 }
 
-// refusal turns an error answer into a CallError. Only the target's own word
+// refusalError turns an error answer into a CallError. Only the target's own word
 // that nothing ran makes it NotRun.
-func refusal(resp *http.Response) error {
-	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxDrain))
+func refusalError(resp *http.Response) error {
+	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxDrainSize))
 	e := &CallError{Execution: fault.Unknown, Err: errors.New("the target answered " + resp.Status)}
 	answer := parseRefusal(body)
 	if answer.Code == "" {
@@ -206,15 +206,15 @@
 // Generate asks an engine for an answer and hands each chunk on as it comes. It
 // returns nil when the stream ended, whole or not: the assembler tells which.
 func (c *Client) Generate(ctx context.Context, address string, g *GenerateRequest, emit func(stream.Chunk) error) error {
-	return c.stream(ctx, address, "/v1/generate", g, emit)
+	return c.streamChunks(ctx, address, "/v1/generate", g, emit)
 }
 
 // Resume asks an engine for the rest of a stream that broke on the way.
 func (c *Client) Resume(ctx context.Context, address string, r ResumeRequest, emit func(stream.Chunk) error) error {
-	return c.stream(ctx, address, "/v1/resume", r, emit)
+	return c.streamChunks(ctx, address, "/v1/resume", r, emit)
 }
 
-func (c *Client) stream(ctx context.Context, address, path string, in any, emit func(stream.Chunk) error) error {
+func (c *Client) streamChunks(ctx context.Context, address, path string, in any, emit func(stream.Chunk) error) error {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return &CallError{Execution: fault.NotRun, Err: err}
@@ -225,20 +225,20 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return refusal(resp)
+		return refusalError(resp)
 	}
 	return readChunks(resp.Body, emit)
 }
 
-// maxLine bounds a chunk; readBuffer is what an open stream keeps for it.
+// maxChunkSize bounds a chunk; readBufferSize is what an open stream keeps for it.
 const (
-	maxLine    = 1 << 20
-	readBuffer = 4 << 10
+	maxChunkSize   = 1 << 20
+	readBufferSize = 4 << 10
 )
 
 func readChunks(body io.Reader, emit func(stream.Chunk) error) error {
 	lines := bufio.NewScanner(body)
-	lines.Buffer(make([]byte, 0, readBuffer), maxLine)
+	lines.Buffer(make([]byte, 0, readBufferSize), maxChunkSize)
 	for lines.Scan() {
 		var c Chunk
 		if err := json.Unmarshal(lines.Bytes(), &c); err != nil {
@@ -248,7 +248,7 @@
 		if c.Error != "" {
 			return &CallError{Execution: fault.Ran, Err: errors.New("the target gave up: " + c.Error)}
 		}
-		if err := emit(chunkOf(c)); err != nil {
+		if err := emit(streamChunk(c)); err != nil {
 			return err
 		}
 	}
@@ -258,47 +258,47 @@
 	return nil
 }
 
-func chunkOf(c Chunk) stream.Chunk {
-	return stream.Chunk{Attempt: c.Attempt, Index: c.Index, Text: c.Text, End: c.End, Total: c.Total, FinishReason: c.Finish}
+func streamChunk(c Chunk) stream.Chunk {
+	return stream.Chunk{Attempt: c.Attempt, Index: c.Index, Text: c.Text, End: c.End, Total: c.Total, FinishReason: c.FinishReason}
 }
 
 // Cancel stops a stream.
 func (c *Client) Cancel(ctx context.Context, address, attempt string) error {
-	return c.post(ctx, address, "/v1/cancel", CancelRequest{Attempt: attempt})
+	return c.postJSON(ctx, address, "/v1/cancel", CancelRequest{Attempt: attempt})
 }
 
 // Load reads a target's load report.
 func (c *Client) Load(ctx context.Context, address string) (LoadReport, error) {
 	var r LoadReport
-	err := c.get(ctx, address, "/v1/load", &r)
+	err := c.getJSON(ctx, address, "/v1/load", &r)
 	return r, err
 }
 
 // Events reads the cache events after a sequence number.
-func (c *Client) Events(ctx context.Context, address string, after int64) ([]CacheEvent, error) {
+func (c *Client) CacheEvents(ctx context.Context, address string, after int64) ([]CacheEvent, error) {
 	var events []CacheEvent
-	err := c.get(ctx, address, fmt.Sprintf("/v1/events?after=%d", after), &events)
+	err := c.getJSON(ctx, address, fmt.Sprintf("/v1/events?after=%d", after), &events)
 	return events, err
 }
 
 // Reserve reserves memory for a part of a long prompt.
 func (c *Client) Reserve(ctx context.Context, address string, r Reservation) error {
-	return c.post(ctx, address, "/v1/reserve", r)
+	return c.postJSON(ctx, address, "/v1/reserve", r)
 }
 
 // Release gives reserved memory back.
 func (c *Client) Release(ctx context.Context, address, id string) error {
-	return c.post(ctx, address, "/v1/release", ReleaseRequest{ID: id})
+	return c.postJSON(ctx, address, "/v1/release", ReleaseRequest{ID: id})
 }
 
 // Prefill reads a part of a prompt into reserved memory.
 func (c *Client) Prefill(ctx context.Context, address string, p *PrefillRequest) error {
-	return c.post(ctx, address, "/v1/prefill", p)
+	return c.postJSON(ctx, address, "/v1/prefill", p)
 }
 
 // Order gives an order to an engine.
 func (c *Client) Order(ctx context.Context, address string, o Order) error {
-	return c.post(ctx, address, "/v1/order", o)
+	return c.postJSON(ctx, address, "/v1/order", o)
 }
 
 // ServiceCall is a call of a plain service.
@@ -317,34 +317,34 @@
 	Body   []byte
 }
 
-// maxServiceAnswer bounds an answer of a plain service, which is held whole so
+// maxServiceAnswerSize bounds an answer of a plain service, which is held whole so
 // that a caller never gets half of one.
-const maxServiceAnswer = 8 << 20
+const maxServiceAnswerSize = 8 << 20
 
 // Service calls a plain service once and returns its whole answer.
-func (c *Client) Service(ctx context.Context, address string, s *ServiceCall) (*ServiceAnswer, error) {
+func (c *Client) CallService(ctx context.Context, address string, s *ServiceCall) (*ServiceAnswer, error) {
 	resp, err := c.send(ctx, s.Method, "http://"+address+s.Path, s.Header, s.Body)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxServiceAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxServiceAnswerSize+1))
 	if err != nil {
 		return nil, &CallError{Execution: fault.Unknown, Err: errors.Wrap(err, "the service's answer broke off")}
 	}
-	if len(body) > maxServiceAnswer {
+	if len(body) > maxServiceAnswerSize {
 		return nil, &CallError{Execution: fault.Ran, Err: errors.New("the service's answer is over 8 MB")}
 	}
 	if resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests {
-		if err := serviceRefusal(body); err != nil {
+		if err := serviceRefusalError(body); err != nil {
 			return nil, err
 		}
 	}
 	return &ServiceAnswer{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
 
-// serviceRefusal recognizes a service's own word that it did not run the call.
-func serviceRefusal(body []byte) error {
+// serviceRefusalError recognizes a service's own word that it did not run the call.
+func serviceRefusalError(body []byte) error {
 	answer := parseRefusal(body)
 	if answer.Code == "" || answer.Ran {
 		return nil
--- a/node/target/client_test.go
+++ b/node/target/client_test.go
@@ -12,9 +12,9 @@
 	"doorstack.dev/core/stream"
 )
 
-// rudeServer answers the first call of each connection and closes the connection
+// startClosingServer answers the first call of each connection and closes the connection
 // without an answer at the second, after it has read it. It counts the calls.
-func rudeServer(t *testing.T) (address string, calls *atomic.Int64) {
+func startClosingServer(t *testing.T) (address string, calls *atomic.Int64) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -28,13 +28,13 @@
 			if err != nil {
 				return
 			}
-			go serveRudely(conn, calls)
+			go answerOnceThenClose(conn, calls)
 		}
 	}()
 	return listener.Addr().String(), calls
 }
 
-func serveRudely(conn net.Conn, calls *atomic.Int64) {
+func answerOnceThenClose(conn net.Conn, calls *atomic.Int64) {
 	defer func() { _ = conn.Close() }()
 	in := bufio.NewReader(conn)
 	for i := range 2 {
@@ -55,18 +55,18 @@
 	}
 }
 
-// TestACallIsNeverSentTwice: net/http sends a request with an Idempotency-Key
+// TestServiceCallIsSentOnce: net/http sends a request with an Idempotency-Key
 // header again by itself when a kept connection breaks, unless it cannot.
-func TestACallIsNeverSentTwice(t *testing.T) {
+func TestServiceCallIsSentOnce(t *testing.T) {
 	for name, body := range map[string][]byte{"with a body": []byte("slot 17"), "without": nil} {
 		t.Run(name, func(t *testing.T) {
-			address, calls := rudeServer(t)
+			address, calls := startClosingServer(t)
 			c := NewClient()
 			call := &ServiceCall{Method: http.MethodPost, Path: "/", Body: body, Header: http.Header{"Idempotency-Key": {"k"}}}
-			if _, err := c.Service(context.Background(), address, call); err != nil {
+			if _, err := c.CallService(context.Background(), address, call); err != nil {
 				t.Fatal(err)
 			}
-			_, err := c.Service(context.Background(), address, call)
+			_, err := c.CallService(context.Background(), address, call)
 			if calls.Load() != 2 {
 				t.Fatalf("two calls were sent %d times", calls.Load())
 			}
@@ -77,27 +77,27 @@
 	}
 }
 
-func TestNotRunOnlyWithoutAConnection(t *testing.T) {
+func TestCallOnRefusedConnectionIsNotRun(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := listener.Addr().String()
 	_ = listener.Close()
-	_, err = NewClient().Service(context.Background(), address, &ServiceCall{Method: http.MethodPost, Path: "/"})
+	_, err = NewClient().CallService(context.Background(), address, &ServiceCall{Method: http.MethodPost, Path: "/"})
 	if ExecutionOf(err) != fault.NotRun {
 		t.Fatalf("%v is %v", err, ExecutionOf(err))
 	}
 }
 
-// TestDeathAtEachByte cuts an engine's stream at every position: what was emitted
+// TestTruncatedStreamIsNeverComplete cuts an engine's stream at every position: what was emitted
 // is always the start of the answer, and only the uncut stream is whole.
-func TestDeathAtEachByte(t *testing.T) {
+func TestTruncatedStreamIsNeverComplete(t *testing.T) {
 	answer := []byte(`{"a":"x","i":0,"t":" one"}` + "\n" + `{"a":"x","i":1,"t":" two"}` + "\n" + `{"a":"x","end":true,"total":2,"finish":"stop"}` + "\n")
 	for cut := range len(answer) + 1 {
 		assembler := stream.NewAssembler("x", 0)
 		text := ""
-		err := readChunks(&cutReader{answer[:cut]}, func(c stream.Chunk) error {
+		err := readChunks(&truncatedReader{answer[:cut]}, func(c stream.Chunk) error {
 			return assembler.Push(c, func(_ int64, token string) error {
 				text += token
 				return nil
@@ -116,14 +116,14 @@
 	}
 }
 
-type cutReader struct{ left []byte }
+type truncatedReader struct{ rest []byte }
 
-func (r *cutReader) Read(p []byte) (int, error) {
-	if len(r.left) == 0 {
+func (r *truncatedReader) Read(p []byte) (int, error) {
+	if len(r.rest) == 0 {
 		return 0, net.ErrClosed
 	}
-	n := copy(p, r.left[:1])
-	r.left = r.left[n:]
+	n := copy(p, r.rest[:1])
+	r.rest = r.rest[n:]
 	return n, nil
 }
 
@@ -133,7 +133,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		assembler := stream.NewAssembler("x", 0)
 		next := int64(0)
-		_ = readChunks(&cutReader{data}, func(c stream.Chunk) error {
+		_ = readChunks(&truncatedReader{data}, func(c stream.Chunk) error {
 			return assembler.Push(c, func(index int64, _ string) error {
 				if index != next {
 					t.Fatalf("token %d came after %d", index, next-1)
--- a/node/target/exchange.go
+++ b/node/target/exchange.go
@@ -22,16 +22,16 @@
 	// ReadCall decodes what a caller says of its request.
 	ReadCall(h http.Header) forward.Call
 	// WriteSend sets what the daemon says to a target.
-	WriteSend(h http.Header, s *forward.SendParams)
+	WriteSendParams(h http.Header, s *forward.SendParams)
 	// ReadHead decodes the head of a target's answer.
 	ReadHead(status int, h http.Header) forward.Head
 	// Reserve makes the order by which a target sets memory aside under an id for so
 	// long; the same order again renews it. Release makes the order that ends it.
-	Reserve(target, id string, tokens int64, hold time.Duration) forward.Message
-	Release(target, id string) forward.Message
+	ReserveMessage(target, id string, tokens int64, hold time.Duration) forward.Message
+	ReleaseMessage(target, id string) forward.Message
 	// Report makes the question for a target's report of itself, and ReadReport decodes
 	// the body of the answer.
-	Report(target string) forward.Message
+	ReportMessage(target string) forward.Message
 	ReadReport(body []byte) (forward.Report, error)
 	// WriteFailure sets what callers read beside a failure of the daemon's own.
 	WriteFailure(h http.Header, requestID string, retry bool, after time.Duration)
@@ -44,7 +44,7 @@
 	Dialect Dialect
 
 	mu   sync.Mutex
-	idle map[string][]*channel // by address, the last used last
+	idle map[string][]*persistConn // by address, the last used last
 }
 
 // The bounds of connections to targets.
@@ -55,18 +55,18 @@
 	// unackedTimeout is how long sent bytes may stay unacknowledged: a target that is
 	// cut off or without power says nothing otherwise.
 	unackedTimeout = time.Second
-	// idleDefault is how long a connection is kept where the target does not say.
-	idleDefault = 4 * time.Second
-	// idleShare is the part of the target's own idle time that a connection is kept,
+	// defaultIdleTimeout is how long a connection is kept where the target does not say.
+	defaultIdleTimeout = 4 * time.Second
+	// idleTimeoutShare is the part of the target's own idle time that a connection is kept,
 	// so that a call does not cross its close.
-	idleShare = 0.6
-	// idlePerTarget bounds the connections kept for one target.
-	idlePerTarget = 24
+	idleTimeoutShare = 0.6
+	// maxIdlePerTarget bounds the connections kept for one target.
+	maxIdlePerTarget = 24
 )
 
 // NewExchanger returns an exchanger without connections.
 func NewExchanger(d Dialect) *Exchanger {
-	return &Exchanger{Dialect: d, idle: map[string][]*channel{}}
+	return &Exchanger{Dialect: d, idle: map[string][]*persistConn{}}
 }
 
 // Reply is a target's answer, whose body may still be on its way.
@@ -80,29 +80,29 @@
 	// Sent is when the call's first byte was about to be written.
 	Sent time.Time
 
-	ch   *channel
-	resp *http.Response
-	stop func() bool
+	conn         *persistConn
+	resp         *http.Response
+	stopDeadline func() bool
 }
 
 // answerBody notes whether an answer was read to its end.
 type answerBody struct {
 	io.Reader
-	ended bool
+	atEOF bool
 }
 
 // Read implements io.Reader.
 func (b *answerBody) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
-	b.ended = b.ended || errors.Is(err, io.EOF)
+	b.atEOF = b.atEOF || errors.Is(err, io.EOF)
 	return n, err
 }
 
-// foreignAnswers is how many answers to other calls are skipped on a connection.
-const foreignAnswers = 2
+// maxSkippedAnswers is how many answers to other calls are skipped on a connection.
+const maxSkippedAnswers = 2
 
-// ErrCallerLeft is why a call was not sent: its caller had closed the connection by then.
-var ErrCallerLeft = errors.New("the caller has left")
+// ErrCallerDisconnected is why a call was not sent: its caller had closed the connection by then.
+var ErrCallerDisconnected = errors.New("the caller has left")
 
 // Send makes one send of a call. The error is a *CallError, whose Execution is
 // NotRun only where no byte can have reached the target. The reply must be closed.
@@ -111,17 +111,17 @@
 // short of processor the end of ctx comes late. Three hosts that took the load of 76 sent 29,
 // 59 and 36 calls on over half a second after their callers had left (three plays of one day).
 func (e *Exchanger) Send(ctx context.Context, address string, c *forward.Message) (*Reply, error) {
-	ch, err := e.take(ctx, address)
+	ch, err := e.acquire(ctx, address)
 	if err != nil {
 		return nil, &CallError{Execution: fault.NotRun, Err: errors.Wrap(err, "connect to the target")}
 	}
-	if err := ch.setProbed(c.ProbeConnection); err != nil {
+	if err := ch.setProbes(c.ProbeConnection); err != nil {
 		ch.close()
 		return nil, &CallError{Execution: fault.NotRun, Err: errors.Wrap(err, "set up the connection to the target")}
 	}
 	if c.CallerDisconnected != nil && c.CallerDisconnected() {
-		e.keep(ch) // Nothing was written to it.
-		return nil, &CallError{Execution: fault.NotRun, Err: ErrCallerLeft}
+		e.putIdle(ch) // Nothing was written to it.
+		return nil, &CallError{Execution: fault.NotRun, Err: ErrCallerDisconnected}
 	}
 	// The end of ctx unblocks reads and writes; the channel is closed afterwards.
 	stop := context.AfterFunc(ctx, func() { _ = ch.conn.SetDeadline(time.Unix(1, 0)) })
@@ -131,34 +131,34 @@
 		stop()
 		ch.close()
 		execution := fault.Unknown
-		if ch.sent.Load() == 0 {
+		if ch.bytesSent.Load() == 0 {
 			execution = fault.NotRun
 		}
 		return nil, &CallError{Execution: execution, Err: err}
 	}
-	reply.stop, reply.Sent = stop, sent
+	reply.stopDeadline, reply.Sent = stop, sent
 	return reply, nil
 }
 
-func (e *Exchanger) exchange(ch *channel, c *forward.Message) (*Reply, error) {
+func (e *Exchanger) exchange(ch *persistConn, c *forward.Message) (*Reply, error) {
 	req := &http.Request{
 		Method: c.Method, Host: c.Host, Header: c.Header,
 		URL:           &url.URL{Opaque: c.URI},
 		ContentLength: int64(len(c.Body)),
 		Body:          http.NoBody,
 	}
-	ch.begin(req, c.Body)
-	for range foreignAnswers + 1 {
-		resp, err := ch.readHead(req) //nolint:bodyclose // The body ends with the channel, which Close or Send closes.
+	ch.startWrite(req, c.Body)
+	for range maxSkippedAnswers + 1 {
+		resp, err := ch.readFinalResponse(req) //nolint:bodyclose // The body ends with the channel, which Close or Send closes.
 		if err != nil {
 			return nil, errors.Wrap(err, "read the answer")
 		}
 		head := e.Dialect.ReadHead(resp.StatusCode, resp.Header)
 		if c.ID == "" || head.RequestID == c.ID {
-			return &Reply{Head: head, Header: resp.Header, Body: &answerBody{Reader: resp.Body}, Length: resp.ContentLength, ch: ch, resp: resp}, nil
+			return &Reply{Head: head, Header: resp.Header, Body: &answerBody{Reader: resp.Body}, Length: resp.ContentLength, conn: ch, resp: resp}, nil
 		}
 		// A late answer to an earlier call; the one that is waited for may follow.
-		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxDrain)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxDrainSize)); err != nil {
 			return nil, errors.Wrap(err, "skip an answer to another call")
 		}
 	}
@@ -167,31 +167,31 @@
 
 // Close ends the exchange. The connection is kept if the answer was read to its end.
 func (e *Exchanger) Close(r *Reply) {
-	stopped := r.stop()
-	if !r.Body.ended || !stopped || r.resp.Close || !r.ch.clean() {
-		r.ch.close()
+	stopped := r.stopDeadline()
+	if !r.Body.atEOF || !stopped || r.resp.Close || !r.conn.reusable() {
+		r.conn.close()
 		return
 	}
-	r.ch.keepFor = keepFor(r.Header)
-	e.keep(r.ch)
+	r.conn.idleTimeout = idleTimeoutFrom(r.Header)
+	e.putIdle(r.conn)
 }
 
 // take returns a kept connection that is still good, or a new one.
-func (e *Exchanger) take(ctx context.Context, address string) (*channel, error) {
+func (e *Exchanger) acquire(ctx context.Context, address string) (*persistConn, error) {
 	for {
-		ch := e.pop(address)
+		ch := e.popIdle(address)
 		if ch == nil {
 			return dial(ctx, address)
 		}
 		if ch.usable(time.Now()) {
-			ch.sent.Store(0)
+			ch.bytesSent.Store(0)
 			return ch, nil
 		}
 		ch.close()
 	}
 }
 
-func (e *Exchanger) pop(address string) *channel {
+func (e *Exchanger) popIdle(address string) *persistConn {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	list := e.idle[address]
@@ -205,10 +205,10 @@
 	return ch
 }
 
-func (e *Exchanger) keep(ch *channel) {
+func (e *Exchanger) putIdle(ch *persistConn) {
 	ch.idleSince = time.Now()
 	e.mu.Lock()
-	if len(e.idle[ch.address]) < idlePerTarget {
+	if len(e.idle[ch.address]) < maxIdlePerTarget {
 		e.idle[ch.address] = append(e.idle[ch.address], ch)
 		ch = nil
 	}
@@ -218,26 +218,26 @@
 	}
 }
 
-// sweepEvery is how often connections that were idle for too long are closed.
-const sweepEvery = time.Second
+// sweepInterval is how often connections that were idle for too long are closed.
+const sweepInterval = time.Second
 
 // Run closes connections that were idle for too long, until ctx ends.
 func (e *Exchanger) Run(ctx context.Context) {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			e.sweep(now)
+			e.closeExpired(now)
 		}
 	}
 }
 
-func (e *Exchanger) sweep(now time.Time) {
+func (e *Exchanger) closeExpired(now time.Time) {
 	e.mu.Lock()
-	var old []*channel
+	var old []*persistConn
 	for address, list := range e.idle {
 		kept := list[:0]
 		for _, ch := range list {
@@ -260,7 +260,7 @@
 	}
 }
 
-func dial(ctx context.Context, address string) (*channel, error) {
+func dial(ctx context.Context, address string) (*persistConn, error) {
 	dialer := &net.Dialer{Timeout: connectTimeout, KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
 		return setUnackedTimeout(raw, unackedTimeout)
 	}}
@@ -268,7 +268,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ch := &channel{address: address, conn: conn, keepFor: idleDefault}
-	ch.reader = bufio.NewReaderSize(conn, readBuffer)
+	ch := &persistConn{address: address, conn: conn, idleTimeout: defaultIdleTimeout}
+	ch.reader = bufio.NewReaderSize(conn, readBufferSize)
 	return ch, nil
 }
--- a/node/target/exchange_test.go
+++ b/node/target/exchange_test.go
@@ -17,27 +17,27 @@
 	"github.com/go-faster/errors"
 )
 
-// plainDialect takes the id of an answer from a header of the test's own.
-type plainDialect struct{}
+// testDialect takes the id of an answer from a header of the test's own.
+type testDialect struct{}
 
-func (plainDialect) ReadCall(http.Header) forward.Call          { return forward.Call{} }
-func (plainDialect) WriteSend(http.Header, *forward.SendParams) {}
-func (plainDialect) Release(string, string) forward.Message     { return forward.Message{} }
-func (plainDialect) Report(string) forward.Message              { return forward.Message{} }
+func (testDialect) ReadCall(http.Header) forward.Call                { return forward.Call{} }
+func (testDialect) WriteSendParams(http.Header, *forward.SendParams) {}
+func (testDialect) ReleaseMessage(string, string) forward.Message    { return forward.Message{} }
+func (testDialect) ReportMessage(string) forward.Message             { return forward.Message{} }
 
-func (plainDialect) ReadReport([]byte) (forward.Report, error) { return forward.Report{}, nil }
+func (testDialect) ReadReport([]byte) (forward.Report, error) { return forward.Report{}, nil }
 
-func (plainDialect) ReadHead(s int, h http.Header) forward.Head {
+func (testDialect) ReadHead(s int, h http.Header) forward.Head {
 	return forward.Head{Status: s, RequestID: h.Get("Id")}
 }
-func (plainDialect) Reserve(string, string, int64, time.Duration) forward.Message {
+func (testDialect) ReserveMessage(string, string, int64, time.Duration) forward.Message {
 	return forward.Message{}
 }
-func (plainDialect) WriteFailure(http.Header, string, bool, time.Duration) {}
+func (testDialect) WriteFailure(http.Header, string, bool, time.Duration) {}
 
-// peer answers each call of each connection with a script; it gets the number of the
+// startScriptedServer answers each call of each connection with a script; it gets the number of the
 // connection and of the call on it.
-func peer(t *testing.T, script func(conn net.Conn, r *http.Request, connection, call int) bool) (string, *atomic.Int64) {
+func startScriptedServer(t *testing.T, script func(conn net.Conn, r *http.Request, connection, call int) bool) (string, *atomic.Int64) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -70,19 +70,19 @@
 	return listener.Addr().String(), received
 }
 
-func answer(conn net.Conn, id, body string) { _, _ = io.WriteString(conn, textOf(id, body)) }
+func writeAnswer(conn net.Conn, id, body string) { _, _ = io.WriteString(conn, answerText(id, body)) }
 
-func textOf(id, body string) string {
+func answerText(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
 func drainBody(r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) }
 
-func message(id, body string) *forward.Message {
+func testMessage(id, body string) *forward.Message {
 	return &forward.Message{ID: id, Method: http.MethodPost, URI: "/a?b=c", Host: "h.example", Header: http.Header{}, Body: []byte(body)}
 }
 
-func exchange(t *testing.T, e *Exchanger, address string, m *forward.Message) (string, error) {
+func sendAndRead(t *testing.T, e *Exchanger, address string, m *forward.Message) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -95,23 +95,23 @@
 	return string(body), err
 }
 
-// TestOneSendIsOne: a kept connection that the target closes after it has read the call
+// TestSendIsNotRepeatedWhenConnectionCloses: a kept connection that the target closes after it has read the call
 // is not a reason to send the call again, whatever its method.
-func TestOneSendIsOne(t *testing.T) {
+func TestSendIsNotRepeatedWhenConnectionCloses(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
-		address, received := peer(t, func(conn net.Conn, r *http.Request, _, call int) bool {
+		address, received := startScriptedServer(t, func(conn net.Conn, r *http.Request, _, call int) bool {
 			drainBody(r)
 			if call == 1 {
 				return false
 			}
-			answer(conn, "x", "ok")
+			writeAnswer(conn, "x", "ok")
 			return true
 		})
-		e := NewExchanger(plainDialect{})
+		e := NewExchanger(testDialect{})
 		for i := range 2 {
-			m := message("x", "")
+			m := testMessage("x", "")
 			m.Method = method
-			_, err := exchange(t, e, address, m)
+			_, err := sendAndRead(t, e, address, m)
 			if i == 1 && ExecutionOf(err) != fault.Unknown {
 				t.Errorf("%s: %v", method, err)
 			}
@@ -122,101 +122,101 @@
 	}
 }
 
-func TestAConnectionIsKept(t *testing.T) {
-	address, _ := peer(t, func(conn net.Conn, r *http.Request, connection, call int) bool {
+func TestConnectionIsReused(t *testing.T) {
+	address, _ := startScriptedServer(t, func(conn net.Conn, r *http.Request, connection, call int) bool {
 		drainBody(r)
-		answer(conn, "x", fmt.Sprint(connection, call))
+		writeAnswer(conn, "x", fmt.Sprint(connection, call))
 		return true
 	})
-	e := NewExchanger(plainDialect{})
+	e := NewExchanger(testDialect{})
 	for i := range 3 {
-		if got, err := exchange(t, e, address, message("x", "")); err != nil || got != fmt.Sprint(0, i) {
+		if got, err := sendAndRead(t, e, address, testMessage("x", "")); err != nil || got != fmt.Sprint(0, i) {
 			t.Fatalf("%q %v", got, err)
 		}
 	}
-	e.sweep(time.Now().Add(idleDefault))
-	if got, err := exchange(t, e, address, message("x", "")); err != nil || got != fmt.Sprint(1, 0) {
+	e.closeExpired(time.Now().Add(defaultIdleTimeout))
+	if got, err := sendAndRead(t, e, address, testMessage("x", "")); err != nil || got != fmt.Sprint(1, 0) {
 		t.Fatalf("after the sweep: %q %v", got, err)
 	}
 }
 
-// TestConnectionsThatAreNotKept: one whose answer was not read to its end, and one on
+// TestConnectionWithUnreadBytesIsNotReused: one whose answer was not read to its end, and one on
 // which more came than the answer.
-func TestConnectionsThatAreNotKept(t *testing.T) {
-	address, _ := peer(t, func(conn net.Conn, r *http.Request, connection, call int) bool {
+func TestConnectionWithUnreadBytesIsNotReused(t *testing.T) {
+	address, _ := startScriptedServer(t, func(conn net.Conn, r *http.Request, connection, call int) bool {
 		drainBody(r)
-		text := textOf("x", fmt.Sprint(connection, call))
+		text := answerText("x", fmt.Sprint(connection, call))
 		if connection == 1 {
-			text += textOf("x", "nobody's") // In one write, so that it is there when the answer is.
+			text += answerText("x", "nobody's") // In one write, so that it is there when the answer is.
 		}
 		_, _ = io.WriteString(conn, text)
 		return true
 	})
-	e := NewExchanger(plainDialect{})
+	e := NewExchanger(testDialect{})
 	ctx := context.Background()
-	reply, err := e.Send(ctx, address, message("x", ""))
+	reply, err := e.Send(ctx, address, testMessage("x", ""))
 	if err != nil {
 		t.Fatal(err)
 	}
 	e.Close(reply) // Unread.
 	for connection := 1; connection < 3; connection++ {
-		if got, err := exchange(t, e, address, message("x", "")); err != nil || got != fmt.Sprint(connection, 0) {
+		if got, err := sendAndRead(t, e, address, testMessage("x", "")); err != nil || got != fmt.Sprint(connection, 0) {
 			t.Fatalf("%q %v, want the first answer of connection %d", got, err, connection)
 		}
 	}
 }
 
-func TestNothingSentIsNotRun(t *testing.T) {
+func TestSendOnRefusedConnectionIsNotRun(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := listener.Addr().String()
 	_ = listener.Close()
-	if _, err := exchange(t, NewExchanger(plainDialect{}), address, message("x", "")); ExecutionOf(err) != fault.NotRun {
+	if _, err := sendAndRead(t, NewExchanger(testDialect{}), address, testMessage("x", "")); ExecutionOf(err) != fault.NotRun {
 		t.Fatal(err)
 	}
 }
 
-// TestAnAnswerBeforeTheBodyIsIn: a target may answer and stop reading; the answer is
+// TestAnswerBeforeBodyIsWritten: a target may answer and stop reading; the answer is
 // taken, and the connection is not used for another call, whose bytes would stand where
 // the rest of the body is due.
-func TestAnAnswerBeforeTheBodyIsIn(t *testing.T) {
-	address, _ := peer(t, func(conn net.Conn, _ *http.Request, connection, _ int) bool {
-		answer(conn, "x", fmt.Sprint(connection))
+func TestAnswerBeforeBodyIsWritten(t *testing.T) {
+	address, _ := startScriptedServer(t, func(conn net.Conn, _ *http.Request, connection, _ int) bool {
+		writeAnswer(conn, "x", fmt.Sprint(connection))
 		if connection == 0 {
 			select {} // It never reads the rest.
 		}
 		return true
 	})
-	e := NewExchanger(plainDialect{})
+	e := NewExchanger(testDialect{})
 	large := strings.Repeat("x", 32<<20)
-	if got, err := exchange(t, e, address, message("x", large)); err != nil || got != "0" {
+	if got, err := sendAndRead(t, e, address, testMessage("x", large)); err != nil || got != "0" {
 		t.Fatalf("%q %v", got, err)
 	}
-	if got, err := exchange(t, e, address, message("x", "")); err != nil || got != "1" {
+	if got, err := sendAndRead(t, e, address, testMessage("x", "")); err != nil || got != "1" {
 		t.Fatalf("%q %v", got, err)
 	}
 }
 
-// TestNothingIsSentOnceTheCallerHasLeft: the caller leaves while the connection to the target
+// TestNothingIsSentAfterCallerDisconnects: the caller leaves while the connection to the target
 // is made, and the context has not ended yet, as on a host that is behind its own events.
-func TestNothingIsSentOnceTheCallerHasLeft(t *testing.T) {
-	address, received := peer(t, func(conn net.Conn, r *http.Request, connection, call int) bool {
+func TestNothingIsSentAfterCallerDisconnects(t *testing.T) {
+	address, received := startScriptedServer(t, func(conn net.Conn, r *http.Request, connection, call int) bool {
 		drainBody(r)
-		answer(conn, "x", fmt.Sprint(connection, call))
+		writeAnswer(conn, "x", fmt.Sprint(connection, call))
 		return true
 	})
-	e := NewExchanger(plainDialect{})
-	m := message("x", "")
+	e := NewExchanger(testDialect{})
+	m := testMessage("x", "")
 	m.CallerDisconnected = func() bool { return true }
 	_, err := e.Send(context.Background(), address, m)
-	if !errors.Is(err, ErrCallerLeft) || ExecutionOf(err) != fault.NotRun {
+	if !errors.Is(err, ErrCallerDisconnected) || ExecutionOf(err) != fault.NotRun {
 		t.Errorf("the send ended with %v", err)
 	}
-	m = message("x", "")
+	m = testMessage("x", "")
 	m.CallerDisconnected = func() bool { return false }
-	if got, err := exchange(t, e, address, m); err != nil || got != fmt.Sprint(0, 0) {
+	if got, err := sendAndRead(t, e, address, m); err != nil || got != fmt.Sprint(0, 0) {
 		t.Errorf("the next call got %q %v, want the first answer of the connection that was kept", got, err)
 	}
 	if received.Load() != 1 {
--- a/node/target/protocol.go
+++ b/node/target/protocol.go
@@ -39,12 +39,12 @@
 
 // Chunk is a line of an engine's answer. The last line has End set.
 type Chunk struct {
-	Attempt string `json:"a"`
-	Index   int64  `json:"i"`
-	Text    string `json:"t,omitempty"`
-	End     bool   `json:"end,omitempty"`
-	Total   int64  `json:"total,omitempty"`
-	Finish  string `json:"finish,omitempty"`
+	Attempt      string `json:"a"`
+	Index        int64  `json:"i"`
+	Text         string `json:"t,omitempty"`
+	End          bool   `json:"end,omitempty"`
+	Total        int64  `json:"total,omitempty"`
+	FinishReason string `json:"finish,omitempty"`
 	// Error ends the stream with the engine's own word of what went wrong.
 	Error string `json:"error,omitempty"`
 }
@@ -65,7 +65,7 @@
 // LoadReport is what a target publishes of itself: GET /v1/load. It lags.
 type LoadReport struct {
 	// At is when the report was made, by the target's clock.
-	At time.Time `json:"at"`
+	CreatedAt time.Time `json:"at"`
 	// Age is how old the report was when it was served.
 	Age time.Duration `json:"age_ns"`
 	// Running and Waiting are calls.
@@ -79,13 +79,13 @@
 	// LongPrefills are prompts with more than LongPrefillTokens left to read.
 	LongPrefills int `json:"long_prefills"`
 	// Leaving is true when the target wants no new work.
-	Leaving bool `json:"leaving,omitempty"`
+	Draining bool `json:"leaving,omitempty"`
 	// Models are the models that it serves.
 	Models []string `json:"models,omitempty"`
 	// Reservations are what is held for groups.
 	Reservations []Reservation `json:"reservations,omitempty"`
 	// Fence is the highest fencing number seen.
-	Fence int64 `json:"fence,omitempty"`
+	FencingToken int64 `json:"fence,omitempty"`
 }
 
 // LongPrefillTokens is the length from which engines count a prompt as long in
@@ -104,7 +104,7 @@
 	// Tokens is the size.
 	Tokens int64 `json:"tokens"`
 	// Expires is when the owner will not want it any more.
-	Expires time.Time `json:"expires"`
+	ExpiresAt time.Time `json:"expires"`
 }
 
 // ReleaseRequest gives a reservation back: POST /v1/release. It is idempotent.
@@ -133,7 +133,7 @@
 // not a step, so that it can be sent twice.
 type Order struct {
 	// Fence is the fencing number of the owner that gives the order.
-	Fence int64 `json:"fence"`
+	FencingToken int64 `json:"fence"`
 	// Owner is the daemon that gives it.
 	Owner string `json:"owner"`
 	// Models are the models to serve, with their versions.
@@ -154,11 +154,11 @@
 
 // The codes of refusals.
 const (
-	CodeBusy      = "busy"
-	CodeNoMemory  = "no_memory"
-	CodeLeaving   = "leaving"
-	CodeUnknown   = "unknown_id"
-	CodeOldFence  = "old_fence"
-	CodeBadModel  = "model_not_loaded"
-	CodeDuplicate = "duplicate_attempt"
+	CodeBusy              = "busy"
+	CodeNoMemory          = "no_memory"
+	CodeDraining          = "leaving"
+	CodeUnknownID         = "unknown_id"
+	CodeStaleFencingToken = "old_fence"
+	CodeModelNotLoaded    = "model_not_loaded"
+	CodeDuplicateAttempt  = "duplicate_attempt"
 )
--- a/node/telemetry/docs_test.go
+++ b/node/telemetry/docs_test.go
@@ -11,9 +11,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// TestOperationsPageNamesEverything keeps the page from going stale: each metric,
+// TestOperationsPageListsEveryName keeps the page from going stale: each metric,
 // each key of the settings and of the daemon's file, and nothing that is gone.
-func TestOperationsPageNamesEverything(t *testing.T) {
+func TestOperationsPageListsEveryName(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	if err != nil {
 		t.Fatal(err)
--- a/node/telemetry/output.go
+++ b/node/telemetry/output.go
@@ -17,12 +17,12 @@
 	done    chan struct{}
 }
 
-// outputQueue bounds the lines that wait: some seconds of a busy daemon, about 1 MB.
-const outputQueue = 2048
+// outputQueueSize bounds the lines that wait: some seconds of a busy daemon, about 1 MB.
+const outputQueueSize = 2048
 
 // NewOutput starts writing to w.
 func NewOutput(w io.Writer) *Output {
-	o := &Output{lines: make(chan []byte, outputQueue), done: make(chan struct{})}
+	o := &Output{lines: make(chan []byte, outputQueueSize), done: make(chan struct{})}
 	go func() {
 		defer close(o.done)
 		for line := range o.lines {
@@ -54,19 +54,19 @@
 	<-o.done
 }
 
-// routineLines bounds the lines a second about requests that went well. Everything
+// maxRoutineLines bounds the lines a second about requests that went well. Everything
 // else is always written: failures, refusals, and what changes a belief.
-const routineLines = 200
+const maxRoutineLines = 200
 
-// routine limits the lines about requests that went well.
-type routine struct{ bucket admission.Bucket }
+// routineLimiter limits the lines about requests that went well.
+type routineLimiter struct{ bucket admission.Bucket }
 
-func newRoutine(now time.Time) *routine {
-	return &routine{bucket: admission.NewBucket(routineLines, now)}
+func newRoutineLimiter(now time.Time) *routineLimiter {
+	return &routineLimiter{bucket: admission.NewBucket(maxRoutineLines, now)}
 }
 
 // take tells whether one more line may be written now.
-func (r *routine) take(now time.Time) bool {
+func (r *routineLimiter) allow(now time.Time) bool {
 	ok, _ := r.bucket.Take(1, now)
 	return ok
 }
--- a/node/telemetry/output_test.go
+++ b/node/telemetry/output_test.go
@@ -17,12 +17,12 @@
 func TestOutputNeverBlocks(t *testing.T) {
 	reader, writer := io.Pipe()
 	o := NewOutput(writer)
-	for range 2 * outputQueue {
+	for range 2 * outputQueueSize {
 		if _, err := o.Write([]byte("line\n")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if lost := o.Dropped(); lost < outputQueue-2 || lost > outputQueue {
+	if lost := o.Dropped(); lost < outputQueueSize-2 || lost > outputQueueSize {
 		t.Errorf("%d lines were dropped", lost)
 	}
 	go func() { _, _ = io.Copy(io.Discard, reader) }()
@@ -35,13 +35,13 @@
 	board := blackboard.New(blackboard.Identity{Name: "d"}, blackboard.DefaultLimits())
 	r := &Recorder{Board: board, Log: slog.New(slog.NewJSONHandler(&log, nil)), Metrics: NewMetrics()}
 	at := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	for range 10 * routineLines {
+	for range 10 * maxRoutineLines {
 		r.Record(decision.Record{Kind: decision.KindAnswer, Outcome: decision.OutcomeComplete, At: at})
 		r.Record(decision.Record{Kind: decision.KindAnswer, Outcome: decision.OutcomeFailed, At: at})
 	}
 	whole := strings.Count(log.String(), `"outcome":"whole"`)
 	failed := strings.Count(log.String(), `"outcome":"failed"`)
-	if failed != 10*routineLines || whole > 2*routineLines || whole < routineLines {
+	if failed != 10*maxRoutineLines || whole > 2*maxRoutineLines || whole < maxRoutineLines {
 		t.Errorf("%d failures and %d whole answers were logged", failed, whole)
 	}
 }
--- a/node/telemetry/startup.go
+++ b/node/telemetry/startup.go
@@ -3,11 +3,11 @@
 import "doorstack.dev/node/blackboard"
 
 // Reach records that the daemon's start has come to a stage, the first time.
-func (r *Recorder) Reach(s blackboard.Stage) {
+func (r *Recorder) MarkStage(s blackboard.Stage) {
 	after, news := r.Board.MarkStage(s)
 	if !news {
 		return
 	}
-	r.Metrics.Start.WithLabelValues(s.String()).Set(after.Seconds())
+	r.Metrics.StartStages.WithLabelValues(s.String()).Set(after.Seconds())
 	r.Log.Info("start", "stage", s.String(), "after_ms", after.Milliseconds())
 }
--- a/node/telemetry/telemetry.go
+++ b/node/telemetry/telemetry.go
@@ -17,39 +17,39 @@
 
 // Metrics are the metrics of a daemon. docs/OPERATIONS.md lists them.
 type Metrics struct {
-	Registry     *prometheus.Registry
-	Requests     *prometheus.CounterVec
-	FirstToken   *prometheus.HistogramVec
-	Tokens       prometheus.Counter
-	Retries      *prometheus.CounterVec
-	Silent       *prometheus.CounterVec
-	Decisions    *prometheus.CounterVec
-	Queue        *prometheus.GaugeVec
-	Claims       *prometheus.CounterVec
-	PeerFrames   *prometheus.CounterVec
-	PeerBytes    *prometheus.CounterVec
-	PeerRefused  *prometheus.CounterVec
-	PeerUnwanted *prometheus.CounterVec
-	PeerWait     *prometheus.HistogramVec
-	Revision     prometheus.Gauge
-	SettingsLag  prometheus.Histogram
-	PlatformRead *prometheus.CounterVec
-	Pauses       prometheus.Counter
-	Released     prometheus.Counter
-	Orders       *prometheus.CounterVec
-	LinesLeftOut prometheus.Counter
+	Registry             *prometheus.Registry
+	Requests             *prometheus.CounterVec
+	FirstToken           *prometheus.HistogramVec
+	Tokens               prometheus.Counter
+	Retries              *prometheus.CounterVec
+	SilentTargets        *prometheus.CounterVec
+	Decisions            *prometheus.CounterVec
+	QueuedRequests       *prometheus.GaugeVec
+	Claims               *prometheus.CounterVec
+	PeerFrames           *prometheus.CounterVec
+	PeerBytes            *prometheus.CounterVec
+	PeerRefused          *prometheus.CounterVec
+	PeerUnwantedBytes    *prometheus.CounterVec
+	PeerWait             *prometheus.HistogramVec
+	SettingsRevision     prometheus.Gauge
+	SettingsParse        prometheus.Histogram
+	PlatformReads        *prometheus.CounterVec
+	Pauses               prometheus.Counter
+	ReservationsReleased prometheus.Counter
+	Orders               *prometheus.CounterVec
+	LogLinesOmitted      prometheus.Counter
 	// Lag is how long what arrives waits for the processor.
 	Lag prometheus.Histogram
 	// Crashes counts the sends under which a target's connection ended.
 	Crashes *prometheus.CounterVec
 	// Notices counts what targets said of themselves.
-	Notices *prometheus.CounterVec
+	TargetNotices *prometheus.CounterVec
 	// Start is when the daemon's start came to each stage.
-	Start *prometheus.GaugeVec
+	StartStages *prometheus.GaugeVec
 	// UnreadHeaders counts the headers of targets' answers that nothing reads.
-	UnreadHeaders prometheus.Counter
+	UnknownHeaders prometheus.Counter
 	// StoreReturns counts the returns of the platform's store from an older copy.
-	StoreReturns prometheus.Counter
+	StoreRestores prometheus.Counter
 	// CoordinatorLost counts the questions that a coordinator left unanswered.
 	CoordinatorLost *prometheus.CounterVec
 
@@ -93,38 +93,38 @@
 // NewMetrics returns the metrics in a registry of their own.
 func NewMetrics() *Metrics {
 	m := &Metrics{
-		Registry:        prometheus.NewRegistry(),
-		Requests:        counter("requests_total", "Requests ended, by route and kind of outcome.", "route", "outcome"),
-		FirstToken:      histogram("first_token_seconds", "Time from arrival to the first token, by prompt length.", "length", prometheus.ExponentialBuckets(0.005, 2, 16)),
-		Tokens:          prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "relayed_tokens_total", Help: "Tokens relayed to callers."}),
-		Retries:         counter("retries_total", "Attempts after the first, by pool.", "pool"),
-		Silent:          counter("silent_targets_total", "Attempts ended because the target fell silent, by pool.", "pool"),
-		Decisions:       counter("decisions_total", "Decisions, by kind and outcome.", "kind", "outcome"),
-		Queue:           prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Name: "queue_requests", Help: "Requests that wait, by pool."}, []string{"pool"}),
-		Claims:          counter("claims_total", "Claims of idempotency keys, by outcome.", "outcome"),
-		PeerFrames:      counter(peerFramesName, "Frames between daemons, by direction and kind.", labelDirection, labelKind),
-		PeerBytes:       counter("peer_bytes_total", "Bytes between daemons, by direction and kind.", labelDirection, labelKind),
-		PeerRefused:     counter("peer_refused_total", "Peers and frames refused, by reason.", "reason"),
-		PeerUnwanted:    counter("peer_unwanted_bytes_total", "Bytes of answers that came when nobody waited for them any more, by kind.", "kind"),
-		PeerWait:        histogram("peer_wait_seconds", "Time until a frame for a peer was written, behind others on its link, by kind.", "kind", prometheus.ExponentialBuckets(0.004, 4, 6)),
-		Revision:        prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "settings_revision", Help: "Revision of the settings in force."}),
-		SettingsLag:     prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: namespace, Name: "settings_parse_seconds", Help: "Time to check and adopt a revision.", Buckets: prometheus.ExponentialBuckets(0.001, 2, 12)}),
-		PlatformRead:    counter("platform_reads_total", "Reads of the platform, by what and result.", "what", "result"),
-		Pauses:          prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "pauses_total", Help: "Pauses of the process that voided its beliefs."}),
-		Released:        prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "reservations_released_total", Help: "Reservations released for daemons that are gone."}),
-		Orders:          counter("orders_total", "Orders to targets, by outcome.", "outcome"),
-		Lag:             prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: namespace, Name: "lag_seconds", Help: "How long what arrives waits for the processor.", Buckets: prometheus.ExponentialBuckets(0.001, 3, 8)}),
-		CoordinatorLost: counter("coordinator_lost_total", "Questions for a place that the pool's coordinator left unanswered, by pool and reason.", "pool", "reason"),
-		Crashes:         counter("crashes_total", "Sends whose connection the target's end closed before the answer was whole, by pool.", "pool"),
-		Notices:         counter("target_notices_total", "News of targets about themselves in answers: that they leave, want rest, name or lift a limit; by pool and word.", "pool", "notice"),
-		Start:           prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Name: "start_seconds", Help: "Time from the process's start to each stage of it."}, []string{"stage"}),
-		UnreadHeaders:   prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "unread_headers_total", Help: "Headers of targets' answers that this daemon does not understand, each name once."}),
-		StoreReturns:    prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "store_returns_total", Help: "Returns of the platform's store from an older copy that this daemon saw."}),
-		LinesLeftOut:    prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "log_lines_left_out_total", Help: "Log lines about requests that went well, left out above the bound."}),
+		Registry:             prometheus.NewRegistry(),
+		Requests:             counter("requests_total", "Requests ended, by route and kind of outcome.", "route", "outcome"),
+		FirstToken:           histogram("first_token_seconds", "Time from arrival to the first token, by prompt length.", "length", prometheus.ExponentialBuckets(0.005, 2, 16)),
+		Tokens:               prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "relayed_tokens_total", Help: "Tokens relayed to callers."}),
+		Retries:              counter("retries_total", "Attempts after the first, by pool.", "pool"),
+		SilentTargets:        counter("silent_targets_total", "Attempts ended because the target fell silent, by pool.", "pool"),
+		Decisions:            counter("decisions_total", "Decisions, by kind and outcome.", "kind", "outcome"),
+		QueuedRequests:       prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Name: "queue_requests", Help: "Requests that wait, by pool."}, []string{"pool"}),
+		Claims:               counter("claims_total", "Claims of idempotency keys, by outcome.", "outcome"),
+		PeerFrames:           counter(peerFramesName, "Frames between daemons, by direction and kind.", labelDirection, labelKind),
+		PeerBytes:            counter("peer_bytes_total", "Bytes between daemons, by direction and kind.", labelDirection, labelKind),
+		PeerRefused:          counter("peer_refused_total", "Peers and frames refused, by reason.", "reason"),
+		PeerUnwantedBytes:    counter("peer_unwanted_bytes_total", "Bytes of answers that came when nobody waited for them any more, by kind.", "kind"),
+		PeerWait:             histogram("peer_wait_seconds", "Time until a frame for a peer was written, behind others on its link, by kind.", "kind", prometheus.ExponentialBuckets(0.004, 4, 6)),
+		SettingsRevision:     prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "settings_revision", Help: "Revision of the settings in force."}),
+		SettingsParse:        prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: namespace, Name: "settings_parse_seconds", Help: "Time to check and adopt a revision.", Buckets: prometheus.ExponentialBuckets(0.001, 2, 12)}),
+		PlatformReads:        counter("platform_reads_total", "Reads of the platform, by what and result.", "what", "result"),
+		Pauses:               prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "pauses_total", Help: "Pauses of the process that voided its beliefs."}),
+		ReservationsReleased: prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "reservations_released_total", Help: "Reservations released for daemons that are gone."}),
+		Orders:               counter("orders_total", "Orders to targets, by outcome.", "outcome"),
+		Lag:                  prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: namespace, Name: "lag_seconds", Help: "How long what arrives waits for the processor.", Buckets: prometheus.ExponentialBuckets(0.001, 3, 8)}),
+		CoordinatorLost:      counter("coordinator_lost_total", "Questions for a place that the pool's coordinator left unanswered, by pool and reason.", "pool", "reason"),
+		Crashes:              counter("crashes_total", "Sends whose connection the target's end closed before the answer was whole, by pool.", "pool"),
+		TargetNotices:        counter("target_notices_total", "News of targets about themselves in answers: that they leave, want rest, name or lift a limit; by pool and word.", "pool", "notice"),
+		StartStages:          prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Name: "start_seconds", Help: "Time from the process's start to each stage of it."}, []string{"stage"}),
+		UnknownHeaders:       prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "unread_headers_total", Help: "Headers of targets' answers that this daemon does not understand, each name once."}),
+		StoreRestores:        prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "store_returns_total", Help: "Returns of the platform's store from an older copy that this daemon saw."}),
+		LogLinesOmitted:      prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "log_lines_left_out_total", Help: "Log lines about requests that went well, left out above the bound."}),
 	}
-	m.Registry.MustRegister(m.Requests, m.FirstToken, m.Tokens, m.Retries, m.Silent, m.Decisions, m.Queue, m.Claims,
-		m.PeerFrames, m.PeerBytes, m.PeerRefused, m.PeerUnwanted, m.PeerWait, m.Revision, m.SettingsLag, m.PlatformRead, m.Pauses, m.Released,
-		m.Orders, m.LinesLeftOut, m.Lag, m.CoordinatorLost, m.Crashes, m.Notices, m.UnreadHeaders, m.Start, m.StoreReturns, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+	m.Registry.MustRegister(m.Requests, m.FirstToken, m.Tokens, m.Retries, m.SilentTargets, m.Decisions, m.QueuedRequests, m.Claims,
+		m.PeerFrames, m.PeerBytes, m.PeerRefused, m.PeerUnwantedBytes, m.PeerWait, m.SettingsRevision, m.SettingsParse, m.PlatformReads, m.Pauses, m.ReservationsReleased,
+		m.Orders, m.LogLinesOmitted, m.Lag, m.CoordinatorLost, m.Crashes, m.TargetNotices, m.UnknownHeaders, m.StartStages, m.StoreRestores, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	m.traffic = prometheus.NewRegistry()
 	m.traffic.MustRegister(m.PeerFrames, m.PeerBytes)
 	return m
@@ -139,7 +139,7 @@
 }
 
 // CountDropped serves the number of log lines that could not be written.
-func (m *Metrics) CountDropped(dropped func() int64) {
+func (m *Metrics) RegisterDroppedLines(dropped func() int64) {
 	m.Registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Namespace: namespace, Name: "log_lines_dropped_total", Help: "Log lines that found the queue full or could not be written.",
 	}, func() float64 { return float64(dropped()) }))
@@ -151,9 +151,9 @@
 	Log     *slog.Logger
 	Metrics *Metrics
 
-	mu      sync.Mutex
-	routine *routine
-	unread  unreadHeaders
+	mu             sync.Mutex
+	routine        *routineLimiter
+	unknownHeaders unknownHeaderSet
 }
 
 // Record records a decision.
@@ -164,15 +164,15 @@
 	}
 	r.Board.Decisions.Put(d)
 	r.Metrics.Decisions.WithLabelValues(string(d.Kind), d.Outcome).Inc()
-	if wentWell(&d) && !r.mayLog(d.At) {
-		r.Metrics.LinesLeftOut.Inc()
+	if isRoutine(&d) && !r.allowRoutineLine(d.At) {
+		r.Metrics.LogLinesOmitted.Inc()
 		return
 	}
-	r.Log.LogAttrs(context.Background(), slog.LevelInfo, "decision", attrs(&d)...)
+	r.Log.LogAttrs(context.Background(), slog.LevelInfo, "decision", logAttrs(&d)...)
 }
 
-// wentWell tells whether a decision is one of the many about requests that go well.
-func wentWell(d *decision.Record) bool {
+// isRoutine tells whether a decision is one of the many about requests that go well.
+func isRoutine(d *decision.Record) bool {
 	switch d.Kind {
 	case decision.KindRoute, decision.KindPlace:
 		return d.Outcome == string(routing.Place)
@@ -186,18 +186,18 @@
 }
 
 // mayLog bounds the lines about requests that go well.
-func (r *Recorder) mayLog(now time.Time) bool {
+func (r *Recorder) allowRoutineLine(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.routine == nil {
-		r.routine = newRoutine(now)
+		r.routine = newRoutineLimiter(now)
 	}
-	return r.routine.take(now)
+	return r.routine.allow(now)
 }
 
-// attrs are the fields of the log line: everything but the full list of
+// logAttrs are the fields of the log line: everything but the full list of
 // candidates, which "doorstack explain" shows.
-func attrs(d *decision.Record) []slog.Attr {
+func logAttrs(d *decision.Record) []slog.Attr {
 	list := make([]slog.Attr, 0, 16)
 	add := func(key, value string) {
 		if value != "" {
--- a/node/telemetry/traffic.go
+++ b/node/telemetry/traffic.go
@@ -15,7 +15,7 @@
 }
 
 // bytes counts both directions.
-func (t Traffic) bytes() int64 { return t.BytesIn + t.BytesOut }
+func (t Traffic) totalBytes() int64 { return t.BytesIn + t.BytesOut }
 
 // Traffic reads the counters of frames and bytes between daemons, the kind with the most bytes
 // first.
@@ -44,7 +44,7 @@
 		list = append(list, *kind)
 	}
 	slices.SortFunc(list, func(a, b Traffic) int {
-		return cmp.Or(cmp.Compare(b.bytes(), a.bytes()), cmp.Compare(a.Kind, b.Kind))
+		return cmp.Or(cmp.Compare(b.totalBytes(), a.totalBytes()), cmp.Compare(a.Kind, b.Kind))
 	})
 	return list, nil
 }
