--- a/node/target/client.go
+++ b/node/target/client.go
@@ -19,11 +19,11 @@
 	"github.com/go-faster/errors"
 )
 
-// CallError is a failed call to a target, with what is known of its execution.
+// CallError is a failed call to a target, with what is known of its execution there.
 type CallError struct {
-	// Execution is NotRun only where no byte left or the target said so itself.
+	// Execution is NotRun only where no byte was sent or the target itself said so.
 	Execution fault.Execution
-	// Code is the target's refusal, where it gave one.
+	// Code is the code of the target's refusal, or empty.
 	Code string
 	// Err is the cause.
 	Err error
@@ -35,10 +35,10 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// Refused tells whether the target itself turned the call away before running it.
+// Refused reports whether the target itself rejected the call before running it.
 func (e *CallError) Refused() bool { return e.Code != "" && e.Execution == fault.NotRun }
 
-// ExecutionOf reads the execution state of a failed call.
+// ExecutionOf returns the execution state of a failed call, Unknown where err holds no CallError.
 func ExecutionOf(err error) fault.Execution {
 	var call *CallError
 	if errors.As(err, &call) {
@@ -47,8 +47,8 @@
 	return fault.Unknown
 }
 
-// ConnectionClosed tells whether a call that may have run failed because the target's end of the
-// connection was closed or reset, as it is when its process ends.
+// ConnectionClosed reports whether a call that may have run failed because the target's end of
+// the connection was closed or reset, as it is when the target's process ends.
 func ConnectionClosed(err error) bool {
 	if ExecutionOf(err) == fault.NotRun {
 		return false
@@ -56,16 +56,16 @@
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// Client speaks to targets over HTTP. It is safe for concurrent use.
+// Client calls targets over HTTP. It is safe for concurrent use.
 type Client struct {
 	http         *http.Client
 	disconnected atomic.Bool
 }
 
-// dialTimeout bounds the connection to a target.
+// dialTimeout bounds the time to connect to a target.
 const dialTimeout = time.Second
 
-// NewClient returns a client with connections of its own.
+// NewClient returns a client with its own connection pool.
 func NewClient() *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Client{http: &http.Client{Transport: &http.Transport{
@@ -76,23 +76,23 @@
 	}}}
 }
 
-// Disconnect fails every call from now on and cuts those under way.
+// Disconnect makes every later call fail and closes the idle connections.
 func (c *Client) Disconnect() {
 	c.disconnected.Store(true)
 	c.http.CloseIdleConnections()
 }
 
-// errDisconnected is the failure of calls after Disconnect.
-var errDisconnected = errors.New("this client has been disconnected")
+// errDisconnected is the error of calls after Disconnect.
+var errDisconnected = errors.New("the client has been disconnected")
 
-// sendState is a request on its way, with the moment a connection was taken for it.
+// sendState records whether a request was given a connection; without one it was not sent.
 type sendState struct {
 	connected atomic.Bool
 }
 
-// send makes a request whose execution state can be told afterwards. The body
-// has no GetBody, so net/http never sends it a second time on its own, which it
-// would otherwise do for a request that carries an Idempotency-Key header.
+// send makes a request and reports in a CallError whether a failed one may have run. The
+// request has no GetBody, so net/http never sends it a second time on its own, as it
+// otherwise does for a request that carries an Idempotency-Key header.
 func (c *Client) send(ctx context.Context, method, address string, header http.Header, body []byte) (*http.Response, error) {
 	if c.disconnected.Load() {
 		return nil, &CallError{Execution: fault.Unknown, Err: errDisconnected}
@@ -103,11 +103,11 @@
 	})
 	req, err := http.NewRequestWithContext(ctx, method, address, io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
-		return nil, &CallError{Execution: fault.NotRun, Err: errors.Wrap(err, "build the call")}
+		return nil, &CallError{Execution: fault.NotRun, Err: errors.Wrap(err, "build the request")}
 	}
 	req.ContentLength = int64(len(body))
 	if len(body) == 0 {
-		// An empty body would be taken for none, which may be sent twice.
+		// net/http treats a body of length 0 as no body and may send such a request twice.
 		req.ContentLength = -1
 	}
 	if header != nil {
@@ -124,7 +124,7 @@
 	return resp, nil
 }
 
-// post sends a JSON message and waits until the target has carried it out.
+// postJSON sends a JSON message and waits until the target has executed it.
 func (c *Client) postJSON(ctx context.Context, address, path string, in any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -141,11 +141,11 @@
 	return nil
 }
 
-// get reads a JSON document of a target.
+// getJSON reads a JSON document from a target into out.
 func (c *Client) getJSON(ctx context.Context, address, path string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
-		return errors.Wrap(err, "build the call")
+		return errors.Wrap(err, "build the request")
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
@@ -161,12 +161,14 @@
 	return nil
 }
 
-// maxReportSize bounds a report of a target.
+// maxReportSize bounds a target's report, in bytes.
 const maxReportSize = 4 << 20
 
-// maxDrainSize bounds what is read to keep a connection for the next call.
+// maxDrainSize bounds the bytes that are read and discarded to reuse a connection.
 const maxDrainSize = 64 << 10
 
+// drainAndClose discards up to maxDrainSize bytes of a body and closes it; a connection whose body
+// was read to its end is reused.
 func drainAndClose(resp *http.Response) {
 	_, _ = io.CopyN(io.Discard, resp.Body, maxDrainSize)
 	_ = resp.Body.Close()
@@ -176,8 +178,8 @@
 	return http.Header{"Content-Type": {"application/json"}}
 }
 
-// refusalError turns an error answer into a CallError. Only the target's own word
-// that nothing ran makes it NotRun.
+// refusalError turns an error answer into a CallError. Its Execution is NotRun only
+// where the target itself says that nothing ran.
 func refusalError(resp *http.Response) error {
 	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxDrainSize))
 	e := &CallError{Execution: fault.Unknown, Err: errors.New("the target answered " + resp.Status)}
@@ -186,7 +188,7 @@
 		return e
 	}
 	e.Code = answer.Code
-	e.Err = errors.New(fmt.Sprintf("the target refused: %s (%s)", answer.Message, answer.Code))
+	e.Err = errors.New(fmt.Sprintf("the target refused the call: %s (%s)", answer.Message, answer.Code))
 	e.Execution = fault.Ran
 	if !answer.Ran {
 		e.Execution = fault.NotRun
@@ -194,7 +196,7 @@
 	return e
 }
 
-// parseRefusal reads an error answer; one without a code is none.
+// parseRefusal decodes an error answer. Code is empty where the body is not a refusal.
 func parseRefusal(body []byte) ErrorAnswer {
 	var answer ErrorAnswer
 	if err := json.Unmarshal(body, &answer); err != nil {
@@ -203,13 +205,13 @@
 	return answer
 }
 
-// Generate asks an engine for an answer and hands each chunk on as it comes. It
-// returns nil when the stream ended, whole or not: the assembler tells which.
+// Generate asks an engine for an answer and passes each chunk to emit as it arrives. It
+// returns nil when the stream ended, complete or not: the caller's stream.Assembler decides.
 func (c *Client) Generate(ctx context.Context, address string, g *GenerateRequest, emit func(stream.Chunk) error) error {
 	return c.streamChunks(ctx, address, "/v1/generate", g, emit)
 }
 
-// Resume asks an engine for the rest of a stream that broke on the way.
+// Resume asks an engine for the rest of a stream whose connection failed.
 func (c *Client) Resume(ctx context.Context, address string, r ResumeRequest, emit func(stream.Chunk) error) error {
 	return c.streamChunks(ctx, address, "/v1/resume", r, emit)
 }
@@ -230,30 +232,32 @@
 	return readChunks(resp.Body, emit)
 }
 
-// maxChunkSize bounds a chunk; readBufferSize is what an open stream keeps for it.
+// maxChunkSize bounds a chunk; readBufferSize is the initial read buffer of an open stream. Both
+// are in bytes.
 const (
 	maxChunkSize   = 1 << 20
 	readBufferSize = 4 << 10
 )
 
+// readChunks decodes a stream of chunks, one JSON object per line, and passes each to emit.
 func readChunks(body io.Reader, emit func(stream.Chunk) error) error {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 0, readBufferSize), maxChunkSize)
 	for lines.Scan() {
 		var c Chunk
 		if err := json.Unmarshal(lines.Bytes(), &c); err != nil {
-			// A line cut short by a dying target is the end of the stream.
-			return &CallError{Execution: fault.Unknown, Err: errors.Wrap(err, "the target's stream is garbled")}
+			// A target that dies while it writes leaves a truncated last line.
+			return &CallError{Execution: fault.Unknown, Err: errors.Wrap(err, "decode the target's stream")}
 		}
 		if c.Error != "" {
-			return &CallError{Execution: fault.Ran, Err: errors.New("the target gave up: " + c.Error)}
+			return &CallError{Execution: fault.Ran, Err: errors.New("the target ended the stream with an error: " + c.Error)}
 		}
 		if err := emit(streamChunk(c)); err != nil {
 			return err
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return &CallError{Execution: fault.Unknown, Err: errors.Wrap(err, "the target's stream broke")}
+		return &CallError{Execution: fault.Unknown, Err: errors.Wrap(err, "read the target's stream")}
 	}
 	return nil
 }
@@ -262,7 +266,7 @@
 	return stream.Chunk{Attempt: c.Attempt, Index: c.Index, Text: c.Text, End: c.End, Total: c.Total, FinishReason: c.FinishReason}
 }
 
-// Cancel stops a stream.
+// Cancel stops the stream of an attempt.
 func (c *Client) Cancel(ctx context.Context, address, attempt string) error {
 	return c.postJSON(ctx, address, "/v1/cancel", CancelRequest{Attempt: attempt})
 }
@@ -274,7 +278,7 @@
 	return r, err
 }
 
-// Events reads the cache events after a sequence number.
+// CacheEvents reads the cache events after a sequence number.
 func (c *Client) CacheEvents(ctx context.Context, address string, after int64) ([]CacheEvent, error) {
 	var events []CacheEvent
 	err := c.getJSON(ctx, address, fmt.Sprintf("/v1/events?after=%d", after), &events)
@@ -286,17 +290,17 @@
 	return c.postJSON(ctx, address, "/v1/reserve", r)
 }
 
-// Release gives reserved memory back.
+// Release frees reserved memory.
 func (c *Client) Release(ctx context.Context, address, id string) error {
 	return c.postJSON(ctx, address, "/v1/release", ReleaseRequest{ID: id})
 }
 
-// Prefill reads a part of a prompt into reserved memory.
+// Prefill has an engine prefill a part of a prompt into reserved memory.
 func (c *Client) Prefill(ctx context.Context, address string, p *PrefillRequest) error {
 	return c.postJSON(ctx, address, "/v1/prefill", p)
 }
 
-// Order gives an order to an engine.
+// Order sends an engine its desired state.
 func (c *Client) Order(ctx context.Context, address string, o Order) error {
 	return c.postJSON(ctx, address, "/v1/order", o)
 }
@@ -304,24 +308,24 @@
 // ServiceCall is a call of a plain service.
 type ServiceCall struct {
 	Method string
-	// Path starts with a slash and may hold a query.
+	// Path starts with a slash and may include a query.
 	Path   string
 	Header http.Header
 	Body   []byte
 }
 
-// ServiceAnswer is a plain service's whole answer.
+// ServiceAnswer is the whole answer of a plain service.
 type ServiceAnswer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// maxServiceAnswerSize bounds an answer of a plain service, which is held whole so
-// that a caller never gets half of one.
+// maxServiceAnswerSize bounds an answer of a plain service, in bytes. The answer is buffered
+// whole so that a caller never gets a truncated one.
 const maxServiceAnswerSize = 8 << 20
 
-// Service calls a plain service once and returns its whole answer.
+// CallService calls a plain service once and returns its whole answer.
 func (c *Client) CallService(ctx context.Context, address string, s *ServiceCall) (*ServiceAnswer, error) {
 	resp, err := c.send(ctx, s.Method, "http://"+address+s.Path, s.Header, s.Body)
 	if err != nil {
@@ -330,10 +334,10 @@
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxServiceAnswerSize+1))
 	if err != nil {
-		return nil, &CallError{Execution: fault.Unknown, Err: errors.Wrap(err, "the service's answer broke off")}
+		return nil, &CallError{Execution: fault.Unknown, Err: errors.Wrap(err, "read the service's answer")}
 	}
 	if len(body) > maxServiceAnswerSize {
-		return nil, &CallError{Execution: fault.Ran, Err: errors.New("the service's answer is over 8 MB")}
+		return nil, &CallError{Execution: fault.Ran, Err: errors.New("the service's answer exceeds 8 MB")}
 	}
 	if resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests {
 		if err := serviceRefusalError(body); err != nil {
@@ -343,11 +347,11 @@
 	return &ServiceAnswer{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
 
-// serviceRefusalError recognizes a service's own word that it did not run the call.
+// serviceRefusalError returns an error where the body says that the service did not run the call, or nil.
 func serviceRefusalError(body []byte) error {
 	answer := parseRefusal(body)
 	if answer.Code == "" || answer.Ran {
 		return nil
 	}
-	return &CallError{Execution: fault.NotRun, Code: answer.Code, Err: errors.New("the service refused: " + answer.Message)}
+	return &CallError{Execution: fault.NotRun, Code: answer.Code, Err: errors.New("the service refused the call: " + answer.Message)}
 }
--- a/node/target/client_test.go
+++ b/node/target/client_test.go
@@ -12,8 +12,8 @@
 	"doorstack.dev/core/stream"
 )
 
-// startClosingServer answers the first call of each connection and closes the connection
-// without an answer at the second, after it has read it. It counts the calls.
+// startClosingServer starts a server that answers the first call of each connection, and reads
+// the second and closes the connection without an answer. It counts the calls.
 func startClosingServer(t *testing.T) (address string, calls *atomic.Int64) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestServiceCallIsSentOnce: net/http sends a request with an Idempotency-Key
-// header again by itself when a kept connection breaks, unless it cannot.
+// TestServiceCallIsSentOnce guards against net/http's own retry: it repeats a request with
+// an Idempotency-Key header when a reused connection is closed, unless the body cannot be read again.
 func TestServiceCallIsSentOnce(t *testing.T) {
 	for name, body := range map[string][]byte{"with a body": []byte("slot 17"), "without": nil} {
 		t.Run(name, func(t *testing.T) {
@@ -68,10 +68,10 @@
 			}
 			_, err := c.CallService(context.Background(), address, call)
 			if calls.Load() != 2 {
-				t.Fatalf("two calls were sent %d times", calls.Load())
+				t.Fatalf("server received %d calls, want 2", calls.Load())
 			}
 			if ExecutionOf(err) != fault.Unknown {
-				t.Fatalf("a call without an answer is %v (%v), want unknown", ExecutionOf(err), err)
+				t.Fatalf("execution of a call without an answer = %v (%v), want unknown", ExecutionOf(err), err)
 			}
 		})
 	}
@@ -86,12 +86,12 @@
 	_ = listener.Close()
 	_, err = NewClient().CallService(context.Background(), address, &ServiceCall{Method: http.MethodPost, Path: "/"})
 	if ExecutionOf(err) != fault.NotRun {
-		t.Fatalf("%v is %v", err, ExecutionOf(err))
+		t.Fatalf("CallService = %v with execution %v, want not run", err, ExecutionOf(err))
 	}
 }
 
-// TestTruncatedStreamIsNeverComplete cuts an engine's stream at every position: what was emitted
-// is always the start of the answer, and only the uncut stream is whole.
+// TestTruncatedStreamIsNeverComplete truncates an engine's stream at every byte: the emitted
+// text is always a prefix of the answer, and only the full stream counts as complete.
 func TestTruncatedStreamIsNeverComplete(t *testing.T) {
 	answer := []byte(`{"a":"x","i":0,"t":" one"}` + "\n" + `{"a":"x","i":1,"t":" two"}` + "\n" + `{"a":"x","end":true,"total":2,"finish":"stop"}` + "\n")
 	for cut := range len(answer) + 1 {
@@ -104,18 +104,19 @@
 			})
 		})
 		if len(text) > len(" one two") || text != " one two"[:len(text)] {
-			t.Fatalf("cut at %d: emitted %q", cut, text)
+			t.Fatalf("truncated at byte %d: emitted %q, want a prefix of the answer", cut, text)
 		}
-		if whole := assembler.Complete(); whole && text != " one two" {
-			t.Fatalf("cut at %d: %q is called whole", cut, text)
+		if complete := assembler.Complete(); complete && text != " one two" {
+			t.Fatalf("truncated at byte %d: Complete() = true with text %q, want the whole answer", cut, text)
 		}
-		// The end mark's own newline carries nothing.
+		// The newline after the last chunk carries no data.
 		if cut < len(answer)-1 && err == nil && assembler.Close() == nil {
-			t.Fatalf("cut at %d: taken for an answer", cut)
+			t.Fatalf("truncated at byte %d: readChunks and Close returned no error, want one", cut)
 		}
 	}
 }
 
+// truncatedReader returns rest one byte at a time and then net.ErrClosed.
 type truncatedReader struct{ rest []byte }
 
 func (r *truncatedReader) Read(p []byte) (int, error) {
@@ -136,7 +137,7 @@
 		_ = readChunks(&truncatedReader{data}, func(c stream.Chunk) error {
 			return assembler.Push(c, func(index int64, _ string) error {
 				if index != next {
-					t.Fatalf("token %d came after %d", index, next-1)
+					t.Fatalf("emitted token %d right after token %d", index, next-1)
 				}
 				next++
 				return nil
--- /dev/null
+++ b/node/target/conn.go
@@ -0,0 +1,175 @@
+package target
+
+import (
+	"bufio"
+	"bytes"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"doorstack.dev/node/sock"
+	"github.com/go-faster/errors"
+	"golang.org/x/sys/unix"
+)
+
+// persistConn is a persistent connection to a target. It carries one call at a time.
+type persistConn struct {
+	address     string
+	conn        net.Conn
+	reader      *bufio.Reader
+	idleSince   time.Time
+	idleTimeout time.Duration
+	// bytesSent counts the bytes of the current call that the kernel accepted.
+	bytesSent atomic.Int64
+	// writeDone is closed when the write of the call has ended, also where it failed; writeOK
+	// reports whether the whole call was written.
+	writeDone chan struct{}
+	writeOK   bool
+	// probesEnabled reports whether the kernel sends TCP keep-alive probes.
+	probesEnabled bool
+}
+
+// maxInlineWrite is the largest body, in bytes, that is written before the answer is read.
+// A larger body is written in a goroutine of its own: a target may answer before it has read
+// the whole body, and stop reading.
+const maxInlineWrite = 16 << 10
+
+// startWrite writes a call, in the background where its body exceeds maxInlineWrite.
+func (pc *persistConn) startWrite(req *http.Request, body []byte) {
+	if len(body) > 0 {
+		req.Body = io.NopCloser(bytes.NewReader(body))
+	}
+	if req.Header.Get("User-Agent") == "" {
+		req.Header["User-Agent"] = []string{""} // Keeps net/http from adding its own.
+	}
+	pc.writeDone = make(chan struct{})
+	pc.writeOK = false
+	write := func() {
+		defer close(pc.writeDone)
+		out := bufio.NewWriterSize(countingWriter{pc}, min(maxInlineWrite, len(body)+readBufferSize))
+		if err := req.Write(out); err != nil {
+			return // Reading the answer fails too; bytesSent then decides whether the call may have run.
+		}
+		pc.writeOK = out.Flush() == nil
+	}
+	if len(body) > maxInlineWrite {
+		go write()
+		return
+	}
+	write()
+}
+
+// countingWriter writes to the connection and counts the bytes written.
+type countingWriter struct{ pc *persistConn }
+
+func (w countingWriter) Write(p []byte) (int, error) {
+	n, err := w.pc.conn.Write(p)
+	w.pc.bytesSent.Add(int64(n))
+	return n, err
+}
+
+// readFinalResponse reads the head of the next final response and skips informational ones (1xx).
+func (pc *persistConn) readFinalResponse(req *http.Request) (*http.Response, error) {
+	for {
+		resp, err := http.ReadResponse(pc.reader, req)
+		if err != nil {
+			return nil, err
+		}
+		if resp.StatusCode >= http.StatusOK {
+			return resp, nil
+		}
+	}
+}
+
+// reusable reports whether the connection can carry another call: the last call was
+// written whole and no bytes have arrived after its answer.
+func (pc *persistConn) reusable() bool {
+	select {
+	case <-pc.writeDone:
+		return pc.writeOK && pc.reader.Buffered() == 0
+	default:
+		return false
+	}
+}
+
+func (pc *persistConn) expired(now time.Time) bool { return now.Sub(pc.idleSince) >= pc.idleTimeout }
+
+// usable reports whether an idle connection is neither expired, nor closed by the
+// target, nor holding bytes that belong to no call.
+func (pc *persistConn) usable(now time.Time) bool {
+	return !pc.expired(now) && pc.openAndIdle()
+}
+
+// openAndIdle reports, without blocking, whether the connection is open and has no bytes to read.
+func (pc *persistConn) openAndIdle() bool { return sock.Peek(pc.conn) == sock.Idle }
+
+func (pc *persistConn) close() { _ = pc.conn.Close() }
+
+// The TCP keep-alive probes of a connection that waits for an answer: after 1 s without a byte
+// the kernel sends a probe each second, and after two unanswered probes it closes the connection,
+// 3 s after the last byte. Memory reserved at other targets must be free again 4 s after the
+// target that used it has died, and one lost packet must not end a call.
+const (
+	probeIdle     = time.Second
+	probeInterval = time.Second
+	probeCount    = 2
+	// probedUnackedTimeout replaces unackedTimeout, which would end the connection with the
+	// first unanswered probe. It lies between the times of the second and the third probe.
+	probedUnackedTimeout = 2500 * time.Millisecond
+)
+
+// setProbes turns the keep-alive probes on or off.
+func (pc *persistConn) setProbes(on bool) error {
+	if pc.probesEnabled == on {
+		return nil
+	}
+	conn, ok := pc.conn.(*net.TCPConn)
+	if !ok {
+		return errors.New("only a TCP connection can be probed")
+	}
+	unacked := unackedTimeout
+	if on {
+		unacked = probedUnackedTimeout
+	}
+	raw, err := conn.SyscallConn()
+	if err != nil {
+		return err
+	}
+	if err := setUnackedTimeout(raw, unacked); err != nil {
+		return err
+	}
+	pc.probesEnabled = on
+	return conn.SetKeepAliveConfig(net.KeepAliveConfig{Enable: on, Idle: probeIdle, Interval: probeInterval, Count: probeCount})
+}
+
+// setUnackedTimeout bounds the time that sent bytes may stay unacknowledged (TCP_USER_TIMEOUT).
+func setUnackedTimeout(raw syscall.RawConn, timeout time.Duration) error {
+	var failed error
+	err := raw.Control(func(fd uintptr) {
+		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
+	})
+	if err != nil {
+		return err
+	}
+	return failed
+}
+
+// idleTimeoutFrom returns how long an idle connection is kept: a share of the timeout in the
+// target's Keep-Alive header, and at most defaultIdleTimeout.
+func idleTimeoutFrom(h http.Header) time.Duration {
+	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
+		text, found := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
+		if !found {
+			continue
+		}
+		if s, err := strconv.Atoi(text); err == nil {
+			return min(defaultIdleTimeout, time.Duration(idleTimeoutShare*float64(s)*float64(time.Second)))
+		}
+	}
+	return defaultIdleTimeout
+}
--- a/node/target/exchange.go
+++ b/node/target/exchange.go
@@ -16,68 +16,69 @@
 	"github.com/go-faster/errors"
 )
 
-// Dialect writes and reads the headers by which the platform's callers and targets
-// tell each other about a forwarded call.
+// Dialect encodes and decodes what the platform's callers, the daemon and targets exchange
+// about forwarded calls: headers, reservation orders and target reports.
 type Dialect interface {
-	// ReadCall decodes what a caller says of its request.
+	// ReadCall decodes the headers of a caller's request.
 	ReadCall(h http.Header) forward.Call
-	// WriteSend sets what the daemon says to a target.
+	// WriteSendParams sets the headers that the daemon sends to a target.
 	WriteSendParams(h http.Header, s *forward.SendParams)
 	// ReadHead decodes the head of a target's answer.
 	ReadHead(status int, h http.Header) forward.Head
-	// Reserve makes the order by which a target sets memory aside under an id for so
-	// long; the same order again renews it. Release makes the order that ends it.
+	// ReserveMessage returns the order that reserves memory at a target under an id for the
+	// time hold; the same order again renews it. ReleaseMessage returns the order that ends it.
 	ReserveMessage(target, id string, tokens int64, hold time.Duration) forward.Message
 	ReleaseMessage(target, id string) forward.Message
-	// Report makes the question for a target's report of itself, and ReadReport decodes
-	// the body of the answer.
+	// ReportMessage returns the request for a target's report, and ReadReport decodes the
+	// body of the answer.
 	ReportMessage(target string) forward.Message
 	ReadReport(body []byte) (forward.Report, error)
-	// WriteFailure sets what callers read beside a failure of the daemon's own.
+	// WriteFailure sets the headers of an error answer of the daemon itself: the request's id
+	// and, where retry is set, the time after which to retry.
 	WriteFailure(h http.Header, requestID string, retry bool, after time.Duration)
 }
 
-// Exchanger sends forwarded calls, each exactly once. It keeps connections open
-// itself: a general HTTP client repeats a call on its own where a kept connection
-// turns out to be dead, and such sends would be counted nowhere.
+// Exchanger sends forwarded calls, each exactly once. It pools its connections itself:
+// net/http's client repeats a call on its own where a pooled connection turns out to be
+// closed, and such sends would not be counted.
 type Exchanger struct {
 	Dialect Dialect
 
 	mu   sync.Mutex
-	idle map[string][]*persistConn // by address, the last used last
+	idle map[string][]*persistConn // by address, most recently used last
 }
 
 // The bounds of connections to targets.
 const (
 	// connectTimeout is many times the round trip between data centres (2 ms) and
-	// well below the shortest goal for an answer (300 ms).
+	// below the shortest goal for an answer (300 ms).
 	connectTimeout = 250 * time.Millisecond
-	// unackedTimeout is how long sent bytes may stay unacknowledged: a target that is
-	// cut off or without power says nothing otherwise.
+	// unackedTimeout is how long sent bytes may stay unacknowledged. Without it a target
+	// whose host lost power or network would not be noticed.
 	unackedTimeout = time.Second
-	// defaultIdleTimeout is how long a connection is kept where the target does not say.
+	// defaultIdleTimeout is how long an idle connection is kept where the target names no time.
 	defaultIdleTimeout = 4 * time.Second
-	// idleTimeoutShare is the part of the target's own idle time that a connection is kept,
-	// so that a call does not cross its close.
+	// idleTimeoutShare is the share of the target's own idle timeout for which a connection is
+	// kept, so that no call is sent while the target closes it.
 	idleTimeoutShare = 0.6
-	// maxIdlePerTarget bounds the connections kept for one target.
+	// maxIdlePerTarget bounds the idle connections to one target.
 	maxIdlePerTarget = 24
 )
 
-// NewExchanger returns an exchanger without connections.
+// NewExchanger returns an Exchanger without connections.
 func NewExchanger(d Dialect) *Exchanger {
 	return &Exchanger{Dialect: d, idle: map[string][]*persistConn{}}
 }
 
-// Reply is a target's answer, whose body may still be on its way.
+// Reply is a target's answer, whose body may not have arrived yet.
 type Reply struct {
 	forward.Head
 	Header http.Header
-	// Body ends with io.EOF only where the answer is whole.
+	// Body ends with io.EOF only where the answer is complete.
 	Body *answerBody
-	// Length is the length of the body, or -1 where it is not told.
+	// Length is the length of the body in bytes, or -1 where it is not known.
 	Length int64
-	// Sent is when the call's first byte was about to be written.
+	// Sent is the time just before the call's first byte was written.
 	Sent time.Time
 
 	conn         *persistConn
@@ -85,7 +86,7 @@
 	stopDeadline func() bool
 }
 
-// answerBody notes whether an answer was read to its end.
+// answerBody records whether an answer was read to its end.
 type answerBody struct {
 	io.Reader
 	atEOF bool
@@ -98,40 +99,40 @@
 	return n, err
 }
 
-// maxSkippedAnswers is how many answers to other calls are skipped on a connection.
+// maxSkippedAnswers bounds the answers to earlier calls that are skipped on a connection.
 const maxSkippedAnswers = 2
 
-// ErrCallerDisconnected is why a call was not sent: its caller had closed the connection by then.
-var ErrCallerDisconnected = errors.New("the caller has left")
+// ErrCallerDisconnected means that a call was not sent because its caller had closed the connection.
+var ErrCallerDisconnected = errors.New("the caller has disconnected")
 
-// Send makes one send of a call. The error is a *CallError, whose Execution is
-// NotRun only where no byte can have reached the target. The reply must be closed.
+// Send sends a call once. The error is a *CallError, whose Execution is NotRun only
+// where no byte can have reached the target. The reply must be passed to Close.
 //
-// The caller's connection is looked at last thing before the first byte: on a host that is
-// short of processor the end of ctx comes late. Three hosts that took the load of 76 sent 29,
-// 59 and 36 calls on over half a second after their callers had left (three plays of one day).
+// Send checks the caller's connection just before the first byte, because ctx ends late on a
+// host that is short of CPU: three hosts that took over the load of 76 forwarded 29, 59 and 36
+// calls more than half a second after their callers had disconnected.
 func (e *Exchanger) Send(ctx context.Context, address string, c *forward.Message) (*Reply, error) {
-	ch, err := e.acquire(ctx, address)
+	pc, err := e.acquire(ctx, address)
 	if err != nil {
 		return nil, &CallError{Execution: fault.NotRun, Err: errors.Wrap(err, "connect to the target")}
 	}
-	if err := ch.setProbes(c.ProbeConnection); err != nil {
-		ch.close()
+	if err := pc.setProbes(c.ProbeConnection); err != nil {
+		pc.close()
 		return nil, &CallError{Execution: fault.NotRun, Err: errors.Wrap(err, "set up the connection to the target")}
 	}
 	if c.CallerDisconnected != nil && c.CallerDisconnected() {
-		e.putIdle(ch) // Nothing was written to it.
+		e.putIdle(pc) // No byte of the call was written.
 		return nil, &CallError{Execution: fault.NotRun, Err: ErrCallerDisconnected}
 	}
-	// The end of ctx unblocks reads and writes; the channel is closed afterwards.
-	stop := context.AfterFunc(ctx, func() { _ = ch.conn.SetDeadline(time.Unix(1, 0)) })
+	// The end of ctx unblocks reads and writes; the connection is closed afterwards.
+	stop := context.AfterFunc(ctx, func() { _ = pc.conn.SetDeadline(time.Unix(1, 0)) })
 	sent := time.Now()
-	reply, err := e.exchange(ch, c)
+	reply, err := e.exchange(pc, c)
 	if err != nil {
 		stop()
-		ch.close()
+		pc.close()
 		execution := fault.Unknown
-		if ch.bytesSent.Load() == 0 {
+		if pc.bytesSent.Load() == 0 {
 			execution = fault.NotRun
 		}
 		return nil, &CallError{Execution: execution, Err: err}
@@ -140,32 +141,33 @@
 	return reply, nil
 }
 
-func (e *Exchanger) exchange(ch *persistConn, c *forward.Message) (*Reply, error) {
+// exchange writes a call and reads the head of its answer, skipping answers to earlier calls.
+func (e *Exchanger) exchange(pc *persistConn, c *forward.Message) (*Reply, error) {
 	req := &http.Request{
 		Method: c.Method, Host: c.Host, Header: c.Header,
 		URL:           &url.URL{Opaque: c.URI},
 		ContentLength: int64(len(c.Body)),
 		Body:          http.NoBody,
 	}
-	ch.startWrite(req, c.Body)
+	pc.startWrite(req, c.Body)
 	for range maxSkippedAnswers + 1 {
-		resp, err := ch.readFinalResponse(req) //nolint:bodyclose // The body ends with the channel, which Close or Send closes.
+		resp, err := pc.readFinalResponse(req) //nolint:bodyclose // The body ends with the connection, which Close or Send closes.
 		if err != nil {
 			return nil, errors.Wrap(err, "read the answer")
 		}
 		head := e.Dialect.ReadHead(resp.StatusCode, resp.Header)
 		if c.ID == "" || head.RequestID == c.ID {
-			return &Reply{Head: head, Header: resp.Header, Body: &answerBody{Reader: resp.Body}, Length: resp.ContentLength, conn: ch, resp: resp}, nil
+			return &Reply{Head: head, Header: resp.Header, Body: &answerBody{Reader: resp.Body}, Length: resp.ContentLength, conn: pc, resp: resp}, nil
 		}
-		// A late answer to an earlier call; the one that is waited for may follow.
+		// A late answer to an earlier call; the answer to this call may follow.
 		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxDrainSize)); err != nil {
 			return nil, errors.Wrap(err, "skip an answer to another call")
 		}
 	}
-	return nil, errors.New("the target answers other calls than this one")
+	return nil, errors.New("the target answered only other calls")
 }
 
-// Close ends the exchange. The connection is kept if the answer was read to its end.
+// Close ends the exchange. The connection is reused if the answer was read to its end.
 func (e *Exchanger) Close(r *Reply) {
 	stopped := r.stopDeadline()
 	if !r.Body.atEOF || !stopped || r.resp.Close || !r.conn.reusable() {
@@ -176,21 +178,22 @@
 	e.putIdle(r.conn)
 }
 
-// take returns a kept connection that is still good, or a new one.
+// acquire returns an idle connection that is still usable, or a new one.
 func (e *Exchanger) acquire(ctx context.Context, address string) (*persistConn, error) {
 	for {
-		ch := e.popIdle(address)
-		if ch == nil {
+		pc := e.popIdle(address)
+		if pc == nil {
 			return dial(ctx, address)
 		}
-		if ch.usable(time.Now()) {
-			ch.bytesSent.Store(0)
-			return ch, nil
+		if pc.usable(time.Now()) {
+			pc.bytesSent.Store(0)
+			return pc, nil
 		}
-		ch.close()
+		pc.close()
 	}
 }
 
+// popIdle removes and returns the most recently used idle connection to a target, or nil.
 func (e *Exchanger) popIdle(address string) *persistConn {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -199,29 +202,31 @@
 		return nil
 	}
 	last := len(list) - 1
-	ch := list[last]
+	pc := list[last]
 	list[last] = nil
 	e.idle[address] = list[:last]
-	return ch
+	return pc
 }
 
-func (e *Exchanger) putIdle(ch *persistConn) {
-	ch.idleSince = time.Now()
+// putIdle keeps a connection for a later call, or closes it where the target already has
+// maxIdlePerTarget idle ones.
+func (e *Exchanger) putIdle(pc *persistConn) {
+	pc.idleSince = time.Now()
 	e.mu.Lock()
-	if len(e.idle[ch.address]) < maxIdlePerTarget {
-		e.idle[ch.address] = append(e.idle[ch.address], ch)
-		ch = nil
+	if len(e.idle[pc.address]) < maxIdlePerTarget {
+		e.idle[pc.address] = append(e.idle[pc.address], pc)
+		pc = nil
 	}
 	e.mu.Unlock()
-	if ch != nil {
-		ch.close()
+	if pc != nil {
+		pc.close()
 	}
 }
 
-// sweepInterval is how often connections that were idle for too long are closed.
+// sweepInterval is how often expired idle connections are closed.
 const sweepInterval = time.Second
 
-// Run closes connections that were idle for too long, until ctx ends.
+// Run closes expired idle connections until ctx ends.
 func (e *Exchanger) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -237,15 +242,15 @@
 
 func (e *Exchanger) closeExpired(now time.Time) {
 	e.mu.Lock()
-	var old []*persistConn
+	var expired []*persistConn
 	for address, list := range e.idle {
 		kept := list[:0]
-		for _, ch := range list {
-			if ch.expired(now) {
-				old = append(old, ch)
+		for _, pc := range list {
+			if pc.expired(now) {
+				expired = append(expired, pc)
 				continue
 			}
-			kept = append(kept, ch)
+			kept = append(kept, pc)
 		}
 		if len(kept) == 0 {
 			delete(e.idle, address)
@@ -255,8 +260,8 @@
 		e.idle[address] = kept
 	}
 	e.mu.Unlock()
-	for _, ch := range old {
-		ch.close()
+	for _, pc := range expired {
+		pc.close()
 	}
 }
 
@@ -268,7 +273,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ch := &persistConn{address: address, conn: conn, idleTimeout: defaultIdleTimeout}
-	ch.reader = bufio.NewReaderSize(conn, readBufferSize)
-	return ch, nil
+	pc := &persistConn{address: address, conn: conn, idleTimeout: defaultIdleTimeout}
+	pc.reader = bufio.NewReaderSize(conn, readBufferSize)
+	return pc, nil
 }
--- a/node/target/exchange_test.go
+++ b/node/target/exchange_test.go
@@ -17,7 +17,7 @@
 	"github.com/go-faster/errors"
 )
 
-// testDialect takes the id of an answer from a header of the test's own.
+// testDialect reads the id of an answer from the header Id and implements nothing else.
 type testDialect struct{}
 
 func (testDialect) ReadCall(http.Header) forward.Call                { return forward.Call{} }
@@ -35,8 +35,9 @@
 }
 func (testDialect) WriteFailure(http.Header, string, bool, time.Duration) {}
 
-// startScriptedServer answers each call of each connection with a script; it gets the number of the
-// connection and of the call on it.
+// startScriptedServer starts a server that passes each call to script, with the number of its
+// connection and of the call on it, both from zero. The server closes the connection where
+// script returns false. The counter holds the calls received.
 func startScriptedServer(t *testing.T, script func(conn net.Conn, r *http.Request, connection, call int) bool) (string, *atomic.Int64) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -95,8 +96,8 @@
 	return string(body), err
 }
 
-// TestSendIsNotRepeatedWhenConnectionCloses: a kept connection that the target closes after it has read the call
-// is not a reason to send the call again, whatever its method.
+// TestSendIsNotRepeatedWhenConnectionCloses guards against a second send, whatever the method,
+// when the target reads a call on a reused connection and closes it without an answer.
 func TestSendIsNotRepeatedWhenConnectionCloses(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		address, received := startScriptedServer(t, func(conn net.Conn, r *http.Request, _, call int) bool {
@@ -113,11 +114,11 @@
 			m.Method = method
 			_, err := sendAndRead(t, e, address, m)
 			if i == 1 && ExecutionOf(err) != fault.Unknown {
-				t.Errorf("%s: %v", method, err)
+				t.Errorf("%s: second call = %v, want an error of unknown execution", method, err)
 			}
 		}
 		if received.Load() != 2 {
-			t.Errorf("%s: the target received %d calls of 2", method, received.Load())
+			t.Errorf("%s: target received %d calls, want 2", method, received.Load())
 		}
 	}
 }
@@ -131,23 +132,23 @@
 	e := NewExchanger(testDialect{})
 	for i := range 3 {
 		if got, err := sendAndRead(t, e, address, testMessage("x", "")); err != nil || got != fmt.Sprint(0, i) {
-			t.Fatalf("%q %v", got, err)
+			t.Fatalf("answer = %q, %v, want the next answer of the first connection", got, err)
 		}
 	}
 	e.closeExpired(time.Now().Add(defaultIdleTimeout))
 	if got, err := sendAndRead(t, e, address, testMessage("x", "")); err != nil || got != fmt.Sprint(1, 0) {
-		t.Fatalf("after the sweep: %q %v", got, err)
+		t.Fatalf("answer after closeExpired = %q, %v, want the first answer of a second connection", got, err)
 	}
 }
 
-// TestConnectionWithUnreadBytesIsNotReused: one whose answer was not read to its end, and one on
-// which more came than the answer.
+// TestConnectionWithUnreadBytesIsNotReused covers a connection whose answer was not read to its
+// end, and one on which bytes followed the answer.
 func TestConnectionWithUnreadBytesIsNotReused(t *testing.T) {
 	address, _ := startScriptedServer(t, func(conn net.Conn, r *http.Request, connection, call int) bool {
 		drainBody(r)
 		text := answerText("x", fmt.Sprint(connection, call))
 		if connection == 1 {
-			text += answerText("x", "nobody's") // In one write, so that it is there when the answer is.
+			text += answerText("x", "extra") // In one write, so that both answers arrive together.
 		}
 		_, _ = io.WriteString(conn, text)
 		return true
@@ -158,10 +159,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.Close(reply) // Unread.
+	e.Close(reply) // The body is not read.
 	for connection := 1; connection < 3; connection++ {
 		if got, err := sendAndRead(t, e, address, testMessage("x", "")); err != nil || got != fmt.Sprint(connection, 0) {
-			t.Fatalf("%q %v, want the first answer of connection %d", got, err, connection)
+			t.Fatalf("answer = %q, %v, want the first answer of connection %d", got, err, connection)
 		}
 	}
 }
@@ -174,33 +175,33 @@
 	address := listener.Addr().String()
 	_ = listener.Close()
 	if _, err := sendAndRead(t, NewExchanger(testDialect{}), address, testMessage("x", "")); ExecutionOf(err) != fault.NotRun {
-		t.Fatal(err)
+		t.Fatalf("Send = %v, want an error of execution not run", err)
 	}
 }
 
-// TestAnswerBeforeBodyIsWritten: a target may answer and stop reading; the answer is
-// taken, and the connection is not used for another call, whose bytes would stand where
-// the rest of the body is due.
+// TestAnswerBeforeBodyIsWritten covers a target that answers and stops reading the body. Send
+// returns the answer and does not reuse the connection, on which the target would take the
+// bytes of the next call for the rest of the body.
 func TestAnswerBeforeBodyIsWritten(t *testing.T) {
 	address, _ := startScriptedServer(t, func(conn net.Conn, _ *http.Request, connection, _ int) bool {
 		writeAnswer(conn, "x", fmt.Sprint(connection))
 		if connection == 0 {
-			select {} // It never reads the rest.
+			select {} // Never reads the rest.
 		}
 		return true
 	})
 	e := NewExchanger(testDialect{})
 	large := strings.Repeat("x", 32<<20)
 	if got, err := sendAndRead(t, e, address, testMessage("x", large)); err != nil || got != "0" {
-		t.Fatalf("%q %v", got, err)
+		t.Fatalf("answer to the large call = %q, %v, want the one of connection 0", got, err)
 	}
 	if got, err := sendAndRead(t, e, address, testMessage("x", "")); err != nil || got != "1" {
-		t.Fatalf("%q %v", got, err)
+		t.Fatalf("answer to the next call = %q, %v, want the one of connection 1", got, err)
 	}
 }
 
-// TestNothingIsSentAfterCallerDisconnects: the caller leaves while the connection to the target
-// is made, and the context has not ended yet, as on a host that is behind its own events.
+// TestNothingIsSentAfterCallerDisconnects covers a caller that disconnects while the connection
+// to the target is made, before the context has ended, as happens on a host short of CPU.
 func TestNothingIsSentAfterCallerDisconnects(t *testing.T) {
 	address, received := startScriptedServer(t, func(conn net.Conn, r *http.Request, connection, call int) bool {
 		drainBody(r)
@@ -212,14 +213,14 @@
 	m.CallerDisconnected = func() bool { return true }
 	_, err := e.Send(context.Background(), address, m)
 	if !errors.Is(err, ErrCallerDisconnected) || ExecutionOf(err) != fault.NotRun {
-		t.Errorf("the send ended with %v", err)
+		t.Errorf("Send = %v, want ErrCallerDisconnected of execution not run", err)
 	}
 	m = testMessage("x", "")
 	m.CallerDisconnected = func() bool { return false }
 	if got, err := sendAndRead(t, e, address, m); err != nil || got != fmt.Sprint(0, 0) {
-		t.Errorf("the next call got %q %v, want the first answer of the connection that was kept", got, err)
+		t.Errorf("answer to the next call = %q, %v, want the first answer of the same connection", got, err)
 	}
 	if received.Load() != 1 {
-		t.Errorf("the target received %d calls, want the one whose caller waits", received.Load())
+		t.Errorf("target received %d calls, want only the one whose caller is connected", received.Load())
 	}
 }
--- a/node/target/prefix.go
+++ b/node/target/prefix.go
@@ -2,18 +2,18 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// BytesPerToken is the average length of a token, in bytes of prompt text. It is
-// an estimate for admission and routing; engines count for themselves.
+// BytesPerToken is the assumed average length of a token, in bytes of prompt text. It is
+// an estimate for admission and routing; engines count tokens themselves.
 const BytesPerToken = 4
 
-// EstimateTokens estimates the tokens of a text of so many bytes, at least one.
+// EstimateTokens estimates the number of tokens, at least one, in a text of the given length.
 func EstimateTokens(bytes int) int64 {
 	return max(1, int64(bytes)/BytesPerToken)
 }
 
-// The points at which prefixes of a prompt are hashed: each block up to
-// denseBlocks, and from there on at twice the distance each time, so that a
-// prompt of a million tokens has few of them.
+// The prefixes of a prompt that are hashed: one ends after each block up to
+// denseBlocks, and from there on each prefix is twice as long as the one before, so
+// that a prompt of a million tokens has few of them.
 const (
 	blockTokens  = 1024
 	blockBytes   = blockTokens * BytesPerToken
@@ -22,7 +22,7 @@
 	sparseFactor = 2
 )
 
-// prefixBlocks is the number of blocks in prefix i.
+// prefixBlocks returns the number of blocks in prefix i.
 func prefixBlocks(i int) int {
 	if i < denseBlocks {
 		return i + 1
@@ -30,11 +30,11 @@
 	return denseBlocks << (i - denseBlocks + 1)
 }
 
-// PrefixTokens is the length in tokens of prefix i of PrefixHashes.
+// PrefixTokens returns the length in tokens of prefix i of PrefixHashes.
 func PrefixTokens(i int) int64 { return int64(prefixBlocks(i)) * blockTokens }
 
 // PrefixHashes returns the hashes of a prompt's prefixes, the shortest first.
-// Two prompts that share PrefixHashes(...)[i] share PrefixTokens(i) tokens.
+// Two prompts with the same hash at index i share their first PrefixTokens(i) tokens.
 func PrefixHashes(prompt string) []uint64 {
 	var hashes []uint64
 	digest := xxhash.New()
@@ -44,7 +44,7 @@
 		if end > len(prompt) {
 			break
 		}
-		_, _ = digest.WriteString(prompt[done:end]) // A digest never fails.
+		_, _ = digest.WriteString(prompt[done:end]) // Writing to a digest never fails.
 		done = end
 		hashes = append(hashes, digest.Sum64())
 	}
--- a/node/target/probed_test.go
+++ b/node/target/probes_test.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// tcpOptions are what the system was told of a connection.
+// tcpOptions are the keep-alive options and the user timeout of a TCP socket.
 type tcpOptions struct {
 	keepAlive                   bool
 	idle, interval, userTimeout time.Duration
@@ -46,13 +46,12 @@
 	return o
 }
 
-// maxReservationOverrun is how long memory may stay set aside after the request that used it has ended.
+// maxReservationOverrun is how long memory may stay reserved after the request that used it has ended.
 const maxReservationOverrun = 4 * time.Second
 
-// TestProbesDetectDeadTarget: a host without power says nothing, and a call whose
-// answer takes seconds owes its target nothing that would go unacknowledged. Only probes show
-// that it is dead, in time for what was set aside elsewhere to be given back, and not after a
-// single lost packet.
+// TestProbesDetectDeadTarget guards against waiting on a host that lost power: while its answer
+// is awaited nothing is sent that could go unacknowledged, so that only keep-alive probes detect
+// its death. They must do so in time to free memory reserved elsewhere, but not after one lost packet.
 func TestProbesDetectDeadTarget(t *testing.T) {
 	address, _ := startScriptedServer(t, func(conn net.Conn, r *http.Request, _, _ int) bool {
 		drainBody(r)
@@ -60,9 +59,9 @@
 		return true
 	})
 	e := NewExchanger(testDialect{})
-	send := func(probed bool) tcpOptions {
+	send := func(probe bool) tcpOptions {
 		m := testMessage("x", "")
-		m.ProbeConnection = probed
+		m.ProbeConnection = probe
 		reply, err := e.Send(context.Background(), address, m)
 		if err != nil {
 			t.Fatal(err)
@@ -75,20 +74,20 @@
 	}
 	o := send(true)
 	if !o.keepAlive {
-		t.Fatal("the connection is not probed while its answer is awaited")
+		t.Fatal("keep-alive probes are off while an answer is awaited, want on")
 	}
-	known := o.idle + time.Duration(o.count)*o.interval
-	if known >= maxReservationOverrun {
-		t.Errorf("a dead target is known after %v, want it before %v", known, maxReservationOverrun)
+	detected := o.idle + time.Duration(o.count)*o.interval
+	if detected >= maxReservationOverrun {
+		t.Errorf("a dead target is detected after %v, want less than %v", detected, maxReservationOverrun)
 	}
 	if o.count < 2 {
-		t.Errorf("%d probe without an answer ends a call", o.count)
+		t.Errorf("%d unanswered probe ends a call, want at least 2", o.count)
 	}
-	// The system compares this bound whenever a probe is due, from the second probe on.
-	if second := o.idle + o.interval; o.userTimeout <= second || o.userTimeout > known {
-		t.Errorf("unacknowledged for %v ends a connection; the second probe comes after %v, the last bound is %v", o.userTimeout, second, known)
+	// The kernel checks the user timeout whenever a probe is due, from the second probe on.
+	if second := o.idle + o.interval; o.userTimeout <= second || o.userTimeout > detected {
+		t.Errorf("user timeout = %v, want more than %v (second probe) and at most %v", o.userTimeout, second, detected)
 	}
 	if o := send(false); o.keepAlive || o.userTimeout != unackedTimeout {
-		t.Errorf("the next call on the kept connection, which asks for no probes, has %+v", o)
+		t.Errorf("options of a call without probes on the reused connection = %+v, want no keep-alive and the default user timeout", o)
 	}
 }
