--- a/node/telemetry/notice.go
+++ b/node/telemetry/notice.go
@@ -6,7 +6,8 @@
 	"doorstack.dev/core/forward"
 )
 
-// The words of a target about itself, as the metric's label names them.
+// The values of the label notice: the target is draining, asks for a backoff, declares a rate
+// limit or lifts it.
 const (
 	noticeDraining    = "leaving"
 	noticeBackoff     = "rest"
@@ -14,25 +15,25 @@
 	noticeLimitLifted = "limit_lifted"
 )
 
-// Notice takes in what a target said of itself beside the answer to a call sent then, and tells
-// whether it is news.
-func (r *Recorder) RecordNotice(pool, target string, said forward.Notice, sent time.Time) bool {
-	return r.RecordTimedNotice(pool, target, forward.TimedNotice{Notice: said, Sent: sent, Received: time.Now()})
+// RecordNotice records a target's notice from the answer to a call that was sent at the given
+// time, and reports whether the notice is new.
+func (r *Recorder) RecordNotice(pool, target string, notice forward.Notice, sent time.Time) bool {
+	return r.RecordTimedNotice(pool, target, forward.TimedNotice{Notice: notice, Sent: sent, Received: time.Now()})
 }
 
-// TakeWord takes a target's word about itself, heard here or by another daemon, to the blackboard,
-// and to log and metrics where it is news.
-func (r *Recorder) RecordTimedNotice(pool, target string, said forward.TimedNotice) bool {
-	if said.Notice == (forward.Notice{}) || !r.Board.Targets.RecordNotice(target, said) {
+// RecordTimedNotice records a target's notice, received by this or another daemon, on the
+// blackboard. It logs and counts a new notice, and reports whether the notice is new.
+func (r *Recorder) RecordTimedNotice(pool, target string, notice forward.TimedNotice) bool {
+	if notice.Notice == (forward.Notice{}) || !r.Board.Targets.RecordNotice(target, notice) {
 		return false
 	}
-	for word, holds := range map[string]bool{
-		noticeDraining: said.Draining, noticeBackoff: said.Backoff > 0, noticeLimit: said.Limit.Declared, noticeLimitLifted: said.Limit.Lifted,
+	for label, present := range map[string]bool{
+		noticeDraining: notice.Draining, noticeBackoff: notice.Backoff > 0, noticeLimit: notice.Limit.Declared, noticeLimitLifted: notice.Limit.Lifted,
 	} {
-		if holds {
-			r.Metrics.TargetNotices.WithLabelValues(pool, word).Inc()
+		if present {
+			r.Metrics.TargetNotices.WithLabelValues(pool, label).Inc()
 		}
 	}
-	r.Log.Info("target's notice", "target", target, "pool", pool, "leaving", said.Draining, "rest_ms", said.Backoff.Milliseconds(), "limit", said.Limit.String())
+	r.Log.Info("target's notice", "target", target, "pool", pool, "leaving", notice.Draining, "rest_ms", notice.Backoff.Milliseconds(), "limit", notice.Limit.String())
 	return true
 }
--- a/node/telemetry/output.go
+++ b/node/telemetry/output.go
@@ -8,8 +8,8 @@
 	"doorstack.dev/core/admission"
 )
 
-// Output writes log lines without ever blocking whoever logs: lines wait in a bounded
-// queue for one goroutine that writes them, and what finds the queue full is dropped
+// Output writes log lines without blocking the code that logs: lines wait in a bounded
+// queue for a goroutine that writes them, and a line that finds the queue full is dropped
 // and counted.
 type Output struct {
 	lines   chan []byte
@@ -17,10 +17,10 @@
 	done    chan struct{}
 }
 
-// outputQueueSize bounds the lines that wait: some seconds of a busy daemon, about 1 MB.
+// outputQueueSize bounds the lines that wait: some seconds of a busy daemon's log, about 1 MB.
 const outputQueueSize = 2048
 
-// NewOutput starts writing to w.
+// NewOutput returns an Output that writes to w until Close.
 func NewOutput(w io.Writer) *Output {
 	o := &Output{lines: make(chan []byte, outputQueueSize), done: make(chan struct{})}
 	go func() {
@@ -34,7 +34,7 @@
 	return o
 }
 
-// Write implements io.Writer. It always takes the line, or drops it.
+// Write implements io.Writer. It queues or drops the line and never returns an error.
 func (o *Output) Write(p []byte) (int, error) {
 	line := append([]byte(nil), p...)
 	select {
@@ -45,27 +45,27 @@
 	return len(p), nil
 }
 
-// Dropped is the number of lines that could not be written.
+// Dropped returns the number of lines that were dropped or could not be written.
 func (o *Output) Dropped() int64 { return o.dropped.Load() }
 
-// Close writes what waits and ends. Nothing may be logged afterwards.
+// Close writes the queued lines and stops. Write must not be called afterwards.
 func (o *Output) Close() {
 	close(o.lines)
 	<-o.done
 }
 
-// maxRoutineLines bounds the lines a second about requests that went well. Everything
-// else is always written: failures, refusals, and what changes a belief.
+// maxRoutineLines bounds the lines per second about successful requests. All other lines
+// are always logged: failures, refusals, and changes of the daemon's view of hosts and targets.
 const maxRoutineLines = 200
 
-// routineLimiter limits the lines about requests that went well.
+// routineLimiter limits the rate of lines about successful requests.
 type routineLimiter struct{ bucket admission.Bucket }
 
 func newRoutineLimiter(now time.Time) *routineLimiter {
 	return &routineLimiter{bucket: admission.NewBucket(maxRoutineLines, now)}
 }
 
-// take tells whether one more line may be written now.
+// allow reports whether one more line may be logged now.
 func (r *routineLimiter) allow(now time.Time) bool {
 	ok, _ := r.bucket.Take(1, now)
 	return ok
--- a/node/telemetry/output_test.go
+++ b/node/telemetry/output_test.go
@@ -12,8 +12,8 @@
 	"doorstack.dev/node/blackboard"
 )
 
-// TestOutputNeverBlocks: while the reader of the log stands still, logging goes on,
-// and what is lost is counted.
+// TestOutputNeverBlocks checks that logging continues while the reader of the log is stalled, and
+// that the lost lines are counted.
 func TestOutputNeverBlocks(t *testing.T) {
 	reader, writer := io.Pipe()
 	o := NewOutput(writer)
@@ -23,13 +23,13 @@
 		}
 	}
 	if lost := o.Dropped(); lost < outputQueueSize-2 || lost > outputQueueSize {
-		t.Errorf("%d lines were dropped", lost)
+		t.Errorf("Dropped() = %d, want the lines beyond the queue", lost)
 	}
 	go func() { _, _ = io.Copy(io.Discard, reader) }()
 	o.Close()
 }
 
-// TestFailuresAreAlwaysLogged: lines about what went well are bounded, others are not.
+// TestFailuresAreAlwaysLogged checks that only the lines about successful requests are limited.
 func TestFailuresAreAlwaysLogged(t *testing.T) {
 	var log bytes.Buffer
 	board := blackboard.New(blackboard.Identity{Name: "d"}, blackboard.DefaultLimits())
@@ -39,9 +39,9 @@
 		r.Record(decision.Record{Kind: decision.KindAnswer, Outcome: decision.OutcomeComplete, At: at})
 		r.Record(decision.Record{Kind: decision.KindAnswer, Outcome: decision.OutcomeFailed, At: at})
 	}
-	whole := strings.Count(log.String(), `"outcome":"whole"`)
+	complete := strings.Count(log.String(), `"outcome":"whole"`)
 	failed := strings.Count(log.String(), `"outcome":"failed"`)
-	if failed != 10*maxRoutineLines || whole > 2*maxRoutineLines || whole < maxRoutineLines {
-		t.Errorf("%d failures and %d whole answers were logged", failed, whole)
+	if failed != 10*maxRoutineLines || complete > 2*maxRoutineLines || complete < maxRoutineLines {
+		t.Errorf("logged %d failures and %d complete answers, want all failures and a bounded number of answers", failed, complete)
 	}
 }
--- a/node/telemetry/startup.go
+++ b/node/telemetry/startup.go
@@ -2,10 +2,10 @@
 
 import "doorstack.dev/node/blackboard"
 
-// Reach records that the daemon's start has come to a stage, the first time.
+// MarkStage records in metrics and log when the daemon first reaches a stage of its start.
 func (r *Recorder) MarkStage(s blackboard.Stage) {
-	after, news := r.Board.MarkStage(s)
-	if !news {
+	after, first := r.Board.MarkStage(s)
+	if !first {
 		return
 	}
 	r.Metrics.StartStages.WithLabelValues(s.String()).Set(after.Seconds())
--- a/node/telemetry/telemetry.go
+++ b/node/telemetry/telemetry.go
@@ -1,5 +1,7 @@
-// Package telemetry holds the metrics of a daemon and the log line that each
-// decision leaves behind.
+// Package telemetry holds the metrics and the log output of a daemon. Its Recorder puts each
+// decision of the daemon on the blackboard, in the metrics and in the log, where lines about
+// successful requests are limited in rate. Operators read the metrics and the log; the
+// package itself decides only which lines to log.
 package telemetry
 
 import (
@@ -38,26 +40,26 @@
 	ReservationsReleased prometheus.Counter
 	Orders               *prometheus.CounterVec
 	LogLinesOmitted      prometheus.Counter
-	// Lag is how long what arrives waits for the processor.
+	// Lag observes the time, in seconds, that incoming data waits for the CPU.
 	Lag prometheus.Histogram
-	// Crashes counts the sends under which a target's connection ended.
+	// Crashes counts the sends during which the target closed the connection.
 	Crashes *prometheus.CounterVec
-	// Notices counts what targets said of themselves.
+	// TargetNotices counts the new notices of targets about themselves.
 	TargetNotices *prometheus.CounterVec
-	// Start is when the daemon's start came to each stage.
+	// StartStages is the time, in seconds from the process start, to each stage of the start.
 	StartStages *prometheus.GaugeVec
-	// UnreadHeaders counts the headers of targets' answers that nothing reads.
+	// UnknownHeaders counts the unknown headers in targets' answers.
 	UnknownHeaders prometheus.Counter
-	// StoreReturns counts the returns of the platform's store from an older copy.
+	// StoreRestores counts the restores of the platform's store from an older copy.
 	StoreRestores prometheus.Counter
-	// CoordinatorLost counts the questions that a coordinator left unanswered.
+	// CoordinatorLost counts the placement requests that a coordinator did not answer.
 	CoordinatorLost *prometheus.CounterVec
 
-	// traffic holds the counters that Traffic reads, and nothing else.
+	// traffic holds only the counters that Traffic reads.
 	traffic *prometheus.Registry
 }
 
-// lengthClasses are the bounds of the prompt length label, in tokens.
+// lengthClasses are the values of the prompt length label with their upper bounds in tokens.
 var lengthClasses = []struct {
 	below int64
 	label string
@@ -68,7 +70,7 @@
 	{400_000, "100k_400k"},
 }
 
-// LengthClass is the label of a prompt length.
+// LengthClass returns the label value of a prompt length in tokens.
 func LengthClass(tokens int64) string {
 	for _, c := range lengthClasses {
 		if tokens < c.below {
@@ -80,17 +82,17 @@
 
 const namespace = "doorstack"
 
-// The name and labels of the counters of messages between daemons.
+// The names and labels of the counters of messages between daemons.
 const (
 	peerFramesName = "peer_frames_total"
 	labelDirection = "direction"
 	labelKind      = "kind"
-	// DirectionIn and DirectionOut are the values of the direction.
+	// DirectionIn and DirectionOut are the values of the direction label.
 	DirectionIn  = "in"
 	DirectionOut = "out"
 )
 
-// NewMetrics returns the metrics in a registry of their own.
+// NewMetrics returns metrics that are registered in a new registry.
 func NewMetrics() *Metrics {
 	m := &Metrics{
 		Registry:             prometheus.NewRegistry(),
@@ -138,14 +140,14 @@
 	return prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Name: name, Help: help, Buckets: buckets}, []string{label})
 }
 
-// CountDropped serves the number of log lines that could not be written.
+// RegisterDroppedLines registers the counter of dropped log lines, whose value dropped returns.
 func (m *Metrics) RegisterDroppedLines(dropped func() int64) {
 	m.Registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Namespace: namespace, Name: "log_lines_dropped_total", Help: "Log lines that found the queue full or could not be written.",
 	}, func() float64 { return float64(dropped()) }))
 }
 
-// Recorder puts decisions on the blackboard, in the log and in the metrics.
+// Recorder records decisions on the blackboard, in the log and in the metrics.
 type Recorder struct {
 	Board   *blackboard.Blackboard
 	Log     *slog.Logger
@@ -156,7 +158,7 @@
 	unknownHeaders unknownHeaderSet
 }
 
-// Record records a decision.
+// Record records a decision. It sets the daemon's name and, where missing, the time.
 func (r *Recorder) Record(d decision.Record) {
 	d.Daemon = r.Board.Self.Name
 	if d.At.IsZero() {
@@ -171,7 +173,7 @@
 	r.Log.LogAttrs(context.Background(), slog.LevelInfo, "decision", logAttrs(&d)...)
 }
 
-// isRoutine tells whether a decision is one of the many about requests that go well.
+// isRoutine reports whether a decision is one of the many about successful requests.
 func isRoutine(d *decision.Record) bool {
 	switch d.Kind {
 	case decision.KindRoute, decision.KindPlace:
@@ -185,7 +187,7 @@
 	}
 }
 
-// mayLog bounds the lines about requests that go well.
+// allowRoutineLine reports whether one more line about a successful request may be logged.
 func (r *Recorder) allowRoutineLine(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -195,7 +197,7 @@
 	return r.routine.allow(now)
 }
 
-// logAttrs are the fields of the log line: everything but the full list of
+// logAttrs returns the attributes of a decision's log line: everything but the full list of
 // candidates, which "doorstack explain" shows.
 func logAttrs(d *decision.Record) []slog.Attr {
 	list := make([]slog.Attr, 0, 16)
--- a/node/telemetry/traffic.go
+++ b/node/telemetry/traffic.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// Traffic is what a daemon has exchanged with its peers in one kind of message since it started.
+// Traffic counts the frames and bytes of one kind of message that a daemon has exchanged with its
+// peers since it started.
 type Traffic struct {
 	Kind      string `json:"kind"`
 	FramesIn  int64  `json:"frames_in"`
@@ -14,11 +15,10 @@
 	BytesOut  int64  `json:"bytes_out"`
 }
 
-// bytes counts both directions.
+// totalBytes returns the bytes in both directions.
 func (t Traffic) totalBytes() int64 { return t.BytesIn + t.BytesOut }
 
-// Traffic reads the counters of frames and bytes between daemons, the kind with the most bytes
-// first.
+// Traffic returns the traffic with peers by kind of message, the kind with the most bytes first.
 func (m *Metrics) Traffic() ([]Traffic, error) {
 	families, err := m.traffic.Gather()
 	if err != nil {
@@ -49,7 +49,7 @@
 	return list, nil
 }
 
-// counter is the field that a metric with a direction counts in.
+// counter returns the field for a metric and a direction.
 func (t *Traffic) counter(metric, direction string) *int64 {
 	frames := metric == namespace+"_"+peerFramesName
 	switch {
--- a/node/telemetry/traffic_test.go
+++ b/node/telemetry/traffic_test.go
@@ -24,6 +24,6 @@
 		{Kind: "heartbeat", FramesIn: 3, BytesIn: 300, FramesOut: 4, BytesOut: 500},
 	}
 	if !slices.Equal(got, want) {
-		t.Errorf("got %+v, want %+v", got, want)
+		t.Errorf("Traffic() = %+v, want %+v", got, want)
 	}
 }
--- a/node/telemetry/unread.go
+++ b/node/telemetry/unknownheaders.go
@@ -2,16 +2,16 @@
 
 import "sync"
 
-// maxUnknownHeaders bounds the names of headers that are remembered.
+// maxUnknownHeaders bounds the header names in an unknownHeaderSet.
 const maxUnknownHeaders = 64
 
-// unknownHeaderSet remembers the headers of targets' answers that nothing reads.
+// unknownHeaderSet holds the names of the unknown headers seen in targets' answers.
 type unknownHeaderSet struct {
 	mu    sync.Mutex
 	known map[string]bool
 }
 
-// isNew notes a header and tells whether it was not known and is remembered now.
+// add adds a header name and reports whether it is new. It adds none to a full set.
 func (u *unknownHeaderSet) add(name string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -25,8 +25,8 @@
 	return true
 }
 
-// Unread records headers of a target's answer that nothing reads, each name once: targets may be asking for
-// something that the daemons do not follow.
+// RecordUnknownHeaders logs and counts unknown headers in a target's answer, each name once. The target
+// may be asking for something that the daemon does not do.
 func (r *Recorder) RecordUnknownHeaders(pool, target string, names []string) {
 	for _, name := range names {
 		if !r.unknownHeaders.add(name) {
--- a/node/telemetry/unread_test.go
+++ b/node/telemetry/unknownheaders_test.go
@@ -10,7 +10,8 @@
 	"github.com/prometheus/client_golang/prometheus/testutil"
 )
 
-// TestUnknownHeaderIsLoggedOnce: and however many names targets make up, memory is bounded.
+// TestUnknownHeaderIsLoggedOnce checks that a name is logged once, and that the number of names kept is
+// bounded however many targets send.
 func TestUnknownHeaderIsLoggedOnce(t *testing.T) {
 	var out bytes.Buffer
 	r := &Recorder{Log: slog.New(slog.NewJSONHandler(&out, nil)), Metrics: NewMetrics()}
@@ -18,12 +19,12 @@
 		r.RecordUnknownHeaders("llm", "t1", []string{"Server-Mood"})
 	}
 	if n := strings.Count(out.String(), "Server-Mood"); n != 1 {
-		t.Errorf("told %d times", n)
+		t.Errorf("logged the header %d times, want 1", n)
 	}
 	for i := range 10 * maxUnknownHeaders {
 		r.RecordUnknownHeaders("llm", "t1", []string{fmt.Sprint("X-", i)})
 	}
 	if n := testutil.ToFloat64(r.Metrics.UnknownHeaders); n != maxUnknownHeaders {
-		t.Errorf("%v names are remembered", n)
+		t.Errorf("UnknownHeaders = %v, want maxUnknownHeaders", n)
 	}
 }
