--- a/node/internal/soak/backend.go
+++ b/node/internal/soak/backend.go
@@ -15,51 +15,51 @@
 
 // The account of all callers, and its key.
 const (
-	account = "a"
-	key     = "key-of-a"
-	host    = "calls.example"
+	accountName = "a"
+	apiKey      = "key-of-a"
+	callHost    = "calls.example"
 )
 
 // The services of the test configuration.
 const (
-	plain   = "plain"
-	engines = "engines"
+	plainService  = "plain"
+	engineService = "engines"
 )
 
 // Path is a route as callers use it.
 type Path struct {
 	Prefix, Kind, Service string
-	Attempts              int
+	MaxAttempts           int
 	Repeatable            bool
 	// Tokens are the lengths of prompt and answer that callers state.
-	Tokens string
+	TokenCounts string
 	// Allowed is how long callers wait, Goal the time within which an answer is on time.
-	Allowed, Goal time.Duration
+	Timeout, LatencyGoal time.Duration
 	// Streams tells that the answer is a stream of events.
-	Streams bool
+	Streaming bool
 }
 
 // The routes. Answers of large have their prompts' memory spread over several engines.
 var (
-	safePath   = &Path{Prefix: "/safe/", Kind: "safe", Service: plain, Attempts: 2, Repeatable: true, Allowed: 3 * time.Second, Goal: 300 * time.Millisecond}
-	unsafePath = &Path{Prefix: "/unsafe/", Kind: "unsafe", Service: plain, Attempts: 1, Allowed: 3 * time.Second, Goal: 300 * time.Millisecond}
-	streamPath = &Path{Prefix: "/stream/", Kind: "streaming", Service: engines, Attempts: 2, Repeatable: true, Tokens: "2000,100", Allowed: 8 * time.Second, Goal: 300 * time.Millisecond, Streams: true}
-	largePath  = &Path{Prefix: "/large/", Kind: "streaming", Service: engines, Attempts: 2, Repeatable: true, Tokens: "150000,100", Allowed: 12 * time.Second, Goal: 3 * time.Second, Streams: true}
+	safePath   = &Path{Prefix: "/safe/", Kind: "safe", Service: plainService, MaxAttempts: 2, Repeatable: true, Timeout: 3 * time.Second, LatencyGoal: 300 * time.Millisecond}
+	unsafePath = &Path{Prefix: "/unsafe/", Kind: "unsafe", Service: plainService, MaxAttempts: 1, Timeout: 3 * time.Second, LatencyGoal: 300 * time.Millisecond}
+	streamPath = &Path{Prefix: "/stream/", Kind: "streaming", Service: engineService, MaxAttempts: 2, Repeatable: true, TokenCounts: "2000,100", Timeout: 8 * time.Second, LatencyGoal: 300 * time.Millisecond, Streaming: true}
+	largePath  = &Path{Prefix: "/large/", Kind: "streaming", Service: engineService, MaxAttempts: 2, Repeatable: true, TokenCounts: "150000,100", Timeout: 12 * time.Second, LatencyGoal: 3 * time.Second, Streaming: true}
 	paths      = []*Path{safePath, unsafePath, streamPath, largePath}
 )
 
-// events is how many events the answer to a call has.
-func events(id string) int { return 4 + int(rendezvous.Score("events", id)%12) }
+// eventCount is how many events the answer to a call has.
+func eventCount(id string) int { return 4 + int(rendezvous.Score("events", id)%12) }
 
 func eventText(id string, i int) string { return fmt.Sprint(id, " piece ", i) }
 
 // Answer is the whole answer to a call.
 func (p *Path) Answer(id string) string {
-	if !p.Streams {
+	if !p.Streaming {
 		return "answer to " + id
 	}
 	text := ""
-	for i := 1; i <= events(id); i++ {
+	for i := 1; i <= eventCount(id); i++ {
 		text += standin.EventText(i, eventText(id, i))
 	}
 	return text
@@ -67,45 +67,45 @@
 
 // backend is a target with the link before it.
 type backend struct {
-	target  *standin.Target
-	service string
-	link    *Link
-	seen    *ledger
+	target     *standin.Target
+	service    string
+	link       *Link
+	executions *executionLog
 
-	mu    sync.Mutex
-	fails bool
+	mu             sync.Mutex
+	injectFailures bool
 	// leaves and rests are what the target says of itself in its answers.
-	leaves, rests bool
+	announceDraining, requestBackoff bool
 	// limit is the limit that it names; nil where it names none.
-	limit *float64
+	rateLimit *float64
 }
 
-// ledger is what targets have seen.
-type ledger struct {
-	mu   sync.Mutex
-	runs map[string][]*Run
+// executionLog is what targets have seen.
+type executionLog struct {
+	mu     sync.Mutex
+	byCall map[string][]*Execution
 }
 
-func (l *ledger) begin(r Run) *Run {
+func (l *executionLog) add(r Execution) *Execution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	run := &r
-	l.runs[r.ID] = append(l.runs[r.ID], run)
+	l.byCall[r.ID] = append(l.byCall[r.ID], run)
 	return run
 }
 
-func (l *ledger) note(change func()) {
+func (l *executionLog) update(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change()
 }
 
 // list copies the runs.
-func (l *ledger) list() map[string][]Run {
+func (l *executionLog) list() map[string][]Execution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	all := map[string][]Run{}
-	for id, runs := range l.runs {
+	all := map[string][]Execution{}
+	for id, runs := range l.byCall {
 		for _, r := range runs {
 			all[id] = append(all[id], *r)
 		}
@@ -113,55 +113,55 @@
 	return all
 }
 
-func newBackend(id, service string, seen *ledger) (*backend, error) {
+func newBackend(id, service string, seen *executionLog) (*backend, error) {
 	address, err := testaddr.Find()
 	if err != nil {
 		return nil, err
 	}
-	b := &backend{target: standin.NewTarget(id), service: service, seen: seen}
+	b := &backend{target: standin.NewTarget(id), service: service, executions: seen}
 	b.target.Script(b.serve)
 	b.link, err = NewLink(address, b.target.Address())
 	return b, err
 }
 
-func (b *backend) setFails(fails bool) {
+func (b *backend) setInjectFailures(fails bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fails = fails
+	b.injectFailures = fails
 }
 
-func (b *backend) failing() bool {
+func (b *backend) injectsFailures() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.fails
+	return b.injectFailures
 }
 
-// How an answer is made: a plain one takes workMost at most, events come eventEvery.
+// How an answer is made: a plain one takes maxWorkTime at most, events come eventInterval.
 const (
-	workMost   = 60 * time.Millisecond
-	eventEvery = 15 * time.Millisecond
+	maxWorkTime   = 60 * time.Millisecond
+	eventInterval = 15 * time.Millisecond
 )
 
 // serve answers a call, or fails in one of the ways in which targets do.
 func (b *backend) serve(w http.ResponseWriter, r *http.Request, c standin.Call) {
-	run := b.seen.begin(Run{ID: c.ID, Target: b.target.ID, Service: b.service, Account: c.Account(), Key: c.APIKey(), At: time.Now(), After: c.LastEventID()})
-	defer b.seen.note(func() { run.Ended = time.Now() })
-	if strings.HasPrefix(c.Body, crashBody) {
-		b.seen.note(func() { run.Crashed = true })
+	run := b.executions.add(Execution{ID: c.ID, Target: b.target.ID, Service: b.service, Account: c.Account(), APIKey: c.APIKey(), Started: time.Now(), LastEvent: c.LastEventID()})
+	defer b.executions.update(func() { run.Ended = time.Now() })
+	if strings.HasPrefix(c.Body, crashBodyPrefix) {
+		b.executions.update(func() { run.Crashed = true })
 		b.crash(w, r, c)
 		return
 	}
-	if b.speak(w, run) {
+	if b.writeNotices(w, run) {
 		standin.Reject(w, r, c)
 		return
 	}
 	way := 1.0
-	if b.failing() {
+	if b.injectsFailures() {
 		way = rand.Float64()
 	}
 	switch {
 	case way < 0.15:
-		b.seen.note(func() { run.TurnedAway = true })
+		b.executions.update(func() { run.Rejected = true })
 		standin.Reject(w, r, c)
 	case way < 0.3:
 		standin.Answer(http.StatusInternalServerError, "broken")(w, r, c)
@@ -169,11 +169,11 @@
 		standin.CloseConnection(w, r, c)
 	case way < 0.6:
 		<-r.Context().Done() // It hangs.
-	case b.service == engines:
+	case b.service == engineService:
 		b.stream(w, r, c, way < 0.8)
 	default:
 		select {
-		case <-time.After(rand.N(workMost)):
+		case <-time.After(rand.N(maxWorkTime)):
 		case <-r.Context().Done():
 			return
 		}
@@ -182,7 +182,7 @@
 }
 
 func (b *backend) stream(w http.ResponseWriter, r *http.Request, c standin.Call, breaks bool) {
-	s := standin.EventStream{From: 1, To: events(c.ID), Interval: eventEvery, Text: func(i int) string { return eventText(c.ID, i) }}
+	s := standin.EventStream{From: 1, To: eventCount(c.ID), Interval: eventInterval, Text: func(i int) string { return eventText(c.ID, i) }}
 	if after := c.LastEventID(); after != "" {
 		if _, err := fmt.Sscan(after, &s.From); err != nil {
 			panic(http.ErrAbortHandler) // A daemon that asks for no event gets no answer.
--- a/node/internal/soak/caller.go
+++ b/node/internal/soak/caller.go
@@ -11,27 +11,27 @@
 	"doorstack.dev/platform/standin"
 )
 
-// diary is what callers have seen.
-type diary struct {
-	mu    sync.Mutex
-	calls []Call
-	next  int
+// callLog is what callers have seen.
+type callLog struct {
+	mu         sync.Mutex
+	calls      []Call
+	lastNumber int
 }
 
-func (d *diary) id() string {
+func (d *callLog) newID() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.next++
-	return fmt.Sprint("call-", d.next)
+	d.lastNumber++
+	return fmt.Sprint("call-", d.lastNumber)
 }
 
-func (d *diary) add(c Call) {
+func (d *callLog) add(c Call) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.calls = append(d.calls, c)
 }
 
-func (d *diary) list() []Call {
+func (d *callLog) list() []Call {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]Call(nil), d.calls...)
@@ -44,74 +44,74 @@
 }
 
 // call makes one sound request to a daemon and writes it down.
-func (w *world) call(ctx context.Context, client *http.Client, daemon int, path *Path, route int) Call {
-	return w.callOf(ctx, client, daemon, path, route, "a body")
+func (w *testbed) call(ctx context.Context, client *http.Client, daemon int, path *Path, route int) Call {
+	return w.callWithBody(ctx, client, daemon, path, route, "a body")
 }
 
-func (w *world) callOf(ctx context.Context, client *http.Client, daemon int, path *Path, route int, body string) Call {
+func (w *testbed) callWithBody(ctx context.Context, client *http.Client, daemon int, path *Path, route int, body string) Call {
 	ask := &standin.CallerRequest{
-		Daemon: w.daemons[daemon].front.Address(), Host: host, Path: path.Prefix + "x", ID: w.diary.id(), APIKey: key,
-		TokenCounts: path.Tokens, DeadlineMS: int(path.Allowed.Milliseconds()), Body: body,
+		Daemon: w.daemons[daemon].frontend.Address(), Host: callHost, Path: path.Prefix + "x", ID: w.calls.newID(), APIKey: apiKey,
+		TokenCounts: path.TokenCounts, DeadlineMS: int(path.Timeout.Milliseconds()), Body: body,
 	}
 	if route > 0 {
-		ask.Path = passing(route) + "x"
+		ask.Path = temporaryPrefix(route) + "x"
 	}
-	c := Call{ID: ask.ID, Daemon: daemon, Path: path, Route: route, Sent: time.Now(), Allowed: path.Allowed, Asked: body}
+	c := Call{ID: ask.ID, Daemon: daemon, Path: path, Route: route, Sent: time.Now(), Timeout: path.Timeout, RequestBody: body}
 	got := ask.Do(ctx, client)
 	c.Done = time.Now()
-	c.Left = ctx.Err() != nil
-	c.Status, c.Body, c.Whole, c.Again = got.Status, got.Body, got.Err == nil, got.RetryAfter() != ""
-	w.diary.add(c)
+	c.Disconnected = ctx.Err() != nil
+	c.Status, c.Body, c.Complete, c.HasRetryAfter = got.Status, got.Body, got.Err == nil, got.RetryAfter() != ""
+	w.calls.add(c)
 	return c
 }
 
 // How callers behave: some leave early, each stays with a daemon for a while, and a
 // balancer sends new ones to daemons that were ready when last asked.
 const (
-	callers     = 24
-	leaveShare  = 0.05
-	leaveAfter  = 60 * time.Millisecond
-	stayLongest = 2 * time.Second
-	thinkMost   = 40 * time.Millisecond
-	routeShare  = 0.2
-	largeShare  = 0.03
+	callerCount         = 24
+	disconnectShare     = 0.05
+	disconnectAfter     = 60 * time.Millisecond
+	maxStay             = 2 * time.Second
+	maxThinkTime        = 40 * time.Millisecond
+	temporaryRouteShare = 0.2
+	largeShare          = 0.03
 	// giveUpAfter is how long past its time a caller listens before it gives up.
 	giveUpAfter = 3 * time.Second
 )
 
 // run is a caller's life until ctx ends.
-func (w *world) caller(ctx context.Context) {
+func (w *testbed) runCaller(ctx context.Context) {
 	for ctx.Err() == nil {
 		client := newClient()
-		daemon := w.pickReady()
-		stay := time.Now().Add(rand.N(stayLongest))
+		daemon := w.pickReadyDaemon()
+		stay := time.Now().Add(rand.N(maxStay))
 		for time.Now().Before(stay) && ctx.Err() == nil {
 			path, route := w.pickPath()
-			own, cancel := context.WithTimeout(context.WithoutCancel(ctx), path.Allowed+giveUpAfter)
-			if rand.Float64() < leaveShare {
-				own, cancel = context.WithTimeout(context.WithoutCancel(ctx), leaveAfter)
+			own, cancel := context.WithTimeout(context.WithoutCancel(ctx), path.Timeout+giveUpAfter)
+			if rand.Float64() < disconnectShare {
+				own, cancel = context.WithTimeout(context.WithoutCancel(ctx), disconnectAfter)
 			}
 			w.call(own, client, daemon, path, route)
 			cancel()
-			pause(ctx, rand.N(thinkMost))
+			sleep(ctx, rand.N(maxThinkTime))
 		}
 		client.CloseIdleConnections()
 	}
 }
 
-func (w *world) pickPath() (*Path, int) {
+func (w *testbed) pickPath() (*Path, int) {
 	switch draw := rand.Float64(); {
-	case draw < routeShare:
-		return safePath, w.pickRoute()
-	case draw < routeShare+largeShare:
+	case draw < temporaryRouteShare:
+		return safePath, w.pickTemporaryRoute()
+	case draw < temporaryRouteShare+largeShare:
 		return largePath, 0
 	default:
 		return paths[rand.IntN(3)], 0
 	}
 }
 
-// pause waits, unless ctx ends first.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits, unless ctx ends first.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/node/internal/soak/limits_test.go
+++ b/node/internal/soak/limits_test.go
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// limitedRuns are calls of two daemons at a target that names a limit, so many a second.
-func limitedRuns(perSecond float64, seconds int, each int) *Record {
-	r := &Record{Runs: map[string][]Run{}}
+// rateLimitedRecord are calls of two daemons at a target that names a limit, so many a second.
+func rateLimitedRecord(perSecond float64, seconds int, each int) *Record {
+	r := &Record{Executions: map[string][]Execution{}}
 	for i := range seconds * each {
 		for daemon := range 2 {
 			id := fmt.Sprint(daemon, "-", i)
-			sent := at(float64(i) / float64(each))
-			run := Run{ID: id, Target: "t1", Service: safePath.Service, Account: account, At: sent, Ended: sent.Add(10 * time.Millisecond), Limit: &perSecond}
-			c := Call{ID: id, Daemon: daemon, Path: safePath, Sent: sent, Done: run.Ended, Allowed: safePath.Allowed, Status: 200, Whole: true, Body: safePath.Answer(id)}
-			r.Calls, r.Runs[id] = append(r.Calls, c), []Run{run}
+			sent := timeAt(float64(i) / float64(each))
+			run := Execution{ID: id, Target: "t1", Service: safePath.Service, Account: accountName, Started: sent, Ended: sent.Add(10 * time.Millisecond), RateLimit: &perSecond}
+			c := Call{ID: id, Daemon: daemon, Path: safePath, Sent: sent, Done: run.Ended, Timeout: safePath.Timeout, Status: 200, Complete: true, Body: safePath.Answer(id)}
+			r.Calls, r.Executions[id] = append(r.Calls, c), []Execution{run}
 		}
 	}
 	return r
 }
 
-// TestJudgeSeesATargetThatGetsMoreThanItsLimit: in a window, by daemons that were told.
-func TestJudgeSeesATargetThatGetsMoreThanItsLimit(t *testing.T) {
+// TestJudgeChecksRateLimits: in a window, by daemons that were told.
+func TestJudgeChecksRateLimits(t *testing.T) {
 	for name, c := range map[string]struct {
 		record  *Record
 		change  func(*Record)
 		violate bool
 	}{
-		"within":         {limitedRuns(2, 9, 1), nil, false},
-		"over":           {limitedRuns(1, 9, 2), nil, true},
-		"still learning": {limitedRuns(1, 3, 10), nil, false},
-		"nobody was told": {limitedRuns(1, 9, 2), func(r *Record) {
+		"within":         {rateLimitedRecord(2, 9, 1), nil, false},
+		"over":           {rateLimitedRecord(1, 9, 2), nil, true},
+		"still learning": {rateLimitedRecord(1, 3, 10), nil, false},
+		"nobody was told": {rateLimitedRecord(1, 9, 2), func(r *Record) {
 			for i := range r.Calls {
 				r.Calls[i].Status = 500
 			}
 		}, false},
-		"a daemon stopped": {limitedRuns(1, 9, 2), func(r *Record) { r.Disturbances = []Disturbance{{at(3), at(9), Kill, 0, ""}} }, false},
+		"a daemon stopped": {rateLimitedRecord(1, 9, 2), func(r *Record) { r.Disturbances = []Disturbance{{timeAt(3), timeAt(9), Kill, 0, ""}} }, false},
 	} {
 		if c.change != nil {
 			c.change(c.record)
--- a/node/internal/soak/link.go
+++ b/node/internal/soak/link.go
@@ -16,9 +16,9 @@
 // The faults.
 const (
 	// Fine links carry everything at once.
-	Fine Fault = iota
-	// Late links hold each piece back for lateBy.
-	Late
+	NoFault Fault = iota
+	// Late links hold each piece back for linkDelay.
+	Delayed
 	// Silent links carry nothing either way, and take new connections.
 	Silent
 	// OneWay links carry nothing back from the server.
@@ -27,8 +27,8 @@
 	Refusing
 )
 
-// lateBy is many times the way between data centres, and a third of the shortest goal.
-const lateBy = 100 * time.Millisecond
+// linkDelay is many times the way between data centres, and a third of the shortest goal.
+const linkDelay = 100 * time.Millisecond
 
 // Link is a loopback proxy between clients and one server, on which faults are put.
 type Link struct {
@@ -73,7 +73,7 @@
 	defer l.mu.Unlock()
 	for c := range l.conns {
 		if rand.Float64() < share {
-			reset(c)
+			closeWithReset(c)
 		}
 	}
 }
@@ -95,58 +95,58 @@
 }
 
 func (l *Link) serve(client net.Conn) {
-	defer l.forget(client)
-	if !l.remember(client) {
+	defer l.untrack(client)
+	if !l.track(client) {
 		return
 	}
 	server, err := net.Dial("tcp4", l.server)
 	if err != nil {
-		reset(client) // As a port without a listener does.
+		closeWithReset(client) // As a port without a listener does.
 		return
 	}
-	defer l.forget(server)
-	if !l.remember(server) {
+	defer l.untrack(server)
+	if !l.track(server) {
 		return
 	}
 	var both sync.WaitGroup
-	both.Go(func() { l.carry(server, client, false) })
-	both.Go(func() { l.carry(client, server, true) })
+	both.Go(func() { l.forward(server, client, false) })
+	both.Go(func() { l.forward(client, server, true) })
 	both.Wait()
 }
 
 // carry copies one direction until its end, and passes the end on.
-func (l *Link) carry(to, from net.Conn, back bool) {
+func (l *Link) forward(to, from net.Conn, back bool) {
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			l.hold(back)
+			l.awaitPassage(back)
 			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
-				reset(from)
+				closeWithReset(from)
 				return
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			l.hold(back)
+			l.awaitPassage(back)
 			_ = to.(*net.TCPConn).CloseWrite() // Fails where the other side has gone too.
 			return
 		}
 		if err != nil {
-			reset(to)
+			closeWithReset(to)
 			return
 		}
 	}
 }
 
-// hold waits while the link's fault holds this direction back.
-func (l *Link) hold(back bool) {
+// holdTime waits while the link's fault holds this direction back.
+func (l *Link) awaitPassage(back bool) {
 	for {
 		l.mu.Lock()
 		fault, changed := l.fault, l.changed
 		l.mu.Unlock()
 		switch {
-		case fault == Late:
-			<-time.After(lateBy)
+		case fault == Delayed:
+			<-time.After(linkDelay)
 			return
 		case fault == Silent, fault == OneWay && back:
 			<-changed
@@ -156,26 +156,26 @@
 	}
 }
 
-func (l *Link) remember(c net.Conn) bool {
+func (l *Link) track(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.fault == Refusing {
-		reset(c)
+		closeWithReset(c)
 		return false
 	}
 	l.conns[c] = true
 	return true
 }
 
-func (l *Link) forget(c net.Conn) {
+func (l *Link) untrack(c net.Conn) {
 	l.mu.Lock()
 	delete(l.conns, c)
 	l.mu.Unlock()
 	_ = c.Close()
 }
 
-// reset closes a connection so that its other side sees a reset.
-func reset(c net.Conn) {
+// closeWithReset closes a connection so that its other side sees a reset.
+func closeWithReset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
--- a/node/internal/soak/link_test.go
+++ b/node/internal/soak/link_test.go
@@ -11,8 +11,8 @@
 	"github.com/go-faster/errors"
 )
 
-// echo starts a server that returns each line, and a link before it.
-func echo(t *testing.T) (*Link, func() net.Conn) {
+// newEchoLink starts a server that returns each line, and a link before it.
+func newEchoLink(t *testing.T) (*Link, func() net.Conn) {
 	t.Helper()
 	server, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -42,8 +42,8 @@
 	}
 }
 
-// says writes a line and tells whether it comes back within the time.
-func says(c net.Conn, within time.Duration) bool {
+// echoes writes a line and tells whether it comes back within the time.
+func echoes(c net.Conn, within time.Duration) bool {
 	if _, err := io.WriteString(c, "line\n"); err != nil {
 		return false
 	}
@@ -53,8 +53,8 @@
 }
 
 const (
-	soon = 10 * time.Second
-	hold = 50 * time.Millisecond
+	echoTimeout = 10 * time.Second
+	holdTime    = 50 * time.Millisecond
 )
 
 // refusedDials is how many callers meet a refusing link. Few see the reset while they still
@@ -73,55 +73,55 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
-	if says(c, soon) {
+	if echoes(c, echoTimeout) {
 		t.Error("a refusing link carries something on a new connection")
 	}
 }
 
-func TestLinks(t *testing.T) {
-	l, dial := echo(t)
+func TestLinkFaults(t *testing.T) {
+	l, dial := newEchoLink(t)
 	open := dial()
-	if !says(open, soon) {
+	if !echoes(open, echoTimeout) {
 		t.Fatal("a fine link carries nothing")
 	}
 	for _, f := range []Fault{Silent, OneWay} {
 		l.Set(f)
 		c := dial()
-		if says(c, hold) {
+		if echoes(c, holdTime) {
 			t.Errorf("fault %d: a line came back", f)
 		}
-		l.Set(Fine)
-		_ = c.SetReadDeadline(time.Now().Add(soon))
+		l.Set(NoFault)
+		_ = c.SetReadDeadline(time.Now().Add(echoTimeout))
 		if line, err := bufio.NewReader(c).ReadString('\n'); err != nil || line != "line\n" {
 			t.Errorf("fault %d: what was held back is lost: %q %v", f, line, err)
 		}
 	}
-	l.Set(Late)
+	l.Set(Delayed)
 	began := time.Now()
-	if !says(open, soon) || time.Since(began) < 2*lateBy {
+	if !echoes(open, echoTimeout) || time.Since(began) < 2*linkDelay {
 		t.Errorf("a late link took %v", time.Since(began))
 	}
 	l.Set(Refusing)
-	if says(open, soon) {
+	if echoes(open, echoTimeout) {
 		t.Error("a refusing link carries something on a connection that was open")
 	}
 	for range refusedDials {
 		refusedDial(t, l)
 	}
-	l.Set(Fine)
+	l.Set(NoFault)
 	again := dial()
-	if !says(again, soon) {
+	if !echoes(again, echoTimeout) {
 		t.Error("the link does not come back")
 	}
 	l.Reset(1)
-	if says(again, soon) {
+	if echoes(again, echoTimeout) {
 		t.Error("a connection that was reset carries something")
 	}
 }
 
-// TestEndsPass: the end of one side reaches the other, in order.
-func TestEndsPass(t *testing.T) {
-	_, dial := echo(t)
+// TestLinkPropagatesClose: the end of one side reaches the other, in order.
+func TestLinkPropagatesClose(t *testing.T) {
+	_, dial := newEchoLink(t)
 	c := dial()
 	if _, err := io.WriteString(c, "all"); err != nil {
 		t.Fatal(err)
--- a/node/internal/soak/process.go
+++ b/node/internal/soak/process.go
@@ -16,26 +16,26 @@
 	"doorstack.dev/platform/standin"
 )
 
-// grace is how long a daemon that is asked to end may take.
-const grace = 8 * time.Second
+// shutdownTimeout is how long a daemon that is asked to end may take.
+const shutdownTimeout = 8 * time.Second
 
 // process is a daemon that is started again whenever it ends.
 type process struct {
-	number  int
-	program string
-	boot    standin.Boot
-	file    string // the settings file
-	metrics string // the port for operators
-	front   *Link  // what callers connect to
-	log     *os.File
+	index        int
+	program      string
+	boot         standin.Boot
+	settingsFile string // the settings file
+	metricsPort  string // the port for operators
+	frontend     *Link  // what callers connect to
+	log          *os.File
 
 	// work is held while the process is ended, paused or started.
-	work sync.Mutex
+	controlMu sync.Mutex
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	exited chan struct{}
-	starts []time.Time
+	mu         sync.Mutex
+	cmd        *exec.Cmd
+	exited     chan struct{}
+	startTimes []time.Time
 }
 
 // newProcess prepares a daemon; its log goes to dir.
@@ -53,28 +53,28 @@
 	}
 	name := fmt.Sprint("d", number+1)
 	p := &process{
-		number: number, program: program, metrics: metrics, file: filepath.Join(dir, name+".toml"),
+		index: number, program: program, metricsPort: metrics, settingsFile: filepath.Join(dir, name+".toml"),
 		boot: standin.Boot{
 			Name: name, IP: ip, DataCentre: fmt.Sprint("z", number%2+1), CallerAddress: addresses[0], ReadyAddress: addresses[1],
 			PeerAddress: peers, Seeds: seeds, StoreAddress: store,
 		},
 	}
-	if p.front, err = NewLink(addresses[3], p.boot.CallerAddress); err != nil {
+	if p.frontend, err = NewLink(addresses[3], p.boot.CallerAddress); err != nil {
 		return nil, err
 	}
 	if p.log, err = os.Create(filepath.Join(dir, name+".log")); err != nil {
 		return nil, err
 	}
-	if err := os.WriteFile(p.file, []byte(p.boot.Text()), 0o600); err != nil {
+	if err := os.WriteFile(p.settingsFile, []byte(p.boot.Text()), 0o600); err != nil {
 		return nil, err
 	}
 	return p, p.start()
 }
 
-// start begins the process.
+// recordStart begins the process.
 func (p *process) start() error {
-	cmd := exec.Command(p.program, "--platform", "--metrics", p.metrics)
-	cmd.Env = append(os.Environ(), standin.BootEnvironment(p.file))
+	cmd := exec.Command(p.program, "--platform", "--metrics", p.metricsPort)
+	cmd.Env = append(os.Environ(), standin.BootEnvironment(p.settingsFile))
 	cmd.Stdout, cmd.Stderr = p.log, p.log
 	if err := cmd.Start(); err != nil {
 		return err
@@ -82,7 +82,7 @@
 	exited := make(chan struct{})
 	p.mu.Lock()
 	p.cmd, p.exited = cmd, exited
-	p.starts = append(p.starts, time.Now())
+	p.startTimes = append(p.startTimes, time.Now())
 	p.mu.Unlock()
 	go func() {
 		_ = cmd.Wait() // How it ended shows in its log; what matters is that it did.
@@ -104,12 +104,12 @@
 }
 
 // end asks the process to end, with a kill when the grace is over, and waits for that.
-func (p *process) end(s syscall.Signal) {
+func (p *process) stop(s syscall.Signal) {
 	proc, exited := p.running()
 	_ = proc.Signal(s)
 	select {
 	case <-exited:
-	case <-time.After(grace):
+	case <-time.After(shutdownTimeout):
 		_ = proc.Kill()
 		<-exited
 	}
@@ -123,7 +123,7 @@
 	if err != nil {
 		return false
 	}
-	resp, err := readiness.Do(req)
+	resp, err := readinessClient.Do(req)
 	if err != nil {
 		return false
 	}
@@ -131,8 +131,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// readiness asks on a new connection each time, as a balancer does.
-var readiness = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+// readinessClient asks on a new connection each time, as a balancer does.
+var readinessClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
 // awaitReady waits until the daemon is ready, or ctx ends. A process that ends meanwhile is
 // started again, as a platform does: a signal may come before the program takes signals.
@@ -145,7 +145,7 @@
 		case <-ctx.Done():
 			return false
 		case <-exited:
-			pause(ctx, startAgain)
+			sleep(ctx, restartDelay)
 			if err := p.start(); err != nil {
 				panic(err) // The program is there: it ran before.
 			}
@@ -158,7 +158,7 @@
 // close ends the process for good.
 func (p *process) close() {
 	p.signal(syscall.SIGCONT)
-	p.end(syscall.SIGKILL)
-	p.front.Close()
+	p.stop(syscall.SIGKILL)
+	p.frontend.Close()
 	_ = p.log.Close()
 }
--- a/node/internal/soak/world.go
+++ b/node/internal/soak/world.go
@@ -18,56 +18,56 @@
 // Size is how many processes and stand-ins a run has.
 type Size struct{ Daemons, Plain, Engines int }
 
-// world is a run: the daemons and everything around them.
-type world struct {
-	dir     string
-	store   *standin.Store
-	door    *standin.Endpoint
-	toStore *Link
-	daemons []*process
-	seen    *ledger
-	diary   *diary
-
-	mu           sync.Mutex
-	backends     []*backend // those that are listed, the oldest first
-	gone         []*backend // those that have left
-	made         int
-	version      int
-	config       standin.Config // the newest
-	published    []Published
-	disturbances []Disturbance
-	isReady      []bool
+// testbed is a run: the daemons and everything around them.
+type testbed struct {
+	dir           string
+	store         *standin.Store
+	storeEndpoint *standin.Endpoint
+	storeLink     *Link
+	daemons       []*process
+	executions    *executionLog
+	calls         *callLog
+
+	mu             sync.Mutex
+	backends       []*backend // those that are listed, the oldest first
+	removed        []*backend // those that have left
+	targetsCreated int
+	version        int
+	config         standin.Config // the newest
+	published      []PublishedConfig
+	disturbances   []Disturbance
+	inRotation     []bool
 }
 
 // The passing routes: each configuration adds one, and keeps the last few.
-const keptRoutes = 3
+const temporaryRoutes = 3
 
-func passing(route int) string { return fmt.Sprintf("/passing/%d/", route) }
+func temporaryPrefix(route int) string { return fmt.Sprintf("/passing/%d/", route) }
 
-// newWorld starts everything and returns when all daemons serve.
-func newWorld(ctx context.Context, dir, program string, size Size) (*world, error) {
-	w := &world{
-		dir: dir, store: standin.NewStore(), seen: &ledger{runs: map[string][]*Run{}}, diary: &diary{},
-		isReady: make([]bool, size.Daemons),
+// newTestbed starts everything and returns when all daemons serve.
+func newTestbed(ctx context.Context, dir, program string, size Size) (*testbed, error) {
+	w := &testbed{
+		dir: dir, store: standin.NewStore(), executions: &executionLog{byCall: map[string][]*Execution{}}, calls: &callLog{},
+		inRotation: make([]bool, size.Daemons),
 	}
-	w.door = w.store.OpenEndpoint()
+	w.storeEndpoint = w.store.OpenEndpoint()
 	address, err := testaddr.Find()
 	if err != nil {
 		return nil, err
 	}
-	if w.toStore, err = NewLink(address, w.door.Address()); err != nil {
+	if w.storeLink, err = NewLink(address, w.storeEndpoint.Address()); err != nil {
 		return nil, err
 	}
 	for i := range size.Plain + size.Engines {
-		service := plain
+		service := plainService
 		if i >= size.Plain {
-			service = engines
+			service = engineService
 		}
-		if err := w.join(service); err != nil {
+		if err := w.addTarget(service); err != nil {
 			return w, err
 		}
 	}
-	w.publish()
+	w.publishNextConfig()
 	var peers []string
 	for range size.Daemons {
 		address, err := testaddr.Find()
@@ -77,7 +77,7 @@
 		peers = append(peers, address)
 	}
 	for i := range size.Daemons {
-		p, err := newProcess(i, dir, program, peers[:min(3, len(peers))], peers[i], w.toStore.Address())
+		p, err := newProcess(i, dir, program, peers[:min(3, len(peers))], peers[i], w.storeLink.Address())
 		if err != nil {
 			return w, err
 		}
@@ -92,41 +92,41 @@
 }
 
 // join adds a target to a service.
-func (w *world) join(service string) error {
+func (w *testbed) addTarget(service string) error {
 	w.mu.Lock()
-	w.made++
-	id := fmt.Sprint("t", w.made)
+	w.targetsCreated++
+	id := fmt.Sprint("t", w.targetsCreated)
 	w.mu.Unlock()
-	b, err := newBackend(id, service, w.seen)
+	b, err := newBackend(id, service, w.executions)
 	if err != nil {
 		return err
 	}
 	w.mu.Lock()
 	w.backends = append(w.backends, b)
 	w.mu.Unlock()
-	w.store.PutTargetWithStart(b.target, b.link.Address(), service, slots)
+	w.store.PutTargetWithStart(b.target, b.link.Address(), service, targetSlots)
 	return nil
 }
 
-// slots is how many calls a target works on at once.
-const slots = 16
+// targetSlots is how many calls a target works on at once.
+const targetSlots = 16
 
 // publish puts the next configuration in force: one passing route comes, the oldest goes.
-func (w *world) publish() {
+func (w *testbed) publishNextConfig() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.version++
-	p := Published{First: max(1, w.version-keptRoutes+1), Last: w.version}
+	p := PublishedConfig{FirstRoute: max(1, w.version-temporaryRoutes+1), LastRoute: w.version}
 	c := standin.Config{
 		Version:  w.version,
-		Services: []standin.Service{{Name: plain}, {Name: engines, Engine: standin.Engine(100_000)}},
-		Tenants:  []standin.Tenant{{Name: account, APIKeys: []string{key}}},
+		Services: []standin.Service{{Name: plainService}, {Name: engineService, Engine: standin.Engine(100_000)}},
+		Tenants:  []standin.Tenant{{Name: accountName, APIKeys: []string{apiKey}}},
 	}
 	for _, path := range paths {
-		c.Routes = append(c.Routes, path.route(path.Prefix))
+		c.Routes = append(c.Routes, path.configRoute(path.Prefix))
 	}
-	for n := p.First; n <= p.Last; n++ {
-		c.Routes = append(c.Routes, safePath.route(passing(n)))
+	for n := p.FirstRoute; n <= p.LastRoute; n++ {
+		c.Routes = append(c.Routes, safePath.configRoute(temporaryPrefix(n)))
 	}
 	w.config = c
 	w.store.PutConfig(c)
@@ -135,45 +135,45 @@
 }
 
 // route is the path's form in a configuration, under a prefix.
-func (p *Path) route(prefix string) standin.Route {
+func (p *Path) configRoute(prefix string) standin.Route {
 	r := standin.Route{
-		Name: "r" + prefix, Host: host, Prefix: prefix, Kind: p.Kind, Service: p.Service, MaxAttempts: p.Attempts,
-		TimeoutMS: int(p.Allowed.Milliseconds()), TargetLatencyMS: int(p.Goal.Milliseconds()),
+		Name: "r" + prefix, Host: callHost, Prefix: prefix, Kind: p.Kind, Service: p.Service, MaxAttempts: p.MaxAttempts,
+		TimeoutMS: int(p.Timeout.Milliseconds()), TargetLatencyMS: int(p.LatencyGoal.Milliseconds()),
 	}
-	if p.Streams {
-		r.Resumable, r.GapGoalMS = true, float64(p.Goal.Milliseconds())
+	if p.Streaming {
+		r.Resumable, r.GapGoalMS = true, float64(p.LatencyGoal.Milliseconds())
 	}
 	return r
 }
 
 // pickRoute draws a passing route that is in force, about to come or just gone.
-func (w *world) pickRoute() int {
+func (w *testbed) pickTemporaryRoute() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return max(1, w.version+1-rand.IntN(keptRoutes+2))
+	return max(1, w.version+1-rand.IntN(temporaryRoutes+2))
 }
 
 // pickReady draws a daemon that was ready when it was last asked, or any if none was.
-func (w *world) pickReady() int {
+func (w *testbed) pickReadyDaemon() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var list []int
-	for i, ready := range w.isReady {
+	for i, ready := range w.inRotation {
 		if ready {
 			list = append(list, i)
 		}
 	}
 	if len(list) == 0 {
-		return rand.IntN(len(w.isReady))
+		return rand.IntN(len(w.inRotation))
 	}
 	return list[rand.IntN(len(list))]
 }
 
-// askEvery is how often the balancer asks who is ready; two misses take a daemon out.
-const askEvery = time.Second
+// readinessInterval is how often the balancer asks who is ready; two misses take a daemon out.
+const readinessInterval = time.Second
 
 // balance keeps the list of the daemons that are ready.
-func (w *world) balance(ctx context.Context) {
+func (w *testbed) pollReadiness(ctx context.Context) {
 	misses := make([]int, len(w.daemons))
 	for ctx.Err() == nil {
 		for i, p := range w.daemons {
@@ -183,24 +183,24 @@
 				misses[i]++
 			}
 			w.mu.Lock()
-			w.isReady[i] = misses[i] < 2
+			w.inRotation[i] = misses[i] < 2
 			w.mu.Unlock()
 		}
-		pause(ctx, askEvery)
+		sleep(ctx, readinessInterval)
 	}
 }
 
 // disturb notes that something is wrong, until the returned function is called.
-func (w *world) disturb(k Kind, daemon int) (over func()) {
-	return w.note(Disturbance{Kind: k, Daemon: daemon})
+func (w *testbed) beginDisturbance(k Kind, daemon int) (over func()) {
+	return w.recordDisturbance(Disturbance{Kind: k, Daemon: daemon})
 }
 
 // disturbTarget notes that something is wrong with one target, as all daemons see it.
-func (w *world) disturbTarget(k Kind, b *backend) (over func()) {
-	return w.note(Disturbance{Kind: k, Daemon: everywhere, Target: b.target.ID})
+func (w *testbed) beginTargetDisturbance(k Kind, b *backend) (over func()) {
+	return w.recordDisturbance(Disturbance{Kind: k, Daemon: allDaemons, Target: b.target.ID})
 }
 
-func (w *world) note(d Disturbance) (over func()) {
+func (w *testbed) recordDisturbance(d Disturbance) (over func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	at := len(w.disturbances)
@@ -214,123 +214,123 @@
 }
 
 // apply makes an event happen and returns when it is over.
-func (w *world) apply(ctx context.Context, e Event) {
-	daemon := w.daemons[e.Which%len(w.daemons)]
+func (w *testbed) apply(ctx context.Context, e Event) {
+	daemon := w.daemons[e.Selector%len(w.daemons)]
 	switch e.Kind {
 	case Term:
-		w.restart(ctx, daemon, e.Kind, syscall.SIGTERM)
+		w.restartDaemon(ctx, daemon, e.Kind, syscall.SIGTERM)
 	case Kill:
-		w.restart(ctx, daemon, e.Kind, syscall.SIGKILL)
-	case Pause:
-		w.freeze(ctx, daemon, e.For)
+		w.restartDaemon(ctx, daemon, e.Kind, syscall.SIGKILL)
+	case Suspend:
+		w.suspendDaemon(ctx, daemon, e.Duration)
 	case Hup:
-		defer w.disturb(e.Kind, daemon.number)()
+		defer w.beginDisturbance(e.Kind, daemon.index)()
 		daemon.signal(syscall.SIGHUP)
 	case Config:
-		defer w.disturb(e.Kind, everywhere)()
-		w.publish()
-	case Leave:
-		w.leave(ctx, e.Which)
-	case FrontDelay, FrontReset, FrontOneWay, FrontSilent:
-		defer w.disturb(e.Kind, daemon.number)()
-		harm(ctx, daemon.front, e)
-	case TargetAnew:
-		defer w.disturb(e.Kind, everywhere)()
-		w.startAnew(ctx, e)
-	case StoreForeign:
-		w.writeForeign(e.Which)
+		defer w.beginDisturbance(e.Kind, allDaemons)()
+		w.publishNextConfig()
+	case TargetDrain:
+		w.replaceTarget(ctx, e.Selector)
+	case FrontendDelay, FrontendReset, FrontendOneWay, FrontendSilent:
+		defer w.beginDisturbance(e.Kind, daemon.index)()
+		injectLinkFault(ctx, daemon.frontend, e)
+	case TargetRestart:
+		defer w.beginDisturbance(e.Kind, allDaemons)()
+		w.restartTarget(ctx, e)
+	case StoreInvalidEntries:
+		w.writeInvalidEntries(e.Selector)
 	case CallCrashes:
-		defer w.disturb(e.Kind, everywhere)()
-		w.crashCalls(ctx, e)
-	case TargetRests:
-		defer w.disturb(e.Kind, everywhere)()
-		w.restTargets(ctx, e)
-	case TargetLimits:
-		w.limitTargets(ctx, e)
+		defer w.beginDisturbance(e.Kind, allDaemons)()
+		w.sendCrashingCalls(ctx, e)
+	case TargetBackoff:
+		defer w.beginDisturbance(e.Kind, allDaemons)()
+		w.requestBackoff(ctx, e)
+	case TargetRateLimit:
+		w.setRateLimits(ctx, e)
 	case StoreRestore:
-		defer w.disturb(e.Kind, everywhere)()
+		defer w.beginDisturbance(e.Kind, allDaemons)()
 		w.restoreStore(ctx, e)
-	case TargetReset, TargetOneWay, TargetSilent, TargetFails:
-		defer w.disturb(e.Kind, everywhere)()
-		w.harmTarget(ctx, e)
+	case TargetReset, TargetOneWay, TargetSilent, TargetFailures:
+		defer w.beginDisturbance(e.Kind, allDaemons)()
+		w.injectTargetFault(ctx, e)
 	default:
-		defer w.disturb(e.Kind, everywhere)()
-		w.harmStore(ctx, e)
+		defer w.beginDisturbance(e.Kind, allDaemons)()
+		w.injectStoreFault(ctx, e)
 	}
 }
 
-// resetShare is the share of a link's connections that a reset ends.
-const resetShare = 0.6
+// resetFraction is the share of a link's connections that a reset ends.
+const resetFraction = 0.6
 
-// harm puts an event's fault on a link for its time.
-func harm(ctx context.Context, l *Link, e Event) {
+// injectLinkFault puts an event's fault on a link for its time.
+func injectLinkFault(ctx context.Context, l *Link, e Event) {
 	switch e.Kind {
-	case FrontReset, TargetReset, StoreReset:
-		l.Reset(resetShare)
+	case FrontendReset, TargetReset, StoreReset:
+		l.Reset(resetFraction)
 		return
-	case FrontDelay:
-		l.Set(Late)
-	case FrontOneWay, TargetOneWay:
+	case FrontendDelay:
+		l.Set(Delayed)
+	case FrontendOneWay, TargetOneWay:
 		l.Set(OneWay)
 	case StoreRefuse:
 		l.Set(Refusing)
 	default:
 		l.Set(Silent)
 	}
-	pause(ctx, e.For)
-	l.Set(Fine)
+	sleep(ctx, e.Duration)
+	l.Set(NoFault)
 }
 
-func (w *world) harmTarget(ctx context.Context, e Event) {
+func (w *testbed) injectTargetFault(ctx context.Context, e Event) {
 	w.mu.Lock()
-	b := w.backends[e.Which%len(w.backends)]
+	b := w.backends[e.Selector%len(w.backends)]
 	var half []*backend // every other target fails: one alone is soon avoided
 	for i, other := range w.backends {
-		if i%2 == e.Which%2 {
+		if i%2 == e.Selector%2 {
 			half = append(half, other)
 		}
 	}
 	w.mu.Unlock()
-	if e.Kind != TargetFails {
-		defer w.disturbTarget(e.Kind, b)()
-		harm(ctx, b.link, e)
+	if e.Kind != TargetFailures {
+		defer w.beginTargetDisturbance(e.Kind, b)()
+		injectLinkFault(ctx, b.link, e)
 		return
 	}
 	for _, b := range half {
-		b.setFails(true)
+		b.setInjectFailures(true)
 	}
-	pause(ctx, e.For)
+	sleep(ctx, e.Duration)
 	for _, b := range half {
-		b.setFails(false)
+		b.setInjectFailures(false)
 	}
 }
 
-func (w *world) harmStore(ctx context.Context, e Event) {
+func (w *testbed) injectStoreFault(ctx context.Context, e Event) {
 	switch e.Kind {
-	case StoreForget:
+	case StoreDropHistory:
 		w.store.DropHistory()
-	case StoreMute:
+	case StoreStallWatches:
 		w.store.StallWatches(true)
-		pause(ctx, e.For)
+		sleep(ctx, e.Duration)
 		w.store.StallWatches(false)
-		w.door.CloseClientConnections() // The watches that waited never hear again.
+		w.storeEndpoint.CloseClientConnections() // The watches that waited never hear again.
 	default:
-		harm(ctx, w.toStore, e)
+		injectLinkFault(ctx, w.storeLink, e)
 	}
 }
 
-// startAgain is the pause between a process's end and its next start.
-const startAgain = 200 * time.Millisecond
+// restartDelay is the pause between a process's end and its next start.
+const restartDelay = 200 * time.Millisecond
 
 // restart ends a daemon and starts it again, unless it is being worked on already.
-func (w *world) restart(ctx context.Context, p *process, k Kind, s syscall.Signal) {
-	if !p.work.TryLock() {
+func (w *testbed) restartDaemon(ctx context.Context, p *process, k Kind, s syscall.Signal) {
+	if !p.controlMu.TryLock() {
 		return
 	}
-	defer p.work.Unlock()
-	defer w.disturb(k, p.number)()
-	p.end(s)
-	pause(ctx, startAgain)
+	defer p.controlMu.Unlock()
+	defer w.beginDisturbance(k, p.index)()
+	p.stop(s)
+	sleep(ctx, restartDelay)
 	if err := p.start(); err != nil {
 		panic(err) // The program is there: it ran before.
 	}
@@ -338,22 +338,22 @@
 }
 
 // freeze lets a daemon stand still.
-func (w *world) freeze(ctx context.Context, p *process, d time.Duration) {
-	if !p.work.TryLock() {
+func (w *testbed) suspendDaemon(ctx context.Context, p *process, d time.Duration) {
+	if !p.controlMu.TryLock() {
 		return
 	}
-	defer p.work.Unlock()
-	defer w.disturb(Pause, p.number)()
+	defer p.controlMu.Unlock()
+	defer w.beginDisturbance(Suspend, p.index)()
 	p.signal(syscall.SIGSTOP)
-	pause(ctx, d)
+	sleep(ctx, d)
 	p.signal(syscall.SIGCONT)
 }
 
-// drainFor is how long a target goes on to serve after it has said that it leaves.
-const drainFor = 2 * time.Second
+// drainTime is how long a target goes on to serve after it has said that it leaves.
+const drainTime = 2 * time.Second
 
 // leave lets a target go and another one come, while each service keeps two.
-func (w *world) leave(ctx context.Context, which int) {
+func (w *testbed) replaceTarget(ctx context.Context, which int) {
 	w.mu.Lock()
 	at := which % len(w.backends)
 	b := w.backends[at]
@@ -365,47 +365,47 @@
 	}
 	if same > 2 {
 		w.backends = slices.Delete(w.backends, at, at+1)
-		w.gone = append(w.gone, b)
+		w.removed = append(w.removed, b)
 	}
 	w.mu.Unlock()
 	if same <= 2 {
 		return
 	}
-	defer w.disturb(Leave, everywhere)()
-	if err := w.join(b.service); err != nil {
+	defer w.beginDisturbance(TargetDrain, allDaemons)()
+	if err := w.addTarget(b.service); err != nil {
 		panic(err) // No port is free.
 	}
 	if which%2 == 0 { // Others say nothing before their entry goes.
-		w.store.PutDraining(b.target.ID, b.link.Address(), b.service, slots)
-		pause(ctx, drainFor)
+		w.store.PutDraining(b.target.ID, b.link.Address(), b.service, targetSlots)
+		sleep(ctx, drainTime)
 	} else { // Some of them say so in their answers.
-		b.say(func() { b.leaves = which%4 == 1 })
-		pause(ctx, drainFor)
+		b.updateNotices(func() { b.announceDraining = which%4 == 1 })
+		sleep(ctx, drainTime)
 	}
 	w.store.RemoveTarget(b.target)
-	pause(ctx, drainFor)
+	sleep(ctx, drainTime)
 }
 
 // record collects what was seen.
-func (w *world) record() *Record {
+func (w *testbed) collectRecord() *Record {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := &Record{
-		Calls: w.diary.list(), Runs: w.seen.list(), Disturbances: slices.Clone(w.disturbances),
-		Published: slices.Clone(w.published), Lives: map[int][]time.Time{}, Held: w.held(),
+		Calls: w.calls.list(), Executions: w.executions.list(), Disturbances: slices.Clone(w.disturbances),
+		Published: slices.Clone(w.published), ProcessStarts: map[int][]time.Time{}, UnreleasedReservations: w.unreleasedReservations(),
 	}
 	for _, p := range w.daemons {
 		p.mu.Lock()
-		r.Lives[p.number] = slices.Clone(p.starts)
+		r.ProcessStarts[p.index] = slices.Clone(p.startTimes)
 		p.mu.Unlock()
 	}
 	return r
 }
 
 // held lists what was set aside and neither released nor run out; the lock is held.
-func (w *world) held() []string {
+func (w *testbed) unreleasedReservations() []string {
 	var list []string
-	for _, b := range slices.Concat(w.backends, w.gone) {
+	for _, b := range slices.Concat(w.backends, w.removed) {
 		for _, id := range b.target.Reservations(time.Now()) {
 			list = append(list, id+" at "+b.target.ID)
 		}
@@ -413,14 +413,14 @@
 	return list
 }
 
-func (w *world) close() {
+func (w *testbed) close() {
 	for _, p := range w.daemons {
 		p.close()
 	}
-	for _, b := range slices.Concat(w.backends, w.gone) {
+	for _, b := range slices.Concat(w.backends, w.removed) {
 		b.close()
 	}
-	w.toStore.Close()
-	w.door.CloseClientConnections()
-	w.door.Close()
+	w.storeLink.Close()
+	w.storeEndpoint.CloseClientConnections()
+	w.storeEndpoint.Close()
 }
