--- a/node/internal/soak/backend.go
+++ b/node/internal/soak/backend.go
@@ -13,33 +13,33 @@
 	"doorstack.dev/platform/standin"
 )
 
-// The account of all callers, and its key.
+// The account that all calls belong to, its API key and the host name that callers use.
 const (
 	accountName = "a"
 	apiKey      = "key-of-a"
 	callHost    = "calls.example"
 )
 
-// The services of the test configuration.
+// The services of the configuration: one of plain services and one of model engines.
 const (
 	plainService  = "plain"
 	engineService = "engines"
 )
 
-// Path is a route as callers use it.
+// Path is a route of the configuration and how callers use it.
 type Path struct {
 	Prefix, Kind, Service string
 	MaxAttempts           int
 	Repeatable            bool
-	// Tokens are the lengths of prompt and answer that callers state.
+	// TokenCounts are the lengths of prompt and answer that callers declare: "prompt,output".
 	TokenCounts string
-	// Allowed is how long callers wait, Goal the time within which an answer is on time.
+	// Timeout is how long callers wait, LatencyGoal the time within which an answer is on time.
 	Timeout, LatencyGoal time.Duration
-	// Streams tells that the answer is a stream of events.
+	// Streaming means that the answer is a stream of events.
 	Streaming bool
 }
 
-// The routes. Answers of large have their prompts' memory spread over several engines.
+// The paths of the configuration. The prompts of largePath need the memory of several engines.
 var (
 	safePath   = &Path{Prefix: "/safe/", Kind: "safe", Service: plainService, MaxAttempts: 2, Repeatable: true, Timeout: 3 * time.Second, LatencyGoal: 300 * time.Millisecond}
 	unsafePath = &Path{Prefix: "/unsafe/", Kind: "unsafe", Service: plainService, MaxAttempts: 1, Timeout: 3 * time.Second, LatencyGoal: 300 * time.Millisecond}
@@ -48,12 +48,13 @@
 	paths      = []*Path{safePath, unsafePath, streamPath, largePath}
 )
 
-// eventCount is how many events the answer to a call has.
+// eventCount returns how many events the streamed answer to a call has.
 func eventCount(id string) int { return 4 + int(rendezvous.Score("events", id)%12) }
 
+// eventText returns the text of event i of the answer to a call.
 func eventText(id string, i int) string { return fmt.Sprint(id, " piece ", i) }
 
-// Answer is the whole answer to a call.
+// Answer returns the complete answer to a call.
 func (p *Path) Answer(id string) string {
 	if !p.Streaming {
 		return "answer to " + id
@@ -65,7 +66,7 @@
 	return text
 }
 
-// backend is a target with the link before it.
+// backend is a target and the link through which daemons reach it.
 type backend struct {
 	target     *standin.Target
 	service    string
@@ -74,103 +75,110 @@
 
 	mu             sync.Mutex
 	injectFailures bool
-	// leaves and rests are what the target says of itself in its answers.
+	// announceDraining and requestBackoff select the notices in the target's answers.
 	announceDraining, requestBackoff bool
-	// limit is the limit that it names; nil where it names none.
+	// rateLimit is the limit in the target's answers, in calls per second; nil for none.
 	rateLimit *float64
 }
 
-// executionLog is what targets have seen.
+// executionLog records the calls that reached targets, by call ID.
 type executionLog struct {
 	mu     sync.Mutex
 	byCall map[string][]*Execution
 }
 
+// add records an execution; the result is to be changed by update only.
 func (l *executionLog) add(r Execution) *Execution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	run := &r
-	l.byCall[r.ID] = append(l.byCall[r.ID], run)
-	return run
+	added := &r
+	l.byCall[r.ID] = append(l.byCall[r.ID], added)
+	return added
 }
 
+// update calls change under the lock.
 func (l *executionLog) update(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change()
 }
 
-// list copies the runs.
+// list returns a copy of the executions.
 func (l *executionLog) list() map[string][]Execution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	all := map[string][]Execution{}
-	for id, runs := range l.byCall {
-		for _, r := range runs {
+	for id, executions := range l.byCall {
+		for _, r := range executions {
 			all[id] = append(all[id], *r)
 		}
 	}
 	return all
 }
 
-func newBackend(id, service string, seen *executionLog) (*backend, error) {
+// newBackend starts a target of a service, and a link to it.
+func newBackend(id, service string, executions *executionLog) (*backend, error) {
 	address, err := testaddr.Find()
 	if err != nil {
 		return nil, err
 	}
-	b := &backend{target: standin.NewTarget(id), service: service, executions: seen}
+	b := &backend{target: standin.NewTarget(id), service: service, executions: executions}
 	b.target.Script(b.serve)
 	b.link, err = NewLink(address, b.target.Address())
 	return b, err
 }
 
+// setInjectFailures sets whether calls fail at random.
 func (b *backend) setInjectFailures(fails bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.injectFailures = fails
 }
 
+// injectsFailures reports whether calls fail at random.
 func (b *backend) injectsFailures() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.injectFailures
 }
 
-// How an answer is made: a plain one takes maxWorkTime at most, events come eventInterval.
+// The timing of answers: those of the plain service take up to maxWorkTime; the events of a
+// stream are eventInterval apart.
 const (
 	maxWorkTime   = 60 * time.Millisecond
 	eventInterval = 15 * time.Millisecond
 )
 
-// serve answers a call, or fails in one of the ways in which targets do.
+// serve answers a call. With injected failures it may reject the call, return an error, close
+// the connection, hang or truncate a stream instead.
 func (b *backend) serve(w http.ResponseWriter, r *http.Request, c standin.Call) {
-	run := b.executions.add(Execution{ID: c.ID, Target: b.target.ID, Service: b.service, Account: c.Account(), APIKey: c.APIKey(), Started: time.Now(), LastEvent: c.LastEventID()})
-	defer b.executions.update(func() { run.Ended = time.Now() })
+	execution := b.executions.add(Execution{ID: c.ID, Target: b.target.ID, Service: b.service, Account: c.Account(), APIKey: c.APIKey(), Started: time.Now(), LastEvent: c.LastEventID()})
+	defer b.executions.update(func() { execution.Ended = time.Now() })
 	if strings.HasPrefix(c.Body, crashBodyPrefix) {
-		b.executions.update(func() { run.Crashed = true })
+		b.executions.update(func() { execution.Crashed = true })
 		b.crash(w, r, c)
 		return
 	}
-	if b.writeNotices(w, run) {
+	if b.writeNotices(w, execution) {
 		standin.Reject(w, r, c)
 		return
 	}
-	way := 1.0
+	outcome := 1.0
 	if b.injectsFailures() {
-		way = rand.Float64()
+		outcome = rand.Float64()
 	}
 	switch {
-	case way < 0.15:
-		b.executions.update(func() { run.Rejected = true })
+	case outcome < 0.15:
+		b.executions.update(func() { execution.Rejected = true })
 		standin.Reject(w, r, c)
-	case way < 0.3:
+	case outcome < 0.3:
 		standin.Answer(http.StatusInternalServerError, "broken")(w, r, c)
-	case way < 0.5:
+	case outcome < 0.5:
 		standin.CloseConnection(w, r, c)
-	case way < 0.6:
-		<-r.Context().Done() // It hangs.
+	case outcome < 0.6:
+		<-r.Context().Done() // The target hangs.
 	case b.service == engineService:
-		b.stream(w, r, c, way < 0.8)
+		b.stream(w, r, c, outcome < 0.8)
 	default:
 		select {
 		case <-time.After(rand.N(maxWorkTime)):
@@ -181,20 +189,22 @@
 	}
 }
 
-func (b *backend) stream(w http.ResponseWriter, r *http.Request, c standin.Call, breaks bool) {
+// stream answers with a stream of events, from the one after the call's last event.
+func (b *backend) stream(w http.ResponseWriter, r *http.Request, c standin.Call, truncate bool) {
 	s := standin.EventStream{From: 1, To: eventCount(c.ID), Interval: eventInterval, Text: func(i int) string { return eventText(c.ID, i) }}
 	if after := c.LastEventID(); after != "" {
 		if _, err := fmt.Sscan(after, &s.From); err != nil {
-			panic(http.ErrAbortHandler) // A daemon that asks for no event gets no answer.
+			panic(http.ErrAbortHandler) // The daemon sent a last event that is not a number.
 		}
 		s.From++
 	}
-	if breaks && s.From < s.To {
+	if truncate && s.From < s.To {
 		s.To, s.Truncated = s.From+rand.IntN(s.To-s.From), true
 	}
 	s.Serve(w, r, c)
 }
 
+// close stops the target and its link.
 func (b *backend) close() {
 	b.link.Close()
 	b.target.Server.CloseClientConnections()
--- a/node/internal/soak/caller.go
+++ b/node/internal/soak/caller.go
@@ -11,62 +11,66 @@
 	"doorstack.dev/platform/standin"
 )
 
-// callLog is what callers have seen.
+// callLog records the calls of all callers with their outcomes.
 type callLog struct {
 	mu         sync.Mutex
 	calls      []Call
 	lastNumber int
 }
 
-func (d *callLog) newID() string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.lastNumber++
-	return fmt.Sprint("call-", d.lastNumber)
+// newID returns the ID of a new call.
+func (l *callLog) newID() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.lastNumber++
+	return fmt.Sprint("call-", l.lastNumber)
 }
 
-func (d *callLog) add(c Call) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.calls = append(d.calls, c)
+func (l *callLog) add(c Call) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.calls = append(l.calls, c)
 }
 
-func (d *callLog) list() []Call {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return append([]Call(nil), d.calls...)
+// list returns a copy of the calls.
+func (l *callLog) list() []Call {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return append([]Call(nil), l.calls...)
 }
 
-// newClient keeps connections open like a caller's. POST requests, which are all that it
-// sends, it never repeats by itself.
+// newClient returns an HTTP client that keeps connections open, as a caller's does. It never
+// repeats a POST request, and callers send no others.
 func newClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 4}}
 }
 
-// call makes one sound request to a daemon and writes it down.
-func (w *testbed) call(ctx context.Context, client *http.Client, daemon int, path *Path, route int) Call {
-	return w.callWithBody(ctx, client, daemon, path, route, "a body")
+// call sends a daemon one valid request and records the outcome. A route above 0 is the number
+// of a temporary route, which is called instead of the path's own.
+func (tb *testbed) call(ctx context.Context, client *http.Client, daemon int, path *Path, route int) Call {
+	return tb.callWithBody(ctx, client, daemon, path, route, "a body")
 }
 
-func (w *testbed) callWithBody(ctx context.Context, client *http.Client, daemon int, path *Path, route int, body string) Call {
-	ask := &standin.CallerRequest{
-		Daemon: w.daemons[daemon].frontend.Address(), Host: callHost, Path: path.Prefix + "x", ID: w.calls.newID(), APIKey: apiKey,
+// callWithBody is call with a given request body.
+func (tb *testbed) callWithBody(ctx context.Context, client *http.Client, daemon int, path *Path, route int, body string) Call {
+	request := &standin.CallerRequest{
+		Daemon: tb.daemons[daemon].frontend.Address(), Host: callHost, Path: path.Prefix + "x", ID: tb.calls.newID(), APIKey: apiKey,
 		TokenCounts: path.TokenCounts, DeadlineMS: int(path.Timeout.Milliseconds()), Body: body,
 	}
 	if route > 0 {
-		ask.Path = temporaryPrefix(route) + "x"
+		request.Path = temporaryPrefix(route) + "x"
 	}
-	c := Call{ID: ask.ID, Daemon: daemon, Path: path, Route: route, Sent: time.Now(), Timeout: path.Timeout, RequestBody: body}
-	got := ask.Do(ctx, client)
+	c := Call{ID: request.ID, Daemon: daemon, Path: path, Route: route, Sent: time.Now(), Timeout: path.Timeout, RequestBody: body}
+	response := request.Do(ctx, client)
 	c.Done = time.Now()
 	c.Disconnected = ctx.Err() != nil
-	c.Status, c.Body, c.Complete, c.HasRetryAfter = got.Status, got.Body, got.Err == nil, got.RetryAfter() != ""
-	w.calls.add(c)
+	c.Status, c.Body, c.Complete, c.HasRetryAfter = response.Status, response.Body, response.Err == nil, response.RetryAfter() != ""
+	tb.calls.add(c)
 	return c
 }
 
-// How callers behave: some leave early, each stays with a daemon for a while, and a
-// balancer sends new ones to daemons that were ready when last asked.
+// The behaviour of callers: some disconnect early; each stays with a daemon for up to maxStay
+// and then gets another one in rotation.
 const (
 	callerCount         = 24
 	disconnectShare     = 0.05
@@ -75,23 +79,23 @@
 	maxThinkTime        = 40 * time.Millisecond
 	temporaryRouteShare = 0.2
 	largeShare          = 0.03
-	// giveUpAfter is how long past its time a caller listens before it gives up.
+	// giveUpAfter is how long after a call's timeout the caller still waits for the answer.
 	giveUpAfter = 3 * time.Second
 )
 
-// run is a caller's life until ctx ends.
-func (w *testbed) runCaller(ctx context.Context) {
+// runCaller makes calls until ctx ends.
+func (tb *testbed) runCaller(ctx context.Context) {
 	for ctx.Err() == nil {
 		client := newClient()
-		daemon := w.pickReadyDaemon()
+		daemon := tb.pickReadyDaemon()
 		stay := time.Now().Add(rand.N(maxStay))
 		for time.Now().Before(stay) && ctx.Err() == nil {
-			path, route := w.pickPath()
-			own, cancel := context.WithTimeout(context.WithoutCancel(ctx), path.Timeout+giveUpAfter)
+			path, route := tb.pickPath()
+			callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), path.Timeout+giveUpAfter)
 			if rand.Float64() < disconnectShare {
-				own, cancel = context.WithTimeout(context.WithoutCancel(ctx), disconnectAfter)
+				callCtx, cancel = context.WithTimeout(context.WithoutCancel(ctx), disconnectAfter)
 			}
-			w.call(own, client, daemon, path, route)
+			tb.call(callCtx, client, daemon, path, route)
 			cancel()
 			sleep(ctx, rand.N(maxThinkTime))
 		}
@@ -99,10 +103,11 @@
 	}
 }
 
-func (w *testbed) pickPath() (*Path, int) {
+// pickPath draws a path and, with temporaryRouteShare, a temporary route, or 0.
+func (tb *testbed) pickPath() (*Path, int) {
 	switch draw := rand.Float64(); {
 	case draw < temporaryRouteShare:
-		return safePath, w.pickTemporaryRoute()
+		return safePath, tb.pickTemporaryRoute()
 	case draw < temporaryRouteShare+largeShare:
 		return largePath, 0
 	default:
@@ -110,7 +115,7 @@
 	}
 }
 
-// sleep waits, unless ctx ends first.
+// sleep waits for d, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/node/internal/soak/judge.go
+++ b/node/internal/soak/judge.go
@@ -7,174 +7,183 @@
 	"time"
 )
 
-// Call is a caller's request and what came of it.
+// Call is a caller's request and its outcome.
 type Call struct {
 	ID     string
 	Daemon int
 	Path   *Path
-	// Route is the number of the configuration's passing route that is asked for, or 0.
+	// Route is the number of the temporary route that is called, or 0 for the path's own route.
 	Route int
 	Sent  time.Time
 	Done  time.Time
-	// Allowed is how long the caller waits.
+	// Timeout is the time for the call that the request declares, from Sent.
 	Timeout time.Duration
-	// Left tells that the caller went away before the answer, at Done.
+	// Disconnected means that the caller disconnected before the answer was complete, at Done.
 	Disconnected bool
 	Status       int
 	Body         string
-	// Whole tells that the answer came to an orderly end.
+	// Complete means that the answer was not truncated.
 	Complete bool
-	// Again tells that a refusal named the time to come back.
+	// HasRetryAfter means that the answer had a Retry-After header.
 	HasRetryAfter bool
-	// Asked is the body of the request.
+	// RequestBody is the body of the request; Body is that of the answer.
 	RequestBody string
 }
 
-// Execution is a call as a target saw it.
+// Execution is a call that reached a target, as the target recorded it.
 type Execution struct {
 	ID, Target, Service, Account, APIKey string
 	Started, Ended                       time.Time
-	// TurnedAway tells that the target said that it does not run the call.
+	// Rejected means that the target answered that it did not execute the call.
 	Rejected bool
-	// After is the event after which the stream was to go on.
+	// LastEvent is the event after which the stream was to be resumed.
 	LastEvent string
-	// Leaves and Rest are what the target said of itself in its answer.
+	// Draining and Backoff are the notices in the target's answer: that it drains, and the time
+	// for which the daemon is to back off.
 	Draining bool
 	Backoff  time.Duration
-	// Limit is the limit that the target named in its answer, if it did.
+	// RateLimit is the rate limit in the target's answer, in calls per second; nil for none.
 	RateLimit *float64
-	// Crashed means that the target's process ended under the call.
+	// Crashed means that the target's process ended during the call.
 	Crashed bool
 }
 
-// Disturbance is a time in which something was wrong.
+// Disturbance is the time during which an event may have affected daemons.
 type Disturbance struct {
 	From, To time.Time
 	Kind     Kind
-	// Daemon is the one that was disturbed; everywhere means all of them.
+	// Daemon is the index of the affected daemon, or allDaemons.
 	Daemon int
-	// Target is the target whose link or process was disturbed, if it was one alone.
+	// Target is the ID of the target whose link or process was affected, if it was a single one.
 	Target string
 }
 
+// allDaemons is the Daemon of a disturbance that affects all daemons.
 const allDaemons = -1
 
-// PublishedConfig is a configuration in force from a moment on.
+// PublishedConfig is a configuration that was published at a time.
 type PublishedConfig struct {
 	At time.Time
-	// First and Last are the numbers of the passing routes that it has.
+	// FirstRoute and LastRoute are the first and last numbers of its temporary routes.
 	FirstRoute, LastRoute int
 }
 
-// Record is what a run has seen.
+// Record is what a run recorded, the input of Judge.
 type Record struct {
-	Calls        []Call
+	Calls []Call
+	// Executions are the executions of each call, by its ID.
 	Executions   map[string][]Execution
 	Disturbances []Disturbance
 	Published    []PublishedConfig
-	// Lives are the starts of each daemon's processes.
+	// ProcessStarts are the start times of each daemon's processes, by the daemon's index.
 	ProcessStarts map[int][]time.Time
-	// Held are reservations that were never released, by id.
+	// UnreleasedReservations are reservations that were neither released nor expired, with their
+	// targets.
 	UnreleasedReservations []string
 }
 
-// Violation is a promise that was broken.
+// Violation is a violated guarantee: the name of the rule, the call, daemon, target or reservation
+// concerned, and what was observed.
 type Violation struct{ Rule, Subject, Description string }
 
-// String is a line about the violation.
+// String returns the violation as one line.
 func (v Violation) String() string { return v.Rule + " " + v.Subject + ": " + v.Description }
 
-// The bounds that are judged by, the users' where they have one.
+// The time bounds of the rules; where the users require a bound, it is theirs.
 const (
-	undisturbedBefore  = 3 * time.Second        // calm before a rule with a time holds
-	configApplyTime    = 2 * time.Second        // a new configuration
-	configReorderSlack = 250 * time.Millisecond // handling by an older one after a newer one was seen
-	answerSlack        = 500 * time.Millisecond // an answer after the caller's time
-	// busy allows for a machine that runs all processes, callers and targets at once.
+	undisturbedBefore  = 3 * time.Second        // without disturbance, before rules with a time bound apply
+	configApplyTime    = 2 * time.Second        // until daemons apply a new configuration
+	configReorderSlack = 250 * time.Millisecond // use of an older configuration after a newer one was observed
+	answerSlack        = 500 * time.Millisecond // an answer after the call's timeout, and the delivery of a notice
+	// loadSlack allows for delays on a machine that runs all processes, callers and targets.
 	loadSlack = 500 * time.Millisecond
 )
 
-// Judge lists the promises that a run broke.
+// Judge lists the guarantees that a run violated.
 func Judge(r *Record) []Violation {
 	var list []Violation
 	for i := range r.Calls {
 		c := &r.Calls[i]
 		for _, check := range []func(*Record, *Call) string{checkSingleExecution, checkRefusal, checkAnswer, checkServiceAndAccount, checkAttempts, checkAnswered, checkTimeout, checkRoute, checkDisconnected} {
-			if found := check(r, c); found != "" {
-				rule, what, _ := strings.Cut(found, ": ")
-				list = append(list, Violation{rule, c.ID, what})
+			if finding := check(r, c); finding != "" {
+				rule, description, _ := strings.Cut(finding, ": ")
+				list = append(list, Violation{rule, c.ID, description})
 			}
 		}
 	}
 	list = slices.Concat(list, checkConfigOrder(r), checkNotices(r), checkCrashingCalls(r), checkRateLimits(r))
 	for _, id := range r.UnreleasedReservations {
-		list = append(list, Violation{"LEAK", id, "memory set aside was not released"})
+		list = append(list, Violation{"LEAK", id, "reservation was neither released nor expired"})
 	}
 	return list
 }
 
-// ran lists the runs of a call that targets did not turn away.
+// executionsOf lists the executions of a call that targets did not reject.
 func (r *Record) executionsOf(id string) []Execution {
-	return slices.DeleteFunc(slices.Clone(r.Executions[id]), func(run Execution) bool { return run.Rejected })
+	return slices.DeleteFunc(slices.Clone(r.Executions[id]), func(execution Execution) bool { return execution.Rejected })
 }
 
-// Each check returns what is wrong with a call, the rule's name first, or nothing.
+// Each of the following checks returns "RULE: description" for a call that violates a rule, or
+// nothing.
 
-// checkSingleExecution: a call that may not be repeated runs once at most.
+// checkSingleExecution checks that a call which must not be repeated is executed at most once.
 func checkSingleExecution(r *Record, c *Call) string {
-	if runs := r.executionsOf(c.ID); !c.Path.Repeatable && len(runs) > 1 {
-		return fmt.Sprintf("TWICE: %d runs", len(runs))
+	if executions := r.executionsOf(c.ID); !c.Path.Repeatable && len(executions) > 1 {
+		return fmt.Sprintf("TWICE: %d executions of a call that must not be repeated", len(executions))
 	}
 	return ""
 }
 
-// honest: a refusal says truly that nothing ran, and when to come back.
+// checkRefusal checks that a refused call which must not be repeated was not executed, and that
+// each refusal has a Retry-After header.
 func checkRefusal(r *Record, c *Call) string {
 	if c.Status != 429 && c.Status != 503 {
 		return ""
 	}
-	if runs := r.executionsOf(c.ID); len(runs) > 0 && !c.Path.Repeatable {
-		return fmt.Sprintf("REFUSED: status %d, and it ran at %s", c.Status, runs[0].Target)
+	if executions := r.executionsOf(c.ID); len(executions) > 0 && !c.Path.Repeatable {
+		return fmt.Sprintf("REFUSED: status %d, but the call was executed at %s", c.Status, executions[0].Target)
 	}
 	if !c.HasRetryAfter {
-		return fmt.Sprintf("REFUSED: status %d without the time to come back", c.Status)
+		return fmt.Sprintf("REFUSED: status %d without Retry-After header", c.Status)
 	}
 	return ""
 }
 
-// whole: a success is the whole answer to this call.
+// checkAnswer checks that a successful answer is the complete answer to this call.
 func checkAnswer(_ *Record, c *Call) string {
 	if c.Status != 200 || !c.Complete {
 		return ""
 	}
 	if want := c.Path.Answer(c.ID); c.Body != want {
-		return fmt.Sprintf("MIXED: an answer of %d bytes that is not the call's own, of %d", len(c.Body), len(want))
+		return fmt.Sprintf("MIXED: got an answer of %d bytes that differs from the call's own answer of %d bytes", len(c.Body), len(want))
 	}
 	return ""
 }
 
-// owner: a call runs at its route's service, for the key's account, without the key.
+// checkServiceAndAccount checks that a call is executed by its route's service, for the account
+// of its API key, and that targets do not get the key.
 func checkServiceAndAccount(r *Record, c *Call) string {
-	for _, run := range r.Executions[c.ID] {
+	for _, execution := range r.Executions[c.ID] {
 		switch {
-		case run.Service != c.Path.Service:
-			return "ROUTE: it ran at a target of " + run.Service
-		case run.Account != accountName || run.APIKey != "":
-			return fmt.Sprintf("UNASKED: it ran for account %q with key %q", run.Account, run.APIKey)
+		case execution.Service != c.Path.Service:
+			return "ROUTE: executed at a target of service " + execution.Service
+		case execution.Account != accountName || execution.APIKey != "":
+			return fmt.Sprintf("UNASKED: executed for account %q with API key %q", execution.Account, execution.APIKey)
 		}
 	}
 	return ""
 }
 
-// attempts: no more targets work on a call than its route allows.
+// checkAttempts checks that a call has no more executions than its route allows attempts.
 func checkAttempts(r *Record, c *Call) string {
-	if runs := r.executionsOf(c.ID); c.Path.Repeatable && len(runs) > c.Path.MaxAttempts {
-		return fmt.Sprintf("BUDGET: %d runs, %d allowed", len(runs), c.Path.MaxAttempts)
+	if executions := r.executionsOf(c.ID); c.Path.Repeatable && len(executions) > c.Path.MaxAttempts {
+		return fmt.Sprintf("BUDGET: %d executions, %d allowed", len(executions), c.Path.MaxAttempts)
 	}
 	return ""
 }
 
-// calm tells whether nothing of some kinds was wrong at a daemon in a time.
+// undisturbed reports whether no disturbance of the kinds that matter affected a daemon between
+// two times.
 func (r *Record) undisturbed(daemon int, from, to time.Time, matters func(Kind) bool) bool {
 	for _, d := range r.Disturbances {
 		if matters(d.Kind) && (d.Daemon == allDaemons || d.Daemon == daemon) && d.From.Before(to) && d.To.After(from) {
@@ -184,9 +193,11 @@
 	return true
 }
 
+// isFault reports whether a kind is a fault and not a planned operation.
 func isFault(k Kind) bool { return !k.Planned() }
 
-// answered: around planned work alone, a call that reached a target is answered whole.
+// checkAnswered checks that a call which reached a target gets a complete answer, unless a fault
+// disturbed its daemon or most of the call's timeout had passed.
 func checkAnswered(r *Record, c *Call) string {
 	if c.Disconnected || c.Status != 0 && c.Complete || len(r.executionsOf(c.ID)) == 0 {
 		return ""
@@ -194,32 +205,34 @@
 	if !r.undisturbed(c.Daemon, c.Sent.Add(-undisturbedBefore), c.Done, isFault) || c.Done.Sub(c.Sent) > c.Timeout*7/10 {
 		return ""
 	}
-	return fmt.Sprintf("LOST: passed on, and the connection ended after %v with status %d", c.Done.Sub(c.Sent).Round(time.Millisecond), c.Status)
+	return fmt.Sprintf("LOST: executed, but the connection closed after %v with status %d", c.Done.Sub(c.Sent).Round(time.Millisecond), c.Status)
 }
 
-// checkTimeout: a caller has a final answer soon after its time at the latest.
+// checkTimeout checks that a call ends at the latest soon after its timeout, unless a fault
+// disturbed its daemon.
 func checkTimeout(r *Record, c *Call) string {
 	if late := c.Done.Sub(c.Sent) - c.Timeout; late > answerSlack+loadSlack && r.undisturbed(c.Daemon, c.Sent.Add(-undisturbedBefore), c.Done, isFault) {
-		return fmt.Sprintf("CONFIG: no answer %v after the call's time", late.Round(time.Millisecond))
+		return fmt.Sprintf("CONFIG: call ended %v after its timeout", late.Round(time.Millisecond))
 	}
 	return ""
 }
 
-// stopped: nothing is begun for a caller that has left.
+// checkDisconnected checks that no execution starts after the caller has disconnected.
 func checkDisconnected(r *Record, c *Call) string {
 	if !c.Disconnected || !r.undisturbed(c.Daemon, c.Sent.Add(-undisturbedBefore), c.Done.Add(answerSlack), isFault) {
 		return ""
 	}
-	for _, run := range r.Executions[c.ID] {
-		if after := run.Started.Sub(c.Done); after > answerSlack+loadSlack {
-			return fmt.Sprintf("GONE: it began %v after its caller had left", after.Round(time.Millisecond))
+	for _, execution := range r.Executions[c.ID] {
+		if after := execution.Started.Sub(c.Done); after > answerSlack+loadSlack {
+			return fmt.Sprintf("GONE: execution started %v after the caller had disconnected", after.Round(time.Millisecond))
 		}
 	}
 	return ""
 }
 
-// routed: what every configuration that may be in force allows is not denied, and what
-// none allows does not run.
+// checkRoute checks calls of temporary routes against the configurations that may be in force
+// during the call: a route that all of them have is not denied, and one that none has is not
+// served.
 func checkRoute(r *Record, c *Call) string {
 	if c.Route == 0 || !r.undisturbed(c.Daemon, c.Sent.Add(-undisturbedBefore-configApplyTime), c.Done, func(k Kind) bool { return isFault(k) || k == Term }) {
 		return ""
@@ -235,18 +248,18 @@
 	}
 	switch {
 	case all && c.Status == 404:
-		return fmt.Sprintf("DENIED: route %d is in force", c.Route)
+		return fmt.Sprintf("DENIED: status 404, but temporary route %d is in force", c.Route)
 	case none && c.Status == 200:
-		return fmt.Sprintf("CONFIG: route %d is not in force", c.Route)
+		return fmt.Sprintf("CONFIG: status 200, but temporary route %d is not in force", c.Route)
 	}
 	return ""
 }
 
-// checkConfigOrder: a daemon that has served a route of a configuration does not deny it later
-// in the same life, unless a newer one has taken it away.
+// checkConfigOrder checks that a daemon process which has served a temporary route does not deny
+// that route later, unless a newer configuration removed the route.
 func checkConfigOrder(r *Record) []Violation {
-	type life struct{ daemon, number int }
-	served := map[life]map[int]time.Time{}
+	type processKey struct{ daemon, number int }
+	served := map[processKey]map[int]time.Time{}
 	calls := slices.Clone(r.Calls)
 	slices.SortFunc(calls, func(a, b Call) int { return a.Sent.Compare(b.Sent) })
 	var list []Violation
@@ -256,24 +269,25 @@
 		if c.Route == 0 || !same {
 			continue
 		}
-		l := life{c.Daemon, number}
-		if served[l] == nil {
-			served[l] = map[int]time.Time{}
+		key := processKey{c.Daemon, number}
+		if served[key] == nil {
+			served[key] = map[int]time.Time{}
 		}
-		at, before := served[l][c.Route]
+		at, before := served[key][c.Route]
 		switch {
 		case c.Status == 200 && (!before || c.Done.Before(at)):
-			served[l][c.Route] = c.Done
+			served[key][c.Route] = c.Done
 		case c.Status == 404 && before && c.Sent.After(at.Add(configReorderSlack)) && !r.routeRemoved(c.Route, c.Done):
-			list = append(list, Violation{"CONFIG", c.ID, fmt.Sprintf("route %d was served by the same process and is denied", c.Route)})
+			list = append(list, Violation{"CONFIG", c.ID, fmt.Sprintf("temporary route %d was served by the same process before and is denied", c.Route)})
 		}
 	}
 	return list
 }
 
-// lifeOf is the number of the process that a call met, if it was one and the same.
+// processOf returns the number of the daemon process that handled a call, and whether the same
+// process ran at the start and the end of the call.
 func (r *Record) processOf(c *Call) (number int, same bool) {
-	at := func(t time.Time) int {
+	processAt := func(t time.Time) int {
 		n := 0
 		for _, start := range r.ProcessStarts[c.Daemon] {
 			if !start.After(t) {
@@ -282,11 +296,10 @@
 		}
 		return n
 	}
-	return at(c.Sent), at(c.Sent) == at(c.Done)
+	return processAt(c.Sent), processAt(c.Sent) == processAt(c.Done)
 }
 
-// takenAway tells whether any configuration until a moment lacks the route, after one
-// that had it.
+// routeRemoved reports whether a configuration published before a time no longer has the route.
 func (r *Record) routeRemoved(route int, until time.Time) bool {
 	for _, p := range r.Published {
 		if p.At.Before(until) && route < p.FirstRoute {
--- a/node/internal/soak/limits.go
+++ b/node/internal/soak/limits.go
@@ -10,39 +10,43 @@
 	"time"
 )
 
-// TargetRateLimit is drawn beside the plan as well: half of the targets name how many calls a second they
-// take from all daemons together.
+// TargetRateLimit is the kind of the event in which half of the targets announce a rate limit: the
+// calls per second that they accept from all daemons together. Its time is drawn from a random
+// source of its own.
 const TargetRateLimit Kind = "target-limits"
 
 const (
-	// rateLimitTime is how long they name it: longer than the judge leaves the daemons to learn it and
-	// one of its windows.
+	// rateLimitTime is how long the targets announce their limits: longer than the time that Judge
+	// gives daemons to learn a limit, undisturbedBefore, plus one limitWindow.
 	rateLimitTime = 9 * time.Second
-	// maxRateLimit bounds what they name.
+	// maxRateLimit bounds the announced limits, in calls per second.
 	maxRateLimit = 4.0
 )
 
-// The bounds that the users' rule sets: in limitWindow at most limitFactor of the limit, and limitSlack more.
+// The users' bounds on calls to a target with a rate limit: within limitWindow at most limitFactor
+// times the limit, plus limitSlack calls.
 const (
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
 )
 
-// addRateLimitEvent adds one such event to a plan, beside planned work and faults.
-func addRateLimitEvent(plan []Event, seed uint64, length time.Duration) []Event {
-	if length <= rateLimitTime {
+// addRateLimitEvent adds one TargetRateLimit event at a random time to a plan, if the run is longer
+// than the event.
+func addRateLimitEvent(plan []Event, seed uint64, duration time.Duration) []Event {
+	if duration <= rateLimitTime {
 		return plan
 	}
 	rng := rand.New(rand.NewPCG(seed, 3))
-	plan = append(plan, Event{Start: randomDuration(rng, length-rateLimitTime), Duration: rateLimitTime, Kind: TargetRateLimit, Selector: rng.IntN(1000)})
+	plan = append(plan, Event{Start: randomDuration(rng, duration-rateLimitTime), Duration: rateLimitTime, Kind: TargetRateLimit, Selector: rng.IntN(1000)})
 	slices.SortStableFunc(plan, func(a, b Event) int { return int(a.Start - b.Start) })
 	return plan
 }
 
-// limitTargets lets every second target name a limit, each another one; the first takes nothing.
-func (w *testbed) setRateLimits(ctx context.Context, e Event) {
-	half := w.everySecondTarget(e.Selector)
+// setRateLimits lets every second target announce a rate limit for the event's duration. Each of
+// them has a different limit; the first one's is 0.
+func (tb *testbed) setRateLimits(ctx context.Context, e Event) {
+	half := tb.everySecondTarget(e.Selector)
 	for i, b := range half {
 		perSecond := maxRateLimit * float64(i) / float64(len(half))
 		b.updateNotices(func() { b.rateLimit = &perSecond })
@@ -53,78 +57,80 @@
 	}
 }
 
-// speakLimit adds the limit that the target names to an answer; the lock of the target is held.
-func (b *backend) writeRateLimit(w http.ResponseWriter, run *Execution) {
+// writeRateLimit adds the target's rate limit to an answer and to the record of the execution; b.mu
+// is held.
+func (b *backend) writeRateLimit(w http.ResponseWriter, execution *Execution) {
 	if b.rateLimit == nil {
 		return
 	}
 	perSecond := *b.rateLimit
 	w.Header().Set("Server-Limit", strconv.FormatFloat(perSecond, 'f', -1, 64))
-	b.executions.update(func() { run.RateLimit = &perSecond })
+	b.executions.update(func() { execution.RateLimit = &perSecond })
 }
 
-// checkRateLimits: from touch after a target first named its limit it gets no more than that in any window,
-// by daemons that had passed it on half a second before.
+// checkRateLimits checks that, from undisturbedBefore after a target first announced a rate limit, no
+// window has more calls to it than the bounds allow. Only calls by daemons that had relayed an
+// answer with the limit half a second before are counted.
 func checkRateLimits(r *Record) []Violation {
 	byTarget := map[string][]sentExecution{}
 	for i := range r.Calls {
-		c, runs := &r.Calls[i], r.Executions[r.Calls[i].ID]
-		for n, run := range runs {
-			passedOn := c.Status == http.StatusOK && c.Complete && n == len(runs)-1
-			byTarget[run.Target] = append(byTarget[run.Target], sentExecution{run, c.Daemon, passedOn})
+		c, executions := &r.Calls[i], r.Executions[r.Calls[i].ID]
+		for n, execution := range executions {
+			relayed := c.Status == http.StatusOK && c.Complete && n == len(executions)-1
+			byTarget[execution.Target] = append(byTarget[execution.Target], sentExecution{execution, c.Daemon, relayed})
 		}
 	}
 	var list []Violation
-	for target, runs := range byTarget {
-		slices.SortFunc(runs, func(a, b sentExecution) int { return a.Started.Compare(b.Started) })
-		first := slices.IndexFunc(runs, func(run sentExecution) bool { return run.RateLimit != nil })
+	for target, executions := range byTarget {
+		slices.SortFunc(executions, func(a, b sentExecution) int { return a.Started.Compare(b.Started) })
+		first := slices.IndexFunc(executions, func(execution sentExecution) bool { return execution.RateLimit != nil })
 		if first < 0 {
 			continue
 		}
-		counted, perSecond := r.executionsUnderLimit(runs, runs[first].Started.Add(undisturbedBefore))
+		counted, perSecond := r.executionsUnderLimit(executions, executions[first].Started.Add(undisturbedBefore))
 		most, allowed := maxInWindow(counted), int(limitFactor*perSecond*limitWindow.Seconds()+limitSlack)
 		if most > allowed {
-			list = append(list, Violation{"LIMIT", target, fmt.Sprintf("named %v a second and got %d calls in %v, allowed %d", perSecond, most, limitWindow, allowed)})
+			list = append(list, Violation{"LIMIT", target, fmt.Sprintf("announced a limit of %v calls per second and got %d calls in %v, allowed %d", perSecond, most, limitWindow, allowed)})
 		}
 	}
 	return list
 }
 
-// sentExecution is a call that a daemon sent.
+// sentExecution is an execution with the daemon that sent the call.
 type sentExecution struct {
 	Execution
 	daemon int
-	// passedOn is true where the caller got the answer.
+	// relayed means that the caller got the execution's answer.
 	relayed bool
 }
 
-// underLimit lists when calls came from a moment on that their daemons had been told the limit of, and the
-// limit.
-func (r *Record) executionsUnderLimit(runs []sentExecution, from time.Time) (counted []time.Time, perSecond float64) {
-	for _, run := range runs {
-		if run.RateLimit == nil {
+// executionsUnderLimit lists the start times, from a time on, of executions whose daemons knew the rate
+// limit, and returns the last announced limit.
+func (r *Record) executionsUnderLimit(executions []sentExecution, from time.Time) (counted []time.Time, perSecond float64) {
+	for _, execution := range executions {
+		if execution.RateLimit == nil {
 			continue
 		}
-		perSecond = *run.RateLimit
-		if run.Started.Before(from) {
+		perSecond = *execution.RateLimit
+		if execution.Started.Before(from) {
 			continue
 		}
-		told := slices.ContainsFunc(runs, func(said sentExecution) bool {
-			return said.RateLimit != nil && said.relayed && said.daemon == run.daemon &&
-				said.Ended.Add(answerSlack).Before(run.Started) && r.undisturbed(run.daemon, said.Started, run.Started, losesState)
+		limitKnown := slices.ContainsFunc(executions, func(notice sentExecution) bool {
+			return notice.RateLimit != nil && notice.relayed && notice.daemon == execution.daemon &&
+				notice.Ended.Add(answerSlack).Before(execution.Started) && r.undisturbed(execution.daemon, notice.Started, execution.Started, losesState)
 		})
-		if told {
-			counted = append(counted, run.Started)
+		if limitKnown {
+			counted = append(counted, execution.Started)
 		}
 	}
 	return counted, perSecond
 }
 
-// maxInWindow is the most moments in a window.
-func maxInWindow(moments []time.Time) int {
+// maxInWindow returns the largest number of times within any limitWindow; the times are ascending.
+func maxInWindow(times []time.Time) int {
 	most, from := 0, 0
-	for to := range moments {
-		for moments[to].Sub(moments[from]) > limitWindow {
+	for to := range times {
+		for times[to].Sub(times[from]) > limitWindow {
 			from++
 		}
 		most = max(most, to-from+1)
--- a/node/internal/soak/link.go
+++ b/node/internal/soak/link.go
@@ -10,27 +10,29 @@
 	"github.com/go-faster/errors"
 )
 
-// Fault is what is wrong with a link.
+// Fault is a network fault of a link.
 type Fault int
 
-// The faults.
+// The faults of a link.
 const (
-	// Fine links carry everything at once.
+	// NoFault forwards all data at once.
 	NoFault Fault = iota
-	// Late links hold each piece back for linkDelay.
+	// Delayed forwards each piece of data after linkDelay.
 	Delayed
-	// Silent links carry nothing either way, and take new connections.
+	// Silent forwards nothing in either direction, but accepts new connections.
 	Silent
-	// OneWay links carry nothing back from the server.
+	// OneWay forwards nothing from the server to clients.
 	OneWay
-	// Refusing links reset what is open and what comes.
+	// Refusing resets open connections and new ones.
 	Refusing
 )
 
-// linkDelay is many times the way between data centres, and a third of the shortest goal.
+// linkDelay is many times the latency between data centres, and a third of the shortest latency
+// goal of the paths.
 const linkDelay = 100 * time.Millisecond
 
-// Link is a loopback proxy between clients and one server, on which faults are put.
+// Link is a TCP proxy on the loopback interface, from clients to one server, that simulates
+// network faults.
 type Link struct {
 	listener net.Listener
 	server   string
@@ -41,7 +43,7 @@
 	conns   map[net.Conn]bool
 }
 
-// NewLink listens for connections to a server.
+// NewLink listens on an address and forwards connections to a server.
 func NewLink(listen, server string) (*Link, error) {
 	listener, err := net.Listen("tcp4", listen)
 	if err != nil {
@@ -52,10 +54,10 @@
 	return l, nil
 }
 
-// Address is host:port for clients.
+// Address returns the host:port to which clients connect.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// Set puts a fault on the link.
+// Set sets the link's fault, for open connections and new ones.
 func (l *Link) Set(f Fault) {
 	l.mu.Lock()
 	l.fault = f
@@ -67,7 +69,7 @@
 	}
 }
 
-// Reset resets a share of the open connections.
+// Reset resets each open connection with the probability of share.
 func (l *Link) Reset(share float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,12 +80,13 @@
 	}
 }
 
-// Close ends the link and all that is open.
+// Close stops listening and resets the open connections.
 func (l *Link) Close() {
 	_ = l.listener.Close()
 	l.Set(Refusing)
 }
 
+// accept serves connections until the listener is closed.
 func (l *Link) accept() {
 	for {
 		client, err := l.listener.Accept()
@@ -94,6 +97,7 @@
 	}
 }
 
+// serve forwards a client's connection to the server in both directions until both have ended.
 func (l *Link) serve(client net.Conn) {
 	defer l.untrack(client)
 	if !l.track(client) {
@@ -101,20 +105,21 @@
 	}
 	server, err := net.Dial("tcp4", l.server)
 	if err != nil {
-		closeWithReset(client) // As a port without a listener does.
+		closeWithReset(client) // As if the server's port had no listener.
 		return
 	}
 	defer l.untrack(server)
 	if !l.track(server) {
 		return
 	}
-	var both sync.WaitGroup
-	both.Go(func() { l.forward(server, client, false) })
-	both.Go(func() { l.forward(client, server, true) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { l.forward(server, client, false) })
+	directions.Go(func() { l.forward(client, server, true) })
+	directions.Wait()
 }
 
-// carry copies one direction until its end, and passes the end on.
+// forward copies data in one direction and then propagates its end: a close or a reset. With
+// back set the direction is from the server to the client.
 func (l *Link) forward(to, from net.Conn, back bool) {
 	buffer := make([]byte, 16<<10)
 	for {
@@ -128,7 +133,7 @@
 		}
 		if errors.Is(err, io.EOF) {
 			l.awaitPassage(back)
-			_ = to.(*net.TCPConn).CloseWrite() // Fails where the other side has gone too.
+			_ = to.(*net.TCPConn).CloseWrite() // Fails if the connection is already closed.
 			return
 		}
 		if err != nil {
@@ -138,7 +143,7 @@
 	}
 }
 
-// holdTime waits while the link's fault holds this direction back.
+// awaitPassage waits as long as the link's fault delays this direction.
 func (l *Link) awaitPassage(back bool) {
 	for {
 		l.mu.Lock()
@@ -156,6 +161,8 @@
 	}
 }
 
+// track registers an open connection. It resets the connection and returns false if the link
+// refuses connections.
 func (l *Link) track(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -167,6 +174,7 @@
 	return true
 }
 
+// untrack closes a connection and removes it from the open ones.
 func (l *Link) untrack(c net.Conn) {
 	l.mu.Lock()
 	delete(l.conns, c)
@@ -174,7 +182,7 @@
 	_ = c.Close()
 }
 
-// closeWithReset closes a connection so that its other side sees a reset.
+// closeWithReset closes a connection with a TCP reset.
 func closeWithReset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/node/internal/soak/link_test.go
+++ b/node/internal/soak/link_test.go
@@ -11,7 +11,8 @@
 	"github.com/go-faster/errors"
 )
 
-// newEchoLink starts a server that returns each line, and a link before it.
+// newEchoLink starts an echo server and a link to it. It returns the link and a function that
+// connects to the link.
 func newEchoLink(t *testing.T) (*Link, func() net.Conn) {
 	t.Helper()
 	server, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -42,7 +43,7 @@
 	}
 }
 
-// echoes writes a line and tells whether it comes back within the time.
+// echoes writes a line and reports whether it is echoed within a time.
 func echoes(c net.Conn, within time.Duration) bool {
 	if _, err := io.WriteString(c, "line\n"); err != nil {
 		return false
@@ -57,12 +58,13 @@
 	holdTime    = 50 * time.Millisecond
 )
 
-// refusedDials is how many callers meet a refusing link. Few see the reset while they still
-// connect (3 of 5,000 on an idle machine), so both ends of a refusal are met over some runs.
+// refusedDials is how many clients connect to a refusing link. Few of them get the reset while they
+// still connect (3 of 5,000 on an idle machine), so that several runs are needed to test a reset
+// both during and after the connect.
 const refusedDials = 200
 
-// refusedDial connects to a refusing link. The reset may come before the system has told the
-// caller of the connection, and is the outcome of the dial then.
+// refusedDial connects to a refusing link. The reset may arrive before the dial has returned; then
+// the dial fails with it.
 func refusedDial(t *testing.T, l *Link) {
 	t.Helper()
 	c, err := net.Dial("tcp4", l.Address())
@@ -74,36 +76,38 @@
 	}
 	defer func() { _ = c.Close() }()
 	if echoes(c, echoTimeout) {
-		t.Error("a refusing link carries something on a new connection")
+		t.Error("new connection through a refusing link echoed a line")
 	}
 }
 
+// TestLinkFaults checks that a link delays, holds back and resets data as its fault says, and works
+// again without the fault.
 func TestLinkFaults(t *testing.T) {
 	l, dial := newEchoLink(t)
 	open := dial()
 	if !echoes(open, echoTimeout) {
-		t.Fatal("a fine link carries nothing")
+		t.Fatal("link without fault did not echo a line")
 	}
 	for _, f := range []Fault{Silent, OneWay} {
 		l.Set(f)
 		c := dial()
 		if echoes(c, holdTime) {
-			t.Errorf("fault %d: a line came back", f)
+			t.Errorf("link with fault %d echoed a line", f)
 		}
 		l.Set(NoFault)
 		_ = c.SetReadDeadline(time.Now().Add(echoTimeout))
 		if line, err := bufio.NewReader(c).ReadString('\n'); err != nil || line != "line\n" {
-			t.Errorf("fault %d: what was held back is lost: %q %v", f, line, err)
+			t.Errorf("after the end of fault %d the link echoed %q, error %v; want the delayed line", f, line, err)
 		}
 	}
 	l.Set(Delayed)
-	began := time.Now()
-	if !echoes(open, echoTimeout) || time.Since(began) < 2*linkDelay {
-		t.Errorf("a late link took %v", time.Since(began))
+	started := time.Now()
+	if !echoes(open, echoTimeout) || time.Since(started) < 2*linkDelay {
+		t.Errorf("delayed link echoed a line after %v or not at all, want an echo after at least %v", time.Since(started), 2*linkDelay)
 	}
 	l.Set(Refusing)
 	if echoes(open, echoTimeout) {
-		t.Error("a refusing link carries something on a connection that was open")
+		t.Error("open connection through a refusing link echoed a line")
 	}
 	for range refusedDials {
 		refusedDial(t, l)
@@ -111,15 +115,15 @@
 	l.Set(NoFault)
 	again := dial()
 	if !echoes(again, echoTimeout) {
-		t.Error("the link does not come back")
+		t.Error("link did not echo a line after the end of the refusal")
 	}
 	l.Reset(1)
 	if echoes(again, echoTimeout) {
-		t.Error("a connection that was reset carries something")
+		t.Error("reset connection echoed a line")
 	}
 }
 
-// TestLinkPropagatesClose: the end of one side reaches the other, in order.
+// TestLinkPropagatesClose checks that a link forwards a half-close after all data sent before it.
 func TestLinkPropagatesClose(t *testing.T) {
 	_, dial := newEchoLink(t)
 	c := dial()
@@ -130,6 +134,6 @@
 		t.Fatal(err)
 	}
 	if got, err := io.ReadAll(c); err != nil || string(got) != "all" {
-		t.Fatalf("%q %v", got, err)
+		t.Fatalf("ReadAll after half-close = %q, %v; want \"all\"", got, err)
 	}
 }
--- a/node/internal/soak/plan.go
+++ b/node/internal/soak/plan.go
@@ -1,11 +1,12 @@
-// Package soak runs the daemons as separate processes on one machine, between stand-ins
-// for the platform's store, for targets and for callers, and injects faults from outside:
-// signals, links that fail, targets that misbehave, changes of the configuration. While it
-// runs it writes down what callers and targets see, and judges that against the promises.
+// Package soak is a fault-injection test of the daemons. A run starts them as separate
+// processes on one machine, with stand-ins for the platform's store, the targets and the
+// callers, and injects faults from outside: signals, failing links, failing targets and
+// configuration changes. It records what callers and targets observe and lists the
+// guarantees of the system that the record violates.
 //
-// A run follows a plan that a seed determines. Plan and judge are pure; the processes,
-// links and clocks between them are not, so the same seed repeats the faults and not the
-// interleaving.
+// A seed determines a run's plan of faults. Plan and judge are pure functions; processes,
+// links and clocks are real, so the same seed repeats the faults but not their
+// interleaving with the calls.
 package soak
 
 import (
@@ -14,41 +15,43 @@
 	"time"
 )
 
-// Kind is a kind of fault or of planned work.
+// Kind is a kind of fault or of planned operation.
 type Kind string
 
-// The kinds. The first group are planned work, around which nothing may be lost.
+// The kinds of events. The first group are planned operations, during which no call may be
+// lost.
 const (
-	Term        Kind = "term"   // a daemon is asked to end, and started again
-	Hup         Kind = "hup"    // a daemon is told that its settings file has changed
-	Config      Kind = "config" // the operators publish a new configuration
-	TargetDrain Kind = "leave"  // a target drains and leaves, and another one comes
+	Term        Kind = "term"   // a daemon gets SIGTERM and is started again
+	Hup         Kind = "hup"    // a daemon gets SIGHUP, to read its settings file again
+	Config      Kind = "config" // a new configuration is published
+	TargetDrain Kind = "leave"  // a target drains and is removed, and a new one is added
 
-	Kill    Kind = "kill"  // a daemon is killed, and started again
-	Suspend Kind = "pause" // a daemon stands still for a while
+	Kill    Kind = "kill"  // a daemon gets SIGKILL and is started again
+	Suspend Kind = "pause" // a daemon is stopped by SIGSTOP for a time
 
-	FrontendDelay  Kind = "front-delay" // what callers and a daemon say comes late
-	FrontendReset  Kind = "front-reset" // their connections are reset
-	FrontendOneWay Kind = "front-oneway"
-	FrontendSilent Kind = "front-silent"
+	FrontendDelay  Kind = "front-delay"  // all data between callers and a daemon is delayed
+	FrontendReset  Kind = "front-reset"  // connections between callers and a daemon are reset
+	FrontendOneWay Kind = "front-oneway" // the daemon's answers are held back
+	FrontendSilent Kind = "front-silent" // data in both directions is held back
 
-	TargetReset    Kind = "target-reset" // the same between daemons and a target
+	TargetReset    Kind = "target-reset" // as for callers, on the link between daemons and a target
 	TargetOneWay   Kind = "target-oneway"
 	TargetSilent   Kind = "target-silent"
-	TargetFailures Kind = "target-fails" // a target breaks off, errs, hangs and turns away
+	TargetFailures Kind = "target-fails" // targets close connections, return errors, hang and reject calls
 
-	StoreRefuse       Kind = "store-refuse" // the store's connections are refused
+	StoreRefuse       Kind = "store-refuse" // connections to the store are reset, open ones and new ones
 	StoreSilent       Kind = "store-silent"
 	StoreReset        Kind = "store-reset"
-	StoreDropHistory  Kind = "store-forget" // the store drops its history
-	StoreStallWatches Kind = "store-mute"   // watches hear of nothing
+	StoreDropHistory  Kind = "store-forget" // the store discards its history of changes
+	StoreStallWatches Kind = "store-mute"   // watches get no changes
 )
 
-// plannedKinds are the kinds that are no fault.
+// plannedKinds are the planned operations.
 var plannedKinds = []Kind{Term, Hup, Config, TargetDrain}
 
-// faultKinds are the faults. Those of targets stand several times: each strikes one of
-// several targets, and what is promised of calls that may have run shows only there.
+// faultKinds are the faults. Target faults are listed several times and so drawn more often:
+// each hits only some of the targets, and the guarantees on calls that may have run are only
+// tested by them.
 var faultKinds = []Kind{
 	Kill, Suspend, FrontendDelay, FrontendReset, FrontendOneWay, FrontendSilent,
 	TargetFailures, TargetFailures, TargetFailures, TargetFailures,
@@ -56,43 +59,44 @@
 	StoreRefuse, StoreSilent, StoreReset, StoreDropHistory, StoreStallWatches,
 }
 
-// Planned tells whether a kind is planned work.
+// Planned reports whether the kind is a planned operation.
 func (k Kind) Planned() bool { return slices.Contains(plannedKinds, k) }
 
-// Event is a fault or a step of planned work.
+// Event is a fault or a planned operation of a plan.
 type Event struct {
-	// At is when it begins, from the start of the run; For is how long it lasts.
+	// Start is when the event begins, from the start of the run; Duration is how long it lasts.
 	Start, Duration time.Duration
 	Kind            Kind
-	// Which is the number of the daemon or target; it is reduced to those there are.
+	// Selector selects the daemon or target, modulo their number, and variants of the event.
 	Selector int
 }
 
-// The pace of a plan.
+// The frequency and duration of the events.
 const (
-	// meanInterval is the mean time between two events that are not of one series.
+	// meanInterval is the mean time between two events that are not in one burst.
 	meanInterval = 350 * time.Millisecond
-	// phase is how long only planned work is done, by turns with everything.
+	// phaseDuration is how long each phase lasts: phases with planned operations only and
+	// phases with all kinds of events alternate.
 	phaseDuration = 5 * time.Second
-	// burstShare of the events come as a series of burstLength of their kind, burstInterval apart.
+	// burstShare of the events are bursts of burstLength events of a kind, burstInterval apart.
 	burstShare    = 0.2
 	burstLength   = 3
 	burstInterval = 250 * time.Millisecond
-	// shortest and longest bound how long a fault lasts.
+	// minFaultDuration and maxFaultDuration bound the duration of a fault.
 	minFaultDuration = 300 * time.Millisecond
 	maxFaultDuration = 2500 * time.Millisecond
 )
 
-// NewPlan draws the events of a run; all of them are over at the length.
-func NewPlan(seed uint64, length time.Duration) []Event {
+// NewPlan draws the events of a run, by start time; all of them end within the duration.
+func NewPlan(seed uint64, duration time.Duration) []Event {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	var plan []Event
 	add := func(e Event) {
-		if e.Start+e.Duration <= length {
+		if e.Start+e.Duration <= duration {
 			plan = append(plan, e)
 		}
 	}
-	for at := meanInterval; at < length; at += randomDuration(rng, 2*meanInterval) {
+	for at := meanInterval; at < duration; at += randomDuration(rng, 2*meanInterval) {
 		kinds := plannedKinds
 		if at/phaseDuration%2 == 1 {
 			kinds = faultKinds
@@ -110,10 +114,10 @@
 			add(e)
 		}
 	}
-	return addRateLimitEvent(addNoticeEvents(addRestartEvents(plan, seed, length), seed, length), seed, length)
+	return addRateLimitEvent(addNoticeEvents(addRestartEvents(plan, seed, duration), seed, duration), seed, duration)
 }
 
-// randomDuration is a time below a bound.
-func randomDuration(rng *rand.Rand, below time.Duration) time.Duration {
-	return time.Duration(rng.Int64N(int64(below)))
+// randomDuration returns a random duration below a bound.
+func randomDuration(rng *rand.Rand, bound time.Duration) time.Duration {
+	return time.Duration(rng.Int64N(int64(bound)))
 }
--- a/node/internal/soak/process.go
+++ b/node/internal/soak/process.go
@@ -16,20 +16,21 @@
 	"doorstack.dev/platform/standin"
 )
 
-// shutdownTimeout is how long a daemon that is asked to end may take.
+// shutdownTimeout is how long a daemon may take to exit before it is killed.
 const shutdownTimeout = 8 * time.Second
 
-// process is a daemon that is started again whenever it ends.
+// process is a daemon under test: its files, its addresses and its current operating-system
+// process.
 type process struct {
 	index        int
 	program      string
 	boot         standin.Boot
-	settingsFile string // the settings file
-	metricsPort  string // the port for operators
-	frontend     *Link  // what callers connect to
+	settingsFile string
+	metricsPort  string // the port for operators, of flag --metrics
+	frontend     *Link  // the link through which callers reach the daemon
 	log          *os.File
 
-	// work is held while the process is ended, paused or started.
+	// controlMu is held while an event restarts or suspends the process.
 	controlMu sync.Mutex
 
 	mu         sync.Mutex
@@ -38,8 +39,9 @@
 	startTimes []time.Time
 }
 
-// newProcess prepares a daemon; its log goes to dir.
-func newProcess(number int, dir, program string, seeds []string, peers, store string) (*process, error) {
+// newProcess writes a daemon's settings file and starts the daemon, which logs to a file in
+// dir. Arguments peers and store are the daemon's own peer address and the store's address.
+func newProcess(index int, dir, program string, seeds []string, peers, store string) (*process, error) {
 	addresses := make([]string, 4)
 	for i := range addresses {
 		var err error
@@ -51,11 +53,11 @@
 	if err != nil {
 		return nil, err
 	}
-	name := fmt.Sprint("d", number+1)
+	name := fmt.Sprint("d", index+1)
 	p := &process{
-		index: number, program: program, metricsPort: metrics, settingsFile: filepath.Join(dir, name+".toml"),
+		index: index, program: program, metricsPort: metrics, settingsFile: filepath.Join(dir, name+".toml"),
 		boot: standin.Boot{
-			Name: name, IP: ip, DataCentre: fmt.Sprint("z", number%2+1), CallerAddress: addresses[0], ReadyAddress: addresses[1],
+			Name: name, IP: ip, DataCentre: fmt.Sprint("z", index%2+1), CallerAddress: addresses[0], ReadyAddress: addresses[1],
 			PeerAddress: peers, Seeds: seeds, StoreAddress: store,
 		},
 	}
@@ -71,7 +73,7 @@
 	return p, p.start()
 }
 
-// recordStart begins the process.
+// start starts the process.
 func (p *process) start() error {
 	cmd := exec.Command(p.program, "--platform", "--metrics", p.metricsPort)
 	cmd.Env = append(os.Environ(), standin.BootEnvironment(p.settingsFile))
@@ -85,25 +87,27 @@
 	p.startTimes = append(p.startTimes, time.Now())
 	p.mu.Unlock()
 	go func() {
-		_ = cmd.Wait() // How it ended shows in its log; what matters is that it did.
+		_ = cmd.Wait() // Any exit status is accepted; errors are in the daemon's log.
 		close(exited)
 	}()
 	return nil
 }
 
+// running returns the current process and a channel that is closed when the process exits.
 func (p *process) running() (*os.Process, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd.Process, p.exited
 }
 
-// signal sends a signal to the process, which may have ended by itself.
+// signal sends a signal to the process. An error is ignored: the process may have exited.
 func (p *process) signal(s syscall.Signal) {
 	proc, _ := p.running()
 	_ = proc.Signal(s)
 }
 
-// end asks the process to end, with a kill when the grace is over, and waits for that.
+// stop sends a signal that ends the process and waits for the exit. It kills the process
+// after shutdownTimeout.
 func (p *process) stop(s syscall.Signal) {
 	proc, exited := p.running()
 	_ = proc.Signal(s)
@@ -115,7 +119,7 @@
 	}
 }
 
-// ready asks whether the daemon takes callers.
+// ready reports whether the daemon's readiness check succeeds.
 func (p *process) ready(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -131,11 +135,12 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// readinessClient asks on a new connection each time, as a balancer does.
+// readinessClient opens a new connection for each check, as a load balancer does.
 var readinessClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-// awaitReady waits until the daemon is ready, or ctx ends. A process that ends meanwhile is
-// started again, as a platform does: a signal may come before the program takes signals.
+// awaitReady waits until the daemon is ready and reports whether it became ready before ctx
+// ended. It restarts a process that exits meanwhile, as a platform does: a signal may arrive
+// before the program handles signals.
 func (p *process) awaitReady(ctx context.Context) bool {
 	ticker := time.NewTicker(20 * time.Millisecond)
 	defer ticker.Stop()
@@ -147,7 +152,7 @@
 		case <-exited:
 			sleep(ctx, restartDelay)
 			if err := p.start(); err != nil {
-				panic(err) // The program is there: it ran before.
+				panic(err) // The program exists: it was started before.
 			}
 		case <-ticker.C:
 		}
@@ -155,7 +160,7 @@
 	return true
 }
 
-// close ends the process for good.
+// close kills the process, also a suspended one, and closes its link and log.
 func (p *process) close() {
 	p.signal(syscall.SIGCONT)
 	p.stop(syscall.SIGKILL)
--- a/node/internal/soak/soak.go
+++ b/node/internal/soak/soak.go
@@ -9,88 +9,92 @@
 	"github.com/go-faster/errors"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	// Seed determines the plan; Length is how long faults are injected.
+	// Seed determines the plan; Duration is how long faults are injected.
 	Seed     uint64
 	Duration time.Duration
 	Size     Size
-	// Program is doorstackd; Dir gets the daemons' settings and logs.
+	// Program is the path of doorstackd; the daemons' settings and logs are written to Dir.
 	Program, Dir string
 }
 
-// Result is what a run has shown.
+// Result holds the violations found in a run and its size.
 type Result struct {
 	Violations []Violation
-	// Calls is how many calls were made, Served how many of them had a whole success.
+	// Calls is how many calls were made, Served how many of them got a complete answer with
+	// status 200.
 	Calls, Served int
 	Events        int
 }
 
-// The times around the faults.
+// The times before the first fault and after the last.
 const (
 	startTimeout = 30 * time.Second
-	// settle lets calls end, memory run out and watches notice, after the last fault.
+	// settleTime, after the recovery check, lets calls end, reservations expire and watches
+	// report.
 	settleTime = 4 * time.Second
-	// recoveryTimeout is the users' bound for serving again.
+	// recoveryTimeout is the users' bound for serving every route again after the last fault.
 	recoveryTimeout = 12 * time.Second
 )
 
-// RunOnce plays one run.
+// RunOnce starts the daemons and stand-ins, executes the plan of o.Seed and judges what was
+// recorded. An error means that the daemons did not start.
 func RunOnce(ctx context.Context, o Options) (*Result, error) {
-	starting, cancel := context.WithTimeout(ctx, startTimeout)
+	startCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	w, err := newTestbed(starting, o.Dir, o.Program, o.Size)
-	if w != nil {
-		defer w.close()
+	tb, err := newTestbed(startCtx, o.Dir, o.Program, o.Size)
+	if tb != nil {
+		defer tb.close()
 	}
 	if err != nil {
 		return nil, errors.Wrap(err, "start")
 	}
 	plan := NewPlan(o.Seed, o.Duration)
-	w.runPlan(ctx, plan, o.Duration)
-	recovered := w.checkRecovery(ctx)
+	tb.runPlan(ctx, plan, o.Duration)
+	unrecovered := tb.checkRecovery(ctx)
 	sleep(ctx, settleTime)
-	r := w.collectRecord()
-	result := &Result{Violations: append(Judge(r), recovered...), Calls: len(r.Calls), Events: len(plan)}
-	for i := range r.Calls {
-		if r.Calls[i].Status == 200 && r.Calls[i].Complete {
+	record := tb.collectRecord()
+	result := &Result{Violations: append(Judge(record), unrecovered...), Calls: len(record.Calls), Events: len(plan)}
+	for i := range record.Calls {
+		if record.Calls[i].Status == 200 && record.Calls[i].Complete {
 			result.Served++
 		}
 	}
 	return result, nil
 }
 
-// play lets callers call while the plan's events happen, and returns when all have ended.
-func (w *testbed) runPlan(ctx context.Context, plan []Event, length time.Duration) {
-	calling, stop := context.WithCancel(ctx)
-	var crowd, faults sync.WaitGroup
-	crowd.Go(func() { w.pollReadiness(calling) })
+// runPlan makes calls while it applies the plan's events, and returns when all calls and
+// events have ended.
+func (tb *testbed) runPlan(ctx context.Context, plan []Event, duration time.Duration) {
+	callCtx, stop := context.WithCancel(ctx)
+	var callers, faults sync.WaitGroup
+	callers.Go(func() { tb.pollReadiness(callCtx) })
 	for range callerCount {
-		crowd.Go(func() { w.runCaller(calling) })
+		callers.Go(func() { tb.runCaller(callCtx) })
 	}
-	began := time.Now()
+	started := time.Now()
 	for _, e := range plan {
-		sleep(ctx, time.Until(began.Add(e.Start)))
-		faults.Go(func() { w.apply(ctx, e) })
+		sleep(ctx, time.Until(started.Add(e.Start)))
+		faults.Go(func() { tb.apply(ctx, e) })
 	}
-	sleep(ctx, time.Until(began.Add(length)))
+	sleep(ctx, time.Until(started.Add(duration)))
 	faults.Wait()
 	stop()
-	crowd.Wait()
+	callers.Wait()
 }
 
-// recovered tells which daemons do not serve each path within the bound.
-func (w *testbed) checkRecovery(ctx context.Context) []Violation {
+// checkRecovery lists each daemon and path that is not served within recoveryTimeout.
+func (tb *testbed) checkRecovery(ctx context.Context) []Violation {
 	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	var list []Violation
-	var all sync.WaitGroup
-	for _, p := range w.daemons {
-		all.Go(func() {
+	var checks sync.WaitGroup
+	for _, p := range tb.daemons {
+		checks.Go(func() {
 			for _, path := range paths {
-				if !w.awaitSuccess(ctx, p, path) {
+				if !tb.awaitSuccess(ctx, p, path) {
 					mu.Lock()
 					list = append(list, Violation{"RECOVER", p.boot.Name, fmt.Sprintf("does not serve %s within %v", path.Prefix, recoveryTimeout)})
 					mu.Unlock()
@@ -98,18 +102,20 @@
 			}
 		})
 	}
-	all.Wait()
+	checks.Wait()
 	return list
 }
 
-// retryInterval is the pause between two tries of a path.
+// retryInterval is the pause between two calls of awaitSuccess.
 const retryInterval = 100 * time.Millisecond
 
-func (w *testbed) awaitSuccess(ctx context.Context, p *process, path *Path) bool {
+// awaitSuccess reports whether a call on the path succeeds, and the daemon is ready after it,
+// before ctx ends.
+func (tb *testbed) awaitSuccess(ctx context.Context, p *process, path *Path) bool {
 	client := newClient()
 	defer client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		if c := w.call(ctx, client, p.index, path, 0); c.Status == 200 && c.Complete && p.ready(ctx) {
+		if c := tb.call(ctx, client, p.index, path, 0); c.Status == 200 && c.Complete && p.ready(ctx) {
 			return true
 		}
 		sleep(ctx, retryInterval)
--- a/node/internal/soak/soak_test.go
+++ b/node/internal/soak/soak_test.go
@@ -11,41 +11,43 @@
 	"time"
 )
 
-// By hand, for so many fresh seeds, a length and the directory where logs of runs with
-// violations stay:
+// The flags add runs with new seeds to those of CI, and keep the logs of failed runs:
 //
 //	go test ./node/internal/soak -run Soak -soak.seeds 50 -soak.for 25s -soak.keep DIR -timeout 2h
 var (
-	seeds         = flag.Int("soak.seeds", 0, "runs with fresh seeds, beside those of CI")
-	firstSeed     = flag.Uint64("soak.first", 0, "first of those seeds; zero takes the time")
-	faultDuration = flag.Duration("soak.for", 20*time.Second, "how long faults are injected in a run with a fresh seed")
-	daemons       = flag.Int("soak.daemons", 5, "daemons in a run with a fresh seed")
-	keepDir       = flag.String("soak.keep", "", "directory for the logs of runs with violations")
+	seeds         = flag.Int("soak.seeds", 0, "number of runs with new seeds, in addition to those of CI")
+	firstSeed     = flag.Uint64("soak.first", 0, "first of the new seeds; 0 takes it from the clock")
+	faultDuration = flag.Duration("soak.for", 20*time.Second, "how long faults are injected in a run with a new seed")
+	daemons       = flag.Int("soak.daemons", 5, "number of daemons in a run with a new seed")
+	keepDir       = flag.String("soak.keep", "", "directory for the logs of failed runs")
 )
 
-// regressions are seeds that failed once, each with its cause, played at the length and size at
-// which they did.
+// regressions are seeds that once failed, with the cause, and the duration and size at which they
+// failed.
 var regressions = []struct {
 	seed   uint64
 	length time.Duration
 	size   Size
 	cause  string
 }{
-	{1, ciDuration, ciSize, "beside load, once: prompts over one engine's memory were refused for 12 s by idle engines. A burst of failures had opened a breaker for 30 s, and of the three engines left two could not be given deep parts"},
-	{1796283407082669558, 20 * time.Second, Size{Daemons: 5, Plain: 3, Engines: 6}, "a target that had asked for 2 s of rest started anew after 1.5 s, and got 24 calls of one daemon in the rest of that time: the word was dropped with the process that had said it"},
-	{1796298812632783829, 20 * time.Second, Size{Daemons: 5, Plain: 3, Engines: 6}, "a target that names 1.6 calls a second crashed and started anew, and got 31 calls in 4 s: the coordinator that heard of the start in a report forgot the limit, and was reminded by no answer since the limit had not changed"},
+	{1, ciDuration, ciSize, "seen once, under load: prompts larger than one engine's memory were refused for 12 s although the engines were idle. A burst of failures had opened a circuit breaker for 30 s, and two of the three remaining engines could not be given heavy parts of prompts"},
+	{1796283407082669558, 20 * time.Second, Size{Daemons: 5, Plain: 3, Engines: 6}, "a target that had asked for a backoff of 2 s restarted after 1.5 s and got 24 calls from one daemon in the rest of that time: the notice was dropped with the process that had sent it"},
+	{1796298812632783829, 20 * time.Second, Size{Daemons: 5, Plain: 3, Engines: 6}, "a target with a rate limit of 1.6 calls per second crashed and restarted, and got 31 calls in 4 s: the coordinator that learned of the restart from a report forgot the limit, and no answer reminded it since the limit had not changed"},
 }
 
-// ciSeeds and ciDuration are what CI plays beside the regressions.
+// ciSeeds are the seeds that CI runs besides the regressions, for ciDuration with ciSize.
 var ciSeeds = []uint64{2, 3}
 
+// ciDuration is how long faults are injected in a run of CI.
 const ciDuration = 12 * time.Second
 
+// ciSize is the size of a run of CI.
 var ciSize = Size{Daemons: 3, Plain: 3, Engines: 4}
 
+// TestSoak runs the regressions, the seeds of CI and as many new seeds as the flags ask for.
 func TestSoak(t *testing.T) {
 	program := buildDaemon(t)
-	play := func(seed uint64, length time.Duration, size Size) {
+	runSeed := func(seed uint64, length time.Duration, size Size) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			dir := t.TempDir()
 			result, err := RunOnce(context.Background(), Options{Seed: seed, Duration: length, Size: size, Program: program, Dir: dir})
@@ -54,42 +56,42 @@
 			}
 			t.Logf("%d events, %d calls, %d served", result.Events, result.Calls, result.Served)
 			if result.Served < result.Calls/4 {
-				t.Errorf("only %d of %d calls were served", result.Served, result.Calls)
+				t.Errorf("%d of %d calls were served, want at least a quarter", result.Served, result.Calls)
 			}
 			for _, v := range result.Violations {
 				t.Error(v)
 			}
 			if t.Failed() && *keepDir != "" {
-				to := filepath.Join(*keepDir, fmt.Sprint("seed-", seed))
-				if err := os.CopyFS(to, os.DirFS(dir)); err != nil {
+				logDir := filepath.Join(*keepDir, fmt.Sprint("seed-", seed))
+				if err := os.CopyFS(logDir, os.DirFS(dir)); err != nil {
 					t.Error(err)
 				}
-				t.Log("logs: " + to)
+				t.Log("logs: " + logDir)
 			}
 		})
 	}
 	for _, r := range regressions {
 		t.Log(r.seed, r.cause)
-		play(r.seed, r.length, r.size)
+		runSeed(r.seed, r.length, r.size)
 	}
 	for _, seed := range ciSeeds {
-		play(seed, ciDuration, ciSize)
+		runSeed(seed, ciDuration, ciSize)
 	}
 	from := *firstSeed
 	if from == 0 {
 		from = uint64(time.Now().UnixNano())
 	}
 	for i := range *seeds {
-		play(from+uint64(i), *faultDuration, Size{Daemons: *daemons, Plain: 3, Engines: 6})
+		runSeed(from+uint64(i), *faultDuration, Size{Daemons: *daemons, Plain: 3, Engines: 6})
 	}
 }
 
-// buildDaemon makes the program that is soaked.
+// buildDaemon builds doorstackd and returns the path of the program.
 func buildDaemon(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "doorstackd")
 	if out, err := exec.Command("go", "build", "-o", program, "doorstack.dev/node/cmd/doorstackd").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("go build failed: %v: %s", err, out)
 	}
 	return program
 }
--- /dev/null
+++ b/node/internal/soak/testbed.go
@@ -0,0 +1,441 @@
+package soak
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"path/filepath"
+	"slices"
+	"sync"
+	"syscall"
+	"time"
+
+	"doorstack.dev/node/internal/testaddr"
+	"doorstack.dev/platform/standin"
+	"github.com/go-faster/errors"
+)
+
+// Size is the number of daemons, of targets of the plain service and of engines in a run.
+type Size struct{ Daemons, Plain, Engines int }
+
+// testbed holds the daemons and stand-ins of a run and what is recorded of them.
+type testbed struct {
+	dir           string
+	store         *standin.Store
+	storeEndpoint *standin.Endpoint
+	storeLink     *Link
+	daemons       []*process
+	executions    *executionLog
+	calls         *callLog
+
+	mu             sync.Mutex
+	backends       []*backend // the targets in the store, oldest first
+	removed        []*backend // targets that were removed from the store
+	targetsCreated int
+	version        int
+	config         standin.Config // the newest configuration
+	published      []PublishedConfig
+	disturbances   []Disturbance
+	inRotation     []bool // by daemon: callers may choose it
+}
+
+// temporaryRoutes is how many temporary routes a configuration has. Each configuration adds
+// one; the oldest is removed.
+const temporaryRoutes = 3
+
+// temporaryPrefix returns the path prefix of a temporary route, by its number.
+func temporaryPrefix(route int) string { return fmt.Sprintf("/passing/%d/", route) }
+
+// newTestbed starts the stand-ins and daemons and returns when all daemons are ready. With an
+// error it may return a testbed that is to be closed.
+func newTestbed(ctx context.Context, dir, program string, size Size) (*testbed, error) {
+	tb := &testbed{
+		dir: dir, store: standin.NewStore(), executions: &executionLog{byCall: map[string][]*Execution{}}, calls: &callLog{},
+		inRotation: make([]bool, size.Daemons),
+	}
+	tb.storeEndpoint = tb.store.OpenEndpoint()
+	address, err := testaddr.Find()
+	if err != nil {
+		return nil, err
+	}
+	if tb.storeLink, err = NewLink(address, tb.storeEndpoint.Address()); err != nil {
+		return nil, err
+	}
+	for i := range size.Plain + size.Engines {
+		service := plainService
+		if i >= size.Plain {
+			service = engineService
+		}
+		if err := tb.addTarget(service); err != nil {
+			return tb, err
+		}
+	}
+	tb.publishNextConfig()
+	var peers []string
+	for range size.Daemons {
+		address, err := testaddr.Find()
+		if err != nil {
+			return tb, err
+		}
+		peers = append(peers, address)
+	}
+	for i := range size.Daemons {
+		p, err := newProcess(i, dir, program, peers[:min(3, len(peers))], peers[i], tb.storeLink.Address())
+		if err != nil {
+			return tb, err
+		}
+		tb.daemons = append(tb.daemons, p)
+	}
+	for _, p := range tb.daemons {
+		if !p.awaitReady(ctx) {
+			return tb, errors.New(p.boot.Name + " did not become ready; see " + filepath.Join(dir, p.boot.Name+".log"))
+		}
+	}
+	return tb, nil
+}
+
+// addTarget starts a target of a service and adds it to the store.
+func (tb *testbed) addTarget(service string) error {
+	tb.mu.Lock()
+	tb.targetsCreated++
+	id := fmt.Sprint("t", tb.targetsCreated)
+	tb.mu.Unlock()
+	b, err := newBackend(id, service, tb.executions)
+	if err != nil {
+		return err
+	}
+	tb.mu.Lock()
+	tb.backends = append(tb.backends, b)
+	tb.mu.Unlock()
+	tb.store.PutTargetWithStart(b.target, b.link.Address(), service, targetSlots)
+	return nil
+}
+
+// targetSlots is how many concurrent calls a target accepts, by its entry in the store.
+const targetSlots = 16
+
+// publishNextConfig publishes the next configuration: it has one more temporary route, and
+// the oldest is removed.
+func (tb *testbed) publishNextConfig() {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	tb.version++
+	p := PublishedConfig{FirstRoute: max(1, tb.version-temporaryRoutes+1), LastRoute: tb.version}
+	c := standin.Config{
+		Version:  tb.version,
+		Services: []standin.Service{{Name: plainService}, {Name: engineService, Engine: standin.Engine(100_000)}},
+		Tenants:  []standin.Tenant{{Name: accountName, APIKeys: []string{apiKey}}},
+	}
+	for _, path := range paths {
+		c.Routes = append(c.Routes, path.configRoute(path.Prefix))
+	}
+	for n := p.FirstRoute; n <= p.LastRoute; n++ {
+		c.Routes = append(c.Routes, safePath.configRoute(temporaryPrefix(n)))
+	}
+	tb.config = c
+	tb.store.PutConfig(c)
+	p.At = time.Now()
+	tb.published = append(tb.published, p)
+}
+
+// configRoute returns the path's route under a prefix, as a configuration has it.
+func (p *Path) configRoute(prefix string) standin.Route {
+	r := standin.Route{
+		Name: "r" + prefix, Host: callHost, Prefix: prefix, Kind: p.Kind, Service: p.Service, MaxAttempts: p.MaxAttempts,
+		TimeoutMS: int(p.Timeout.Milliseconds()), TargetLatencyMS: int(p.LatencyGoal.Milliseconds()),
+	}
+	if p.Streaming {
+		r.Resumable, r.GapGoalMS = true, float64(p.LatencyGoal.Milliseconds())
+	}
+	return r
+}
+
+// pickTemporaryRoute draws a temporary route that is in force, not yet added or just removed.
+func (tb *testbed) pickTemporaryRoute() int {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	return max(1, tb.version+1-rand.IntN(temporaryRoutes+2))
+}
+
+// pickReadyDaemon draws a daemon that is in rotation, or any daemon if none is.
+func (tb *testbed) pickReadyDaemon() int {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	var list []int
+	for i, ready := range tb.inRotation {
+		if ready {
+			list = append(list, i)
+		}
+	}
+	if len(list) == 0 {
+		return rand.IntN(len(tb.inRotation))
+	}
+	return list[rand.IntN(len(list))]
+}
+
+// readinessInterval is how often the stand-in load balancer checks the daemons' readiness. Two
+// failed checks in a row take a daemon out of rotation.
+const readinessInterval = time.Second
+
+// pollReadiness updates inRotation until ctx ends.
+func (tb *testbed) pollReadiness(ctx context.Context) {
+	misses := make([]int, len(tb.daemons))
+	for ctx.Err() == nil {
+		for i, p := range tb.daemons {
+			if p.ready(ctx) {
+				misses[i] = 0
+			} else {
+				misses[i]++
+			}
+			tb.mu.Lock()
+			tb.inRotation[i] = misses[i] < 2
+			tb.mu.Unlock()
+		}
+		sleep(ctx, readinessInterval)
+	}
+}
+
+// beginDisturbance records a disturbance of a daemon, or of allDaemons, which lasts until the
+// returned function is called.
+func (tb *testbed) beginDisturbance(k Kind, daemon int) (end func()) {
+	return tb.recordDisturbance(Disturbance{Kind: k, Daemon: daemon})
+}
+
+// beginTargetDisturbance records a disturbance of one target, which affects all daemons, until the
+// returned function is called.
+func (tb *testbed) beginTargetDisturbance(k Kind, b *backend) (end func()) {
+	return tb.recordDisturbance(Disturbance{Kind: k, Daemon: allDaemons, Target: b.target.ID})
+}
+
+// recordDisturbance records a disturbance that begins now and ends at the call of end.
+func (tb *testbed) recordDisturbance(d Disturbance) (end func()) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	index := len(tb.disturbances)
+	d.From, d.To = time.Now(), time.Now().Add(time.Hour)
+	tb.disturbances = append(tb.disturbances, d)
+	return func() {
+		tb.mu.Lock()
+		defer tb.mu.Unlock()
+		tb.disturbances[index].To = time.Now()
+	}
+}
+
+// apply executes an event and returns when it is over.
+func (tb *testbed) apply(ctx context.Context, e Event) {
+	daemon := tb.daemons[e.Selector%len(tb.daemons)]
+	switch e.Kind {
+	case Term:
+		tb.restartDaemon(ctx, daemon, e.Kind, syscall.SIGTERM)
+	case Kill:
+		tb.restartDaemon(ctx, daemon, e.Kind, syscall.SIGKILL)
+	case Suspend:
+		tb.suspendDaemon(ctx, daemon, e.Duration)
+	case Hup:
+		defer tb.beginDisturbance(e.Kind, daemon.index)()
+		daemon.signal(syscall.SIGHUP)
+	case Config:
+		defer tb.beginDisturbance(e.Kind, allDaemons)()
+		tb.publishNextConfig()
+	case TargetDrain:
+		tb.replaceTarget(ctx, e.Selector)
+	case FrontendDelay, FrontendReset, FrontendOneWay, FrontendSilent:
+		defer tb.beginDisturbance(e.Kind, daemon.index)()
+		injectLinkFault(ctx, daemon.frontend, e)
+	case TargetRestart:
+		defer tb.beginDisturbance(e.Kind, allDaemons)()
+		tb.restartTarget(ctx, e)
+	case StoreInvalidEntries:
+		tb.writeInvalidEntries(e.Selector)
+	case CallCrashes:
+		defer tb.beginDisturbance(e.Kind, allDaemons)()
+		tb.sendCrashingCalls(ctx, e)
+	case TargetBackoff:
+		defer tb.beginDisturbance(e.Kind, allDaemons)()
+		tb.requestBackoff(ctx, e)
+	case TargetRateLimit:
+		tb.setRateLimits(ctx, e)
+	case StoreRestore:
+		defer tb.beginDisturbance(e.Kind, allDaemons)()
+		tb.restoreStore(ctx, e)
+	case TargetReset, TargetOneWay, TargetSilent, TargetFailures:
+		defer tb.beginDisturbance(e.Kind, allDaemons)()
+		tb.injectTargetFault(ctx, e)
+	default:
+		defer tb.beginDisturbance(e.Kind, allDaemons)()
+		tb.injectStoreFault(ctx, e)
+	}
+}
+
+// resetFraction is the share of a link's connections that a reset event resets.
+const resetFraction = 0.6
+
+// injectLinkFault puts an event's fault on a link for the event's duration.
+func injectLinkFault(ctx context.Context, l *Link, e Event) {
+	switch e.Kind {
+	case FrontendReset, TargetReset, StoreReset:
+		l.Reset(resetFraction)
+		return
+	case FrontendDelay:
+		l.Set(Delayed)
+	case FrontendOneWay, TargetOneWay:
+		l.Set(OneWay)
+	case StoreRefuse:
+		l.Set(Refusing)
+	default:
+		l.Set(Silent)
+	}
+	sleep(ctx, e.Duration)
+	l.Set(NoFault)
+}
+
+// injectTargetFault puts a link fault on one target, or lets every second target fail.
+func (tb *testbed) injectTargetFault(ctx context.Context, e Event) {
+	tb.mu.Lock()
+	b := tb.backends[e.Selector%len(tb.backends)]
+	var half []*backend // every second target fails: daemons soon avoid a single one
+	for i, other := range tb.backends {
+		if i%2 == e.Selector%2 {
+			half = append(half, other)
+		}
+	}
+	tb.mu.Unlock()
+	if e.Kind != TargetFailures {
+		defer tb.beginTargetDisturbance(e.Kind, b)()
+		injectLinkFault(ctx, b.link, e)
+		return
+	}
+	for _, b := range half {
+		b.setInjectFailures(true)
+	}
+	sleep(ctx, e.Duration)
+	for _, b := range half {
+		b.setInjectFailures(false)
+	}
+}
+
+// injectStoreFault discards the store's history, stalls its watches or puts a fault on its link.
+func (tb *testbed) injectStoreFault(ctx context.Context, e Event) {
+	switch e.Kind {
+	case StoreDropHistory:
+		tb.store.DropHistory()
+	case StoreStallWatches:
+		tb.store.StallWatches(true)
+		sleep(ctx, e.Duration)
+		tb.store.StallWatches(false)
+		tb.storeEndpoint.CloseClientConnections() // Stalled watches stay stalled; clients must open new ones.
+	default:
+		injectLinkFault(ctx, tb.storeLink, e)
+	}
+}
+
+// restartDelay is the pause between the end of a process and its next start.
+const restartDelay = 200 * time.Millisecond
+
+// restartDaemon stops a daemon by a signal and starts it again, unless another event already
+// restarts or suspends it.
+func (tb *testbed) restartDaemon(ctx context.Context, p *process, k Kind, s syscall.Signal) {
+	if !p.controlMu.TryLock() {
+		return
+	}
+	defer p.controlMu.Unlock()
+	defer tb.beginDisturbance(k, p.index)()
+	p.stop(s)
+	sleep(ctx, restartDelay)
+	if err := p.start(); err != nil {
+		panic(err) // The program exists: it was started before.
+	}
+	p.awaitReady(ctx)
+}
+
+// suspendDaemon stops a daemon by SIGSTOP for a time, unless another event already restarts
+// or suspends it.
+func (tb *testbed) suspendDaemon(ctx context.Context, p *process, d time.Duration) {
+	if !p.controlMu.TryLock() {
+		return
+	}
+	defer p.controlMu.Unlock()
+	defer tb.beginDisturbance(Suspend, p.index)()
+	p.signal(syscall.SIGSTOP)
+	sleep(ctx, d)
+	p.signal(syscall.SIGCONT)
+}
+
+// drainTime is how long a target goes on serving after it has announced that it drains.
+const drainTime = 2 * time.Second
+
+// replaceTarget drains and removes a target and adds a new one, unless the service has only
+// two targets.
+func (tb *testbed) replaceTarget(ctx context.Context, selector int) {
+	tb.mu.Lock()
+	index := selector % len(tb.backends)
+	b := tb.backends[index]
+	sameService := 0
+	for _, other := range tb.backends {
+		if other.service == b.service {
+			sameService++
+		}
+	}
+	if sameService > 2 {
+		tb.backends = slices.Delete(tb.backends, index, index+1)
+		tb.removed = append(tb.removed, b)
+	}
+	tb.mu.Unlock()
+	if sameService <= 2 {
+		return
+	}
+	defer tb.beginDisturbance(TargetDrain, allDaemons)()
+	if err := tb.addTarget(b.service); err != nil {
+		panic(err) // No free port was found.
+	}
+	if selector%2 == 0 { // Half of the targets announce it in the store.
+		tb.store.PutDraining(b.target.ID, b.link.Address(), b.service, targetSlots)
+		sleep(ctx, drainTime)
+	} else { // Of the others some announce it in their answers, and some not at all.
+		b.updateNotices(func() { b.announceDraining = selector%4 == 1 })
+		sleep(ctx, drainTime)
+	}
+	tb.store.RemoveTarget(b.target)
+	sleep(ctx, drainTime)
+}
+
+// collectRecord copies what was recorded of the run.
+func (tb *testbed) collectRecord() *Record {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	r := &Record{
+		Calls: tb.calls.list(), Executions: tb.executions.list(), Disturbances: slices.Clone(tb.disturbances),
+		Published: slices.Clone(tb.published), ProcessStarts: map[int][]time.Time{}, UnreleasedReservations: tb.unreleasedReservations(),
+	}
+	for _, p := range tb.daemons {
+		p.mu.Lock()
+		r.ProcessStarts[p.index] = slices.Clone(p.startTimes)
+		p.mu.Unlock()
+	}
+	return r
+}
+
+// unreleasedReservations lists the reservations that were neither released nor expired; tb.mu
+// is held.
+func (tb *testbed) unreleasedReservations() []string {
+	var list []string
+	for _, b := range slices.Concat(tb.backends, tb.removed) {
+		for _, id := range b.target.Reservations(time.Now()) {
+			list = append(list, id+" at "+b.target.ID)
+		}
+	}
+	return list
+}
+
+// close ends the daemons and the stand-ins.
+func (tb *testbed) close() {
+	for _, p := range tb.daemons {
+		p.close()
+	}
+	for _, b := range slices.Concat(tb.backends, tb.removed) {
+		b.close()
+	}
+	tb.storeLink.Close()
+	tb.storeEndpoint.CloseClientConnections()
+	tb.storeEndpoint.Close()
+}
