--- a/node/admin/admin.go
+++ b/node/admin/admin.go
@@ -49,7 +49,7 @@
 	State       string    `json:"state"`
 	Incarnation int64     `json:"incarnation"`
 	Revision    int64     `json:"revision"`
-	Heard       time.Time `json:"heard,omitzero"`
+	LastHeard   time.Time `json:"heard,omitzero"`
 }
 
 // ClaimStatus describes the keys that this daemon holds as a witness.
@@ -69,10 +69,10 @@
 
 // LeaseStatus is a target's owner.
 type LeaseStatus struct {
-	Target  string    `json:"target"`
-	Owner   string    `json:"owner"`
-	Fence   int64     `json:"fence"`
-	Expires time.Time `json:"expires"`
+	Target       string    `json:"target"`
+	Owner        string    `json:"owner"`
+	FencingToken int64     `json:"fence"`
+	ExpiresAt    time.Time `json:"expires"`
 }
 
 // Status is a daemon's answer to "doorstack status".
@@ -88,7 +88,7 @@
 	Rejected    blackboard.Rejection `json:"rejected,omitzero"`
 	// Store is the position up to which the targets' entries in the platform's store are known:
 	// its era and revision, or the revision alone where it tells no era.
-	Store string `json:"store,omitempty"`
+	StorePosition string `json:"store,omitempty"`
 	// Quarantined is the number of calls that no daemon sends, since they end their targets.
 	Quarantined int                        `json:"quarantined,omitempty"`
 	InFlight    int64                      `json:"in_flight"`
@@ -108,8 +108,8 @@
 // TargetStatus is a target in a Status.
 type TargetStatus = blackboard.TargetStatus
 
-// AccountUse is an account in a Status.
-type AccountUse = blackboard.AccountStatus
+// AccountStatus is an account in a Status.
+type AccountStatus = blackboard.AccountStatus
 
 // ExplainStatus is the memory of recorded decisions.
 type ExplainStatus struct {
@@ -168,21 +168,21 @@
 	_, read := s.Board.Members.Hosts()
 	quarantined, _ := s.Board.Poison.Counts()
 	status := Status{
-		Name:        self.Name,
-		DataCentre:  self.DataCentre,
-		Region:      self.Region,
-		Phase:       s.Board.Phase().String(),
-		Incarnation: self.Incarnation,
-		Rejected:    s.Board.Settings.Rejected(),
-		Store:       s.storePosition(),
-		Quarantined: quarantined,
-		InFlight:    s.Board.InFlight(),
-		Waiting:     s.Board.Queues.Lengths(),
-		HostsRead:   read,
-		Accounts:    s.Board.Accounts.Status(),
-		Targets:     s.Board.Targets.Status(now),
-		Explain:     ExplainStatus{Bytes: bytes, Evicted: evicted},
-		Started:     now.Add(-s.Board.Age()),
+		Name:          self.Name,
+		DataCentre:    self.DataCentre,
+		Region:        self.Region,
+		Phase:         s.Board.Phase().String(),
+		Incarnation:   self.Incarnation,
+		Rejected:      s.Board.Settings.Rejected(),
+		StorePosition: s.storePosition(),
+		Quarantined:   quarantined,
+		InFlight:      s.Board.InFlight(),
+		Waiting:       s.Board.Queues.Lengths(),
+		HostsRead:     read,
+		Accounts:      s.Board.Accounts.Status(),
+		Targets:       s.Board.Targets.Status(now),
+		Explain:       ExplainStatus{Bytes: bytes, Evicted: evicted},
+		Started:       now.Add(-s.Board.Age()),
 	}
 	if view := s.Board.Settings.Current(); view != nil {
 		status.Revision = view.Revision
--- a/node/api/body_test.go
+++ b/node/api/body_test.go
@@ -16,8 +16,8 @@
 	"doorstack.dev/node/telemetry"
 )
 
-// bodyServer reads bodies and answers with the failure's kind, or "ok".
-func bodyServer(t *testing.T, limits Limits) (*Server, string) {
+// startBodyServer reads bodies and answers with the failure's kind, or "ok".
+func startBodyServer(t *testing.T, limits Limits) (*Server, string) {
 	t.Helper()
 	board := blackboard.New(blackboard.Identity{Name: "d"}, blackboard.DefaultLimits())
 	s := NewServer(board, nil, telemetry.NewMetrics(), limits)
@@ -44,8 +44,8 @@
 	return s, strings.TrimPrefix(h.URL, "http://")
 }
 
-// send writes raw bytes and returns the last line of the answer.
-func send(t *testing.T, address, raw string) string {
+// sendRaw writes raw bytes and returns the last line of the answer.
+func sendRaw(t *testing.T, address, raw string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -66,32 +66,32 @@
 	return string(text[:n])
 }
 
-func post(path string, length int, body string) string {
+func postRequest(path string, length int, body string) string {
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", path, length, body)
 }
 
-func TestBodiesAreBounded(t *testing.T) {
-	limits := Limits{MaxBody: 1000, BodyMemory: 1500, ReadStep: 50 * time.Millisecond}
-	s, address := bodyServer(t, limits)
+func TestReadBodyLimits(t *testing.T) {
+	limits := Limits{MaxBody: 1000, BodyMemory: 1500, ReadProgressTimeout: 50 * time.Millisecond}
+	s, address := startBodyServer(t, limits)
 	cases := []struct{ name, raw, want string }{
-		{"whole", post("/", 5, "hello"), "ok"},
-		{"announced too large", post("/", 1001, ""), string(fault.TooLarge)},
-		{"stops in the middle", post("/", 100, "only this"), string(fault.BadRequest)},
-		{"larger than the shared memory", post("/", 900, strings.Repeat("x", 900)), string(fault.BodyMemoryExhausted)},
+		{"whole", postRequest("/", 5, "hello"), "ok"},
+		{"announced too large", postRequest("/", 1001, ""), string(fault.TooLarge)},
+		{"stops in the middle", postRequest("/", 100, "only this"), string(fault.BadRequest)},
+		{"larger than the shared memory", postRequest("/", 900, strings.Repeat("x", 900)), string(fault.BodyMemoryExhausted)},
 		{"chunks without end", "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n7d0\r\n" + strings.Repeat("x", 2000) + "\r\n0\r\n\r\n", string(fault.TooLarge)},
 	}
 	for _, c := range cases {
-		if got := send(t, address, c.raw); got != c.want {
+		if got := sendRaw(t, address, c.raw); got != c.want {
 			t.Errorf("%s: got %q, want %q", c.name, got, c.want)
 		}
 		if s.BodyBytes() != 0 {
 			t.Errorf("%s: %d bytes are still held", c.name, s.BodyBytes())
 		}
 	}
-	if got := send(t, address, post("/hold", 500, strings.Repeat("x", 500))); got != "holding" {
+	if got := sendRaw(t, address, postRequest("/hold", 500, strings.Repeat("x", 500))); got != "holding" {
 		t.Fatalf("got %q", got)
 	}
-	if got := send(t, address, post("/", 300, strings.Repeat("x", 300))); got != string(fault.BodyMemoryExhausted) {
+	if got := sendRaw(t, address, postRequest("/", 300, strings.Repeat("x", 300))); got != string(fault.BodyMemoryExhausted) {
 		t.Errorf("beside a held body: got %q", got)
 	}
 }
--- a/node/api/budget.go
+++ b/node/api/budget.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// budget bounds the memory of all request bodies held at one time.
-type budget struct {
+// memoryBudget bounds the memory of all request bodies held at one time.
+type memoryBudget struct {
 	mu    sync.Mutex
 	limit int64
 	used  int64
 }
 
 // take takes n bytes, all or none.
-func (b *budget) take(n int64) bool {
+func (b *memoryBudget) reserve(n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.used+n > b.limit {
@@ -20,13 +20,13 @@
 	return true
 }
 
-func (b *budget) give(n int64) {
+func (b *memoryBudget) release(n int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.used -= n
 }
 
-func (b *budget) inUse() int64 {
+func (b *memoryBudget) inUse() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.used
--- a/node/api/idle.go
+++ b/node/api/idle.go
@@ -9,9 +9,9 @@
 	"doorstack.dev/node/blackboard"
 )
 
-// idleDefault is how long a caller's connection may be idle where the settings do not
+// defaultIdleTimeout is how long a caller's connection may be idle where the settings do not
 // say.
-const idleDefault = 2 * time.Minute
+const defaultIdleTimeout = 2 * time.Minute
 
 // IdleConns closes connections of callers that were idle for as long as the settings in
 // force allow. The HTTP server's own timeout is fixed at its start.
@@ -46,5 +46,5 @@
 			return set
 		}
 	}
-	return idleDefault
+	return defaultIdleTimeout
 }
--- a/node/api/lag_test.go
+++ b/node/api/lag_test.go
@@ -12,8 +12,8 @@
 	"doorstack.dev/node/blackboard"
 )
 
-// goals has a route with a short goal and one with a long one, both to a pool without targets.
-const goals = `
+// goalSettings has a route with a short goal and one with a long one, both to a pool without targets.
+const goalSettings = `
 engine_kinds: {k: {protocol: engine, memory_tokens: 1000, prefill_tokens_per_second: 10}}
 pools: {llm: {kind: k, model: m}}
 paths:
@@ -22,15 +22,15 @@
 tree: {}
 `
 
-// TestADaemonThatIsBehindRefusesAtItsDoor: at once, with the word that nothing ran and when to
+// TestLaggingDaemonRefusesCallsThatCannotMeetGoal: at once, with the word that nothing ran and when to
 // come back, and only what cannot be in time; a call with a longer goal is taken.
-func TestADaemonThatIsBehindRefusesAtItsDoor(t *testing.T) {
+func TestLaggingDaemonRefusesCallsThatCannotMeetGoal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tree, err := settings.Parse([]byte(goals))
+		tree, err := settings.Parse([]byte(goalSettings))
 		if err != nil {
 			t.Fatal(err)
 		}
-		board, handler := startingServer()
+		board, handler := newStartingServer()
 		board.Settings.Adopt(&blackboard.SettingsView{Tree: tree, Revision: 1})
 		board.Serve()
 		ask := func(path string) (*httptest.ResponseRecorder, time.Duration) {
--- a/node/api/left_test.go
+++ b/node/api/left_test.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// TestACallersEndIsSeenAtItsConnection: a call sees that its caller has closed the connection,
+// TestCallerDisconnected: a call sees that its caller has closed the connection,
 // and does not take one that waits for one that has left.
-func TestACallersEndIsSeenAtItsConnection(t *testing.T) {
+func TestCallerDisconnected(t *testing.T) {
 	arrived, closed, seen := make(chan bool, 1), make(chan struct{}), make(chan bool, 1)
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		left := callerLeft(r)
+		left := callerDisconnected(r)
 		if _, err := io.ReadAll(r.Body); err != nil {
 			t.Error(err)
 		}
@@ -33,7 +33,7 @@
 		}
 		seen <- true
 	}))
-	server.Config.ConnContext = KeepCallerConn
+	server.Config.ConnContext = WithCallerConn
 	server.Start()
 	defer server.Close()
 	conn, err := net.Dial("tcp4", server.Listener.Addr().String())
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestACallWithoutAConnection: where the connection is not known, nothing is claimed of it.
-func TestACallWithoutAConnection(t *testing.T) {
-	if callerLeft(httptest.NewRequest(http.MethodGet, "http://h/", nil)) != nil {
+// TestCallerDisconnectedWithoutConn: where the connection is not known, nothing is claimed of it.
+func TestCallerDisconnectedWithoutConn(t *testing.T) {
+	if callerDisconnected(httptest.NewRequest(http.MethodGet, "http://h/", nil)) != nil {
 		t.Error("the caller of a call without a connection is looked at")
 	}
 }
--- a/node/api/openai.go
+++ b/node/api/openai.go
@@ -70,18 +70,18 @@
 
 // modelCall is a request of either kind, in one form.
 type modelCall struct {
-	model     string
-	prompt    string
-	maxTokens int64
-	stream    bool
-	usage     bool
-	chat      bool
+	model        string
+	prompt       string
+	maxTokens    int64
+	stream       bool
+	includeUsage bool
+	chat         bool
 }
 
 func parseChat(data []byte) (*modelCall, error) {
 	var q chatRequest
 	if err := json.Unmarshal(data, &q); err != nil {
-		return nil, badJSON(err)
+		return nil, invalidJSONError(err)
 	}
 	if len(q.Messages) == 0 {
 		return nil, fault.New(fault.BadRequest, "there are no messages", "send at least one message")
@@ -90,25 +90,25 @@
 	if limit == nil {
 		limit = q.MaxTokens
 	}
-	c := &modelCall{model: q.Model, prompt: promptOf(q.Messages), stream: q.Stream, chat: true}
-	c.usage = q.StreamOptions != nil && q.StreamOptions.IncludeUsage
-	return c, c.finish(limit, q.N)
+	c := &modelCall{model: q.Model, prompt: promptText(q.Messages), stream: q.Stream, chat: true}
+	c.includeUsage = q.StreamOptions != nil && q.StreamOptions.IncludeUsage
+	return c, c.validate(limit, q.N)
 }
 
 func parseCompletion(data []byte) (*modelCall, error) {
 	var q completionRequest
 	if err := json.Unmarshal(data, &q); err != nil {
-		return nil, badJSON(err)
+		return nil, invalidJSONError(err)
 	}
 	if q.Prompt == "" {
 		return nil, fault.New(fault.BadRequest, "there is no prompt", "send a prompt")
 	}
 	c := &modelCall{model: q.Model, prompt: q.Prompt, stream: q.Stream}
-	c.usage = q.StreamOptions != nil && q.StreamOptions.IncludeUsage
-	return c, c.finish(q.MaxTokens, q.N)
+	c.includeUsage = q.StreamOptions != nil && q.StreamOptions.IncludeUsage
+	return c, c.validate(q.MaxTokens, q.N)
 }
 
-func (c *modelCall) finish(limit *int64, n *int) error {
+func (c *modelCall) validate(limit *int64, n *int) error {
 	if c.model == "" {
 		return fault.New(fault.BadRequest, "there is no model", "name a route as model; GET /v1/models lists them")
 	}
@@ -125,13 +125,13 @@
 	return nil
 }
 
-func badJSON(err error) error {
+func invalidJSONError(err error) error {
 	return fault.New(fault.BadRequest, "the body is not a valid request: "+err.Error(), "correct the JSON")
 }
 
-// promptOf writes a conversation as one text, so that two conversations with
+// promptText writes a conversation as one text, so that two conversations with
 // the same beginning share a prefix.
-func promptOf(messages []chatMessage) string {
+func promptText(messages []chatMessage) string {
 	if len(messages) == 1 {
 		return string(messages[0].Content)
 	}
@@ -153,30 +153,30 @@
 	TotalTokens      int64 `json:"total_tokens"`
 }
 
-type answerChoice struct {
+type completionChoice struct {
 	Index        int            `json:"index"`
-	Message      *answerMessage `json:"message,omitempty"`
-	Delta        *answerMessage `json:"delta,omitempty"`
+	Message      *choiceMessage `json:"message,omitempty"`
+	Delta        *choiceMessage `json:"delta,omitempty"`
 	Text         *string        `json:"text,omitempty"`
 	FinishReason *string        `json:"finish_reason"`
 }
 
-type answerMessage struct {
+type choiceMessage struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
 
-type answer struct {
-	ID      string         `json:"id"`
-	Object  string         `json:"object"`
-	Created int64          `json:"created"`
-	Model   string         `json:"model"`
-	Choices []answerChoice `json:"choices"`
-	Usage   *usage         `json:"usage,omitempty"`
+type completion struct {
+	ID      string             `json:"id"`
+	Object  string             `json:"object"`
+	Created int64              `json:"created"`
+	Model   string             `json:"model"`
+	Choices []completionChoice `json:"choices"`
+	Usage   *usage             `json:"usage,omitempty"`
 }
 
 // object names the type of an answer.
-func (c *modelCall) object(streaming bool) string {
+func (c *modelCall) objectType(streaming bool) string {
 	switch {
 	case !c.chat:
 		return "text_completion"
--- a/node/api/paths.go
+++ b/node/api/paths.go
@@ -35,39 +35,39 @@
 // pathCall is one forwarded call with what has been found out about it.
 type pathCall struct {
 	forward.Call
-	w       http.ResponseWriter
-	r       *http.Request
-	arrived time.Time
-	view    *blackboard.SettingsView
-	account *settings.ClientAccount
-	path    *settings.ResolvedPath
-	answer  *answerWriter
+	w         http.ResponseWriter
+	r         *http.Request
+	arrivedAt time.Time
+	view      *blackboard.SettingsView
+	account   *settings.ClientAccount
+	path      *settings.ResolvedPath
+	answer    *answerWriter
 }
 
 // ServeHTTP implements http.Handler.
 func (s *pathServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c := &pathCall{Call: s.dialect.ReadCall(r.Header), w: w, r: r, arrived: time.Now()}
-	c.answer = &answerWriter{w: w, control: http.NewResponseController(w), step: s.limits.WriteStep}
-	c.answer.leaving = func() bool { return s.board.Phase() == blackboard.Draining }
+	c := &pathCall{Call: s.dialect.ReadCall(r.Header), w: w, r: r, arrivedAt: time.Now()}
+	c.answer = &answerWriter{w: w, control: http.NewResponseController(w), writeTimeout: s.limits.WriteProgressTimeout}
+	c.answer.draining = func() bool { return s.board.Phase() == blackboard.Draining }
 	err := s.run(c)
 	outcome := "whole"
 	if err != nil {
 		failure := fault.From(err)
 		outcome = string(failure.Kind)
-		s.fail(c, failure)
+		s.answerFailure(c, failure)
 	}
 	route := ""
 	if c.path != nil {
 		route = c.path.Name
 	}
 	s.metrics.Requests.WithLabelValues(route, outcome).Inc()
-	if err != nil && c.answer.begun {
+	if err != nil && c.answer.headWritten {
 		panic(http.ErrAbortHandler) // What is cut short must look cut short.
 	}
 }
 
 func (s *pathServer) run(c *pathCall) error {
-	if err := s.take(c); err != nil {
+	if err := s.beginCall(c); err != nil {
 		return err
 	}
 	defer s.board.EndRequest()
@@ -78,12 +78,12 @@
 	if err := s.checkLag(c); err != nil {
 		return err
 	}
-	b, err := s.readBodyUpTo(c.w, c.r, s.maxBody(c.view))
+	b, err := s.readBodyWithLimit(c.w, c.r, s.maxBody(c.view))
 	if err != nil {
 		return err
 	}
 	defer b.release()
-	req := c.request(b.data)
+	req := c.newRequest(b.data)
 	ctx, cancel := context.WithCancel(c.r.Context())
 	defer cancel()
 	return s.director.Forward(ctx, req, c.answer)
@@ -97,30 +97,30 @@
 	return s.limits.MaxBody
 }
 
-// leavingRetry is when a caller that reaches a leaving daemon should try elsewhere: at once,
+// drainingRetryAfter is when a caller that reaches a leaving daemon should try elsewhere: at once,
 // since another daemon most likely can.
-const leavingRetry = 50 * time.Millisecond
+const drainingRetryAfter = 50 * time.Millisecond
 
 // take counts a call in. One that comes while the daemon starts waits for that, within the
 // bounds that admission.Starting gives; each nil needs one End.
-func (s *pathServer) take(c *pathCall) error {
+func (s *pathServer) beginCall(c *pathCall) error {
 	if s.board.BeginForward() {
 		return nil
 	}
 	if s.board.Phase() == blackboard.Draining {
-		return s.turnAway(c, fault.New(fault.ShuttingDown, "this host is leaving", "send again; another host takes it").WithRetry(leavingRetry))
+		return s.refuse(c, fault.New(fault.ShuttingDown, "this host is leaving", "send again; another host takes it").WithRetry(drainingRetryAfter))
 	}
-	hold := s.starting(c).MaxWait()
+	hold := s.startingState(c).MaxWait()
 	if hold > 0 {
 		s.awaitStart(c, hold)
 	}
-	waited := time.Since(c.arrived).Round(time.Millisecond)
+	waited := time.Since(c.arrivedAt).Round(time.Millisecond)
 	if s.board.BeginForward() {
 		s.record(c, decision.OutcomeAdmitted, fmt.Sprintf("waited %v for this daemon's start", waited))
 		return nil
 	}
-	now := s.starting(c)
-	return s.turnAway(c, fault.New(fault.NotReady,
+	now := s.startingState(c)
+	return s.refuse(c, fault.New(fault.NotReady,
 		fmt.Sprintf("this host has no settings yet, %v after its start, and the call waited %v", now.Age.Round(time.Millisecond), waited),
 		"send again").WithRetry(now.RetryAfter(rand.Float64())))
 }
@@ -131,7 +131,7 @@
 	if !behind.Refuse() {
 		return nil
 	}
-	return s.turnAway(c, fault.New(fault.Overloaded,
+	return s.refuse(c, fault.New(fault.Overloaded,
 		fmt.Sprintf("what reaches this host waits %v for its processor", behind.Lag.Round(time.Millisecond)),
 		"send again; another host takes it").WithRetry(behind.RetryAfter()))
 }
@@ -148,14 +148,14 @@
 }
 
 // starting gathers what is known for a call that comes before the daemon serves.
-func (s *pathServer) starting(c *pathCall) admission.Starting {
+func (s *pathServer) startingState(c *pathCall) admission.Starting {
 	known := admission.Starting{Age: s.board.Age(), CallerTimeout: c.Timeout}
 	s.board.Members.WithLock(func(t *membership.Table) { known.OtherDaemons, known.OthersServe = t.CountOthers() })
 	return known
 }
 
 // turnAway records that a call is refused at the door.
-func (s *pathServer) turnAway(c *pathCall, e *fault.Error) error {
+func (s *pathServer) refuse(c *pathCall, e *fault.Error) error {
 	s.record(c, decision.OutcomeRefused, fmt.Sprintf("%v; back after %v", e, e.RetryAfter.Round(time.Millisecond)))
 	return e
 }
@@ -187,7 +187,7 @@
 
 // request makes the director's request. The time left is the least of what the
 // caller and the route allow.
-func (c *pathCall) request(body []byte) *requestcontrol.Request {
+func (c *pathCall) newRequest(body []byte) *requestcontrol.Request {
 	allowed := c.path.Timeout
 	if c.Timeout > 0 {
 		allowed = min(allowed, c.Timeout)
@@ -197,47 +197,47 @@
 		Account:     c.account,
 		Route:       c.path.Route(c.ID, c.account),
 		Revision:    c.view.Revision,
-		Arrived:     c.arrived,
-		Deadline:    c.arrived.Add(allowed),
+		Arrived:     c.arrivedAt,
+		Deadline:    c.arrivedAt.Add(allowed),
 		MaxTokens:   c.OutputTokens,
 		Path:        c.path,
 		LastEventID: c.LastEventID,
 		Forward: &forward.Message{
 			ID: c.ID, Method: c.r.Method, URI: c.r.RequestURI, Host: c.r.Host,
-			Header: endToEnd(c.r.Header), Body: body, CallerDisconnected: callerLeft(c.r),
+			Header: endToEndHeaders(c.r.Header), Body: body, CallerDisconnected: callerDisconnected(c.r),
 		},
 	}
 	req.SetPromptTokens(c.PromptTokens)
 	return req
 }
 
-// hopByHop are the headers that concern one connection only.
-var hopByHop = []string{
+// hopByHopHeaders are the headers that concern one connection only.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// endToEnd copies the headers that are passed on.
-func endToEnd(h http.Header) http.Header {
+// endToEndHeaders copies the headers that are passed on.
+func endToEndHeaders(h http.Header) http.Header {
 	kept := h.Clone()
 	for _, list := range h["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
 			kept.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		kept.Del(name)
 	}
 	return kept
 }
 
 // fail answers with a failure of the daemon's own, unless an answer has begun.
-func (s *pathServer) fail(c *pathCall, e *fault.Error) {
-	if c.answer.begun || e.Kind == fault.Abandoned {
+func (s *pathServer) answerFailure(c *pathCall, e *fault.Error) {
+	if c.answer.headWritten || e.Kind == fault.Abandoned {
 		return
 	}
 	header := c.w.Header()
-	c.answer.closeIfLeaving()
+	c.answer.closeIfDraining()
 	header.Set("Content-Type", "application/json")
 	s.dialect.WriteFailure(header, c.ID, e.Retryable && e.Execution == fault.NotRun, e.RetryAfter)
 	c.w.WriteHeader(e.Status())
@@ -248,39 +248,39 @@
 
 // answerWriter writes a forwarded answer.
 type answerWriter struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	step    time.Duration
-	begun   bool
-	leaving func() bool
+	w            http.ResponseWriter
+	control      *http.ResponseController
+	writeTimeout time.Duration
+	headWritten  bool
+	draining     func() bool
 }
 
 // closeIfLeaving ends the connection with the answer where the daemon leaves, so that
 // the caller's next call goes to another host.
-func (a *answerWriter) closeIfLeaving() {
-	if a.leaving() {
+func (a *answerWriter) closeIfDraining() {
+	if a.draining() {
 		a.w.Header().Set("Connection", "close")
 	}
 }
 
 // Begin implements requestcontrol.AnswerWriter.
 func (a *answerWriter) WriteHead(status int, h http.Header, length int64) {
-	a.begun = true
+	a.headWritten = true
 	header := a.w.Header()
-	for name, values := range endToEnd(h) {
+	for name, values := range endToEndHeaders(h) {
 		header[name] = values
 	}
 	header.Del("Content-Length")
 	if length >= 0 {
 		header.Set("Content-Length", fmt.Sprint(length))
 	}
-	a.closeIfLeaving()
+	a.closeIfDraining()
 	a.w.WriteHeader(status)
 }
 
 // Write implements requestcontrol.AnswerWriter.
 func (a *answerWriter) Write(p []byte) error {
-	if err := a.control.SetWriteDeadline(time.Now().Add(a.step)); err != nil {
+	if err := a.control.SetWriteDeadline(time.Now().Add(a.writeTimeout)); err != nil {
 		return err
 	}
 	if _, err := a.w.Write(p); err != nil {
--- a/node/api/server.go
+++ b/node/api/server.go
@@ -36,32 +36,32 @@
 	// BodyMemory bounds all bodies held at one time, in bytes.
 	BodyMemory int64
 	// ReadStep is the most time for the next part of a body.
-	ReadStep time.Duration
+	ReadProgressTimeout time.Duration
 	// WriteStep is the most time that a caller may take for a part of the answer.
-	WriteStep time.Duration
+	WriteProgressTimeout time.Duration
 }
 
 // DefaultLimits suit prompts of a million tokens on a host with 2 GB.
 func DefaultLimits() Limits {
-	return Limits{MaxBody: 16 << 20, BodyMemory: 512 << 20, ReadStep: 10 * time.Second, WriteStep: 10 * time.Second}
+	return Limits{MaxBody: 16 << 20, BodyMemory: 512 << 20, ReadProgressTimeout: 10 * time.Second, WriteProgressTimeout: 10 * time.Second}
 }
 
 // Server serves callers.
 type Server struct {
-	board    *blackboard.Blackboard
-	director *requestcontrol.Director
-	metrics  *telemetry.Metrics
-	limits   Limits
-	bodies   *budget
+	board      *blackboard.Blackboard
+	director   *requestcontrol.Director
+	metrics    *telemetry.Metrics
+	limits     Limits
+	bodyMemory *memoryBudget
 }
 
 // NewServer returns a server that runs requests through the director.
 func NewServer(board *blackboard.Blackboard, director *requestcontrol.Director, metrics *telemetry.Metrics, limits Limits) *Server {
-	return &Server{board: board, director: director, metrics: metrics, limits: limits, bodies: &budget{limit: limits.BodyMemory}}
+	return &Server{board: board, director: director, metrics: metrics, limits: limits, bodyMemory: &memoryBudget{limit: limits.BodyMemory}}
 }
 
 // BodyBytes is the memory that request bodies hold now.
-func (s *Server) BodyBytes() int64 { return s.bodies.inUse() }
+func (s *Server) BodyBytes() int64 { return s.bodyMemory.inUse() }
 
 // Handler routes the endpoints.
 func (s *Server) Handler() http.Handler {
@@ -77,21 +77,21 @@
 
 // exchange is one request with what has been found out about it.
 type exchange struct {
-	w       http.ResponseWriter
-	r       *http.Request
-	id      string
-	arrived time.Time
-	view    *blackboard.SettingsView
-	account *settings.ClientAccount
-	route   string
-	started bool // the answer's status has been sent
+	w           http.ResponseWriter
+	r           *http.Request
+	id          string
+	arrivedAt   time.Time
+	view        *blackboard.SettingsView
+	account     *settings.ClientAccount
+	route       string
+	headWritten bool // the answer's status has been sent
 }
 
 // endpoint wraps an endpoint with what all share: the request id, readiness, the
 // account, and the answer to a failure.
 func (s *Server) endpoint(serve func(*exchange) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		x := &exchange{w: w, r: r, id: requestID(r), arrived: time.Now()}
+		x := &exchange{w: w, r: r, id: requestID(r), arrivedAt: time.Now()}
 		w.Header().Set(HeaderRequestID, x.id)
 		err := s.run(x, serve)
 		outcome := "whole"
@@ -110,7 +110,7 @@
 
 func (s *Server) run(x *exchange, serve func(*exchange) error) error {
 	if !s.board.BeginRequest() {
-		return s.notServing(x)
+		return s.notServingError(x)
 	}
 	defer s.board.EndRequest()
 	x.view = s.board.Settings.Current()
@@ -126,7 +126,7 @@
 	return serve(x)
 }
 
-func (s *Server) notServing(x *exchange) error {
+func (s *Server) notServingError(x *exchange) error {
 	if s.board.Phase() == blackboard.Draining {
 		// The caller's connection must not come back to this host.
 		x.w.Header().Set("Connection", "close")
@@ -141,13 +141,13 @@
 // requestID takes over the caller's request id where it is a harmless one.
 func requestID(r *http.Request) string {
 	id := r.Header.Get(HeaderRequestID)
-	if id == "" || len(id) > maxRequestID || strings.ContainsFunc(id, unsafeInID) {
+	if id == "" || len(id) > maxRequestID || strings.ContainsFunc(id, isUnsafeInID) {
 		return uuid.Must(uuid.NewV7()).String()
 	}
 	return id
 }
 
-func unsafeInID(c rune) bool {
+func isUnsafeInID(c rune) bool {
 	isLetter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
 	isDigit := c >= '0' && c <= '9'
 	return !isLetter && !isDigit && !strings.ContainsRune("-_.:", c)
@@ -156,13 +156,13 @@
 // writeFailure answers with an error. Once tokens have been sent it can only be
 // told inside the stream; the stream's own code does that.
 func (s *Server) writeFailure(x *exchange, e *fault.Error) {
-	if x.started {
+	if x.headWritten {
 		return
 	}
 	header := x.w.Header()
 	header.Set("Content-Type", "application/json")
 	if x.account == nil && x.r.ContentLength != 0 {
-		closeAfter(x.w) // The body has not been looked at.
+		closeAfterAnswer(x.w) // The body has not been looked at.
 	}
 	if e.Retryable {
 		seconds := math.Ceil(e.RetryAfter.Seconds())
@@ -181,7 +181,7 @@
 }
 
 // request resolves a route and the deadline into a request.
-func (x *exchange) request(name string, protocol settings.TargetProtocol) (*requestcontrol.Request, error) {
+func (x *exchange) newRequest(name string, protocol settings.TargetProtocol) (*requestcontrol.Request, error) {
 	route := x.account.Routes[name]
 	if route == nil || route.Pool.Kind.Protocol != protocol {
 		return nil, fault.New(fault.NoRoute,
@@ -202,8 +202,8 @@
 		Account:        x.account,
 		Route:          route,
 		Revision:       x.view.Revision,
-		Arrived:        x.arrived,
-		Deadline:       x.arrived.Add(allowed),
+		Arrived:        x.arrivedAt,
+		Deadline:       x.arrivedAt.Add(allowed),
 		IdempotencyKey: x.r.Header.Get(HeaderIdempotencyKey),
 	}, nil
 }
@@ -223,7 +223,7 @@
 		return err
 	}
 	b.data = nil // The prompt is all that is needed from here on.
-	req, err := x.request(call.model, settings.ProtocolEngine)
+	req, err := x.newRequest(call.model, settings.ProtocolEngine)
 	if err != nil {
 		return err
 	}
@@ -235,7 +235,7 @@
 	if call.stream {
 		return s.serveStream(x, call, req)
 	}
-	return s.serveWhole(x, call, req)
+	return s.serveBuffered(x, call, req)
 }
 
 // modelEntry is an entry of GET /v1/models.
@@ -265,8 +265,8 @@
 	return json.NewEncoder(x.w).Encode(list)
 }
 
-// dropHeaders are the headers that end at the daemon and do not go to services.
-var dropHeaders = []string{"Authorization", "Connection", "Keep-Alive", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", HeaderDeadline}
+// headersNotForwarded are the headers that end at the daemon and do not go to services.
+var headersNotForwarded = []string{"Authorization", "Connection", "Keep-Alive", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", HeaderDeadline}
 
 func (s *Server) serveService(x *exchange) error {
 	b, err := s.readBody(x.w, x.r)
@@ -274,7 +274,7 @@
 		return err
 	}
 	defer b.release()
-	req, err := x.request(x.r.PathValue("route"), settings.ProtocolService)
+	req, err := x.newRequest(x.r.PathValue("route"), settings.ProtocolService)
 	if err != nil {
 		return err
 	}
@@ -287,7 +287,7 @@
 	if x.r.URL.RawQuery != "" {
 		req.ServiceCall.Path += "?" + x.r.URL.RawQuery
 	}
-	for _, name := range dropHeaders {
+	for _, name := range headersNotForwarded {
 		req.ServiceCall.Header.Del(name)
 	}
 	req.ServiceCall.Header.Set(HeaderRequestID, x.id)
@@ -303,7 +303,7 @@
 		}
 	}
 	x.w.WriteHeader(result.Status)
-	x.started = true
+	x.headWritten = true
 	_, _ = x.w.Write(result.Body)
 	return nil
 }
--- a/node/api/starting_test.go
+++ b/node/api/starting_test.go
@@ -15,22 +15,22 @@
 	"doorstack.dev/platform"
 )
 
-// startingServer is a path server whose daemon has no settings yet.
-func startingServer() (*blackboard.Blackboard, http.Handler) {
+// newStartingServer is a path server whose daemon has no settings yet.
+func newStartingServer() (*blackboard.Blackboard, http.Handler) {
 	board := blackboard.New(blackboard.Identity{Name: "d1"}, blackboard.DefaultLimits())
 	metrics := telemetry.NewMetrics()
 	director := &requestcontrol.Director{Board: board, Recorder: &telemetry.Recorder{Board: board, Log: slog.New(slog.DiscardHandler), Metrics: metrics}}
 	return board, NewServer(board, director, metrics, DefaultLimits()).PathHandler(platform.Headers{})
 }
 
-// adopt puts settings without any route in force.
-func adopt(board *blackboard.Blackboard) {
+// adoptEmptySettings puts settings without any route in force.
+func adoptEmptySettings(board *blackboard.Blackboard) {
 	board.Settings.Adopt(&blackboard.SettingsView{Tree: &settings.Tree{}, Revision: 1})
 	board.Serve()
 }
 
-// call sends a call that its caller waits 10 s for and returns the answer and how long it took.
-func call(h http.Handler) (*httptest.ResponseRecorder, time.Duration) {
+// serveCall sends a call that its caller waits 10 s for and returns the answer and how long it took.
+func serveCall(h http.Handler) (*httptest.ResponseRecorder, time.Duration) {
 	began := time.Now()
 	r := httptest.NewRequest(http.MethodGet, "http://calls.example/a/", nil)
 	r.Header.Set("X-Deadline-Ms", "10000")
@@ -39,14 +39,14 @@
 	return w, time.Since(began)
 }
 
-// TestACallWaitsForTheStart: a call that comes 0.1 s after the start of a daemon that serves
+// TestCallWaitsForDaemonStart: a call that comes 0.1 s after the start of a daemon that serves
 // 0.3 s later is taken then. It was refused, and after a loss of power of all hosts for good.
-func TestACallWaitsForTheStart(t *testing.T) {
+func TestCallWaitsForDaemonStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		board, handler := startingServer()
-		time.AfterFunc(400*time.Millisecond, func() { adopt(board) })
+		board, handler := newStartingServer()
+		time.AfterFunc(400*time.Millisecond, func() { adoptEmptySettings(board) })
 		<-time.After(100 * time.Millisecond)
-		got, took := call(handler)
+		got, took := serveCall(handler)
 		if got.Code != http.StatusNotFound || took != 300*time.Millisecond {
 			t.Errorf("answered %d after %v, want 404 of a daemon that serves after 300ms", got.Code, took)
 		}
@@ -56,13 +56,13 @@
 	})
 }
 
-// TestACallDoesNotWaitForAStoreThatIsAway: a daemon that has had no settings for long refuses
+// TestCallWaitIsBoundedWithoutSettings: a daemon that has had no settings for long refuses
 // at once, and one that has just started before its callers give the connection up.
-func TestACallDoesNotWaitForAStoreThatIsAway(t *testing.T) {
+func TestCallWaitIsBoundedWithoutSettings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, handler := startingServer()
+		_, handler := newStartingServer()
 		for _, most := range []time.Duration{800 * time.Millisecond, 700 * time.Millisecond, 0} {
-			got, took := call(handler)
+			got, took := serveCall(handler)
 			if got.Code != http.StatusServiceUnavailable || got.Header().Get("Retry-After") == "" {
 				t.Errorf("answered %d, back after %q", got.Code, got.Header().Get("Retry-After"))
 			}
@@ -73,13 +73,13 @@
 	})
 }
 
-// TestALeavingDaemonWithoutSettingsRefuses: a daemon that is told to leave before it has any
+// TestDrainingDaemonRefusesWaitingCall: a daemon that is told to leave before it has any
 // settings refuses what waits for it.
-func TestALeavingDaemonWithoutSettingsRefuses(t *testing.T) {
+func TestDrainingDaemonRefusesWaitingCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		board, handler := startingServer()
+		board, handler := newStartingServer()
 		time.AfterFunc(100*time.Millisecond, board.Drain)
-		got, took := call(handler)
+		got, took := serveCall(handler)
 		if got.Code != http.StatusServiceUnavailable || took != 100*time.Millisecond {
 			t.Errorf("answered %d after %v, want 503 after 100ms", got.Code, took)
 		}
--- a/node/api/stream.go
+++ b/node/api/stream.go
@@ -11,43 +11,43 @@
 	"doorstack.dev/node/requestcontrol"
 )
 
-// collector gathers an answer that is given in one piece.
-type collector struct {
+// tokenCollector gathers an answer that is given in one piece.
+type tokenCollector struct {
 	text strings.Builder
 }
 
 // Token implements requestcontrol.TokenSink.
-func (c *collector) Token(_ int64, text string) error {
+func (c *tokenCollector) Token(_ int64, text string) error {
 	c.text.WriteString(text)
 	return nil
 }
 
-func (s *Server) serveWhole(x *exchange, call *modelCall, req *requestcontrol.Request) error {
-	sink := &collector{}
+func (s *Server) serveBuffered(x *exchange, call *modelCall, req *requestcontrol.Request) error {
+	sink := &tokenCollector{}
 	result, err := s.director.Generate(x.r.Context(), req, sink)
 	if err != nil {
 		return err
 	}
-	choice := answerChoice{FinishReason: &result.FinishReason}
+	choice := completionChoice{FinishReason: &result.FinishReason}
 	if call.chat {
-		choice.Message = &answerMessage{Role: "assistant", Content: sink.text.String()}
+		choice.Message = &choiceMessage{Role: "assistant", Content: sink.text.String()}
 	} else {
 		choice.Text = new(sink.text.String())
 	}
 	x.w.Header().Set("Content-Type", "application/json")
-	x.started = true
-	_ = http.NewResponseController(x.w).SetWriteDeadline(time.Now().Add(s.limits.WriteStep))
-	return json.NewEncoder(x.w).Encode(answer{
+	x.headWritten = true
+	_ = http.NewResponseController(x.w).SetWriteDeadline(time.Now().Add(s.limits.WriteProgressTimeout))
+	return json.NewEncoder(x.w).Encode(completion{
 		ID:      x.id,
-		Object:  call.object(false),
-		Created: x.arrived.Unix(),
+		Object:  call.objectType(false),
+		Created: x.arrivedAt.Unix(),
 		Model:   call.model,
-		Choices: []answerChoice{choice},
-		Usage:   usageOf(req, result.Tokens),
+		Choices: []completionChoice{choice},
+		Usage:   tokenUsage(req, result.Tokens),
 	})
 }
 
-func usageOf(req *requestcontrol.Request, tokens int64) *usage {
+func tokenUsage(req *requestcontrol.Request, tokens int64) *usage {
 	return &usage{PromptTokens: req.PromptTokens(), CompletionTokens: tokens, TotalTokens: req.PromptTokens() + tokens}
 }
 
@@ -55,77 +55,77 @@
 // status is sent with the first token, so that a failure before it has a status
 // of its own. What does not change between events is encoded once.
 type eventStream struct {
-	x         *exchange
-	call      *modelCall
-	control   *http.ResponseController
-	writeStep time.Duration
-	deadline  time.Time
-	head      []byte // of each event, up to the text
-	tail      []byte // of each event, after the text
-	buffer    bytes.Buffer
-	text      *json.Encoder
+	x            *exchange
+	call         *modelCall
+	control      *http.ResponseController
+	writeTimeout time.Duration
+	deadline     time.Time
+	prefix       []byte // of each event, up to the text
+	suffix       []byte // of each event, after the text
+	buffer       bytes.Buffer
+	encoder      *json.Encoder
 }
 
-// placeholder stands for the text in the encoded example of an event.
-const placeholder = "\u0001"
+// textPlaceholder stands for the text in the encoded example of an event.
+const textPlaceholder = "\u0001"
 
 func newEventStream(x *exchange, call *modelCall, writeStep time.Duration) (*eventStream, error) {
-	e := &eventStream{x: x, call: call, control: http.NewResponseController(x.w), writeStep: writeStep}
-	e.text = json.NewEncoder(&e.buffer)
-	e.text.SetEscapeHTML(false)
-	example, err := json.Marshal(e.event(placeholder, nil))
+	e := &eventStream{x: x, call: call, control: http.NewResponseController(x.w), writeTimeout: writeStep}
+	e.encoder = json.NewEncoder(&e.buffer)
+	e.encoder.SetEscapeHTML(false)
+	example, err := json.Marshal(e.newChunk(textPlaceholder, nil))
 	if err != nil {
 		return nil, err
 	}
-	mark, err := json.Marshal(placeholder)
+	mark, err := json.Marshal(textPlaceholder)
 	if err != nil {
 		return nil, err
 	}
 	head, tail, _ := bytes.Cut(example, mark)
-	e.head = append([]byte("data: "), head...)
-	e.tail = append(tail, '\n', '\n')
+	e.prefix = append([]byte("data: "), head...)
+	e.suffix = append(tail, '\n', '\n')
 	return e, nil
 }
 
-func (e *eventStream) event(text string, finish *string) answer {
-	choice := answerChoice{FinishReason: finish}
+func (e *eventStream) newChunk(text string, finish *string) completion {
+	choice := completionChoice{FinishReason: finish}
 	if e.call.chat {
-		choice.Delta = &answerMessage{Content: text}
+		choice.Delta = &choiceMessage{Content: text}
 	} else {
 		choice.Text = &text
 	}
-	return answer{ID: e.x.id, Object: e.call.object(true), Created: e.x.arrived.Unix(), Model: e.call.model, Choices: []answerChoice{choice}}
+	return completion{ID: e.x.id, Object: e.call.objectType(true), Created: e.x.arrivedAt.Unix(), Model: e.call.model, Choices: []completionChoice{choice}}
 }
 
 // start sends the status and headers.
-func (e *eventStream) start() {
+func (e *eventStream) writeHead() {
 	header := e.x.w.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-cache")
 	header.Set("X-Accel-Buffering", "no")
 	e.x.w.WriteHeader(http.StatusOK)
-	e.x.started = true
+	e.x.headWritten = true
 }
 
 // Token implements requestcontrol.TokenSink.
 func (e *eventStream) Token(_ int64, text string) error {
-	if !e.x.started {
-		e.start()
+	if !e.x.headWritten {
+		e.writeHead()
 	}
 	e.buffer.Reset()
-	e.buffer.Write(e.head)
-	if err := e.text.Encode(text); err != nil {
+	e.buffer.Write(e.prefix)
+	if err := e.encoder.Encode(text); err != nil {
 		return err
 	}
 	e.buffer.Truncate(e.buffer.Len() - 1) // The encoder's newline.
-	e.buffer.Write(e.tail)
+	e.buffer.Write(e.suffix)
 	return e.flush()
 }
 
 // flush sends the buffer. A caller that does not take it in time is cut off.
 func (e *eventStream) flush() error {
-	if now := time.Now(); e.deadline.Sub(now) < e.writeStep/2 {
-		e.deadline = now.Add(e.writeStep)
+	if now := time.Now(); e.deadline.Sub(now) < e.writeTimeout/2 {
+		e.deadline = now.Add(e.writeTimeout)
 		_ = e.control.SetWriteDeadline(e.deadline)
 	}
 	if _, err := e.x.w.Write(e.buffer.Bytes()); err != nil {
@@ -134,10 +134,10 @@
 	return e.control.Flush()
 }
 
-func (e *eventStream) data(v any) error {
+func (e *eventStream) sendData(v any) error {
 	e.buffer.Reset()
 	e.buffer.WriteString("data: ")
-	if err := e.text.Encode(v); err != nil {
+	if err := e.encoder.Encode(v); err != nil {
 		return err
 	}
 	e.buffer.WriteByte('\n')
@@ -145,44 +145,44 @@
 }
 
 func (s *Server) serveStream(x *exchange, call *modelCall, req *requestcontrol.Request) error {
-	events, err := newEventStream(x, call, s.limits.WriteStep)
+	events, err := newEventStream(x, call, s.limits.WriteProgressTimeout)
 	if err != nil {
 		return err
 	}
 	result, err := s.director.Generate(x.r.Context(), req, events)
 	if err != nil {
-		if x.started {
+		if x.headWritten {
 			// The stream ends with an error and without [DONE], so that no
 			// client takes it for an answer.
-			_ = events.data(errorBody(fault.From(err), x.id))
+			_ = events.sendData(errorBody(fault.From(err), x.id))
 		}
 		return err
 	}
-	return events.finish(req, result)
+	return events.sendEnd(req, result)
 }
 
-func (e *eventStream) finish(req *requestcontrol.Request, result requestcontrol.GenerateResult) error {
-	if !e.x.started {
-		e.start()
+func (e *eventStream) sendEnd(req *requestcontrol.Request, result requestcontrol.GenerateResult) error {
+	if !e.x.headWritten {
+		e.writeHead()
 	}
-	if err := e.data(e.event("", &result.FinishReason)); err != nil {
-		return errGone
+	if err := e.sendData(e.newChunk("", &result.FinishReason)); err != nil {
+		return errCallerGone
 	}
-	if e.call.usage {
-		last := e.event("", nil)
-		last.Choices = []answerChoice{}
-		last.Usage = usageOf(req, result.Tokens)
-		if err := e.data(last); err != nil {
-			return errGone
+	if e.call.includeUsage {
+		last := e.newChunk("", nil)
+		last.Choices = []completionChoice{}
+		last.Usage = tokenUsage(req, result.Tokens)
+		if err := e.sendData(last); err != nil {
+			return errCallerGone
 		}
 	}
 	e.buffer.Reset()
 	e.buffer.WriteString("data: [DONE]\n\n")
 	if err := e.flush(); err != nil {
-		return errGone
+		return errCallerGone
 	}
 	return nil
 }
 
-// errGone is the end of a request whose caller does not read the last bytes.
-var errGone = fault.New(fault.Abandoned, "the caller went away before the end", "nothing to do").WithExecution(fault.Ran)
+// errCallerGone is the end of a request whose caller does not read the last bytes.
+var errCallerGone = fault.New(fault.Abandoned, "the caller went away before the end", "nothing to do").WithExecution(fault.Ran)
--- a/node/cluster/explain.go
+++ b/node/cluster/explain.go
@@ -31,7 +31,7 @@
 	for _, m := range c.Board.Members.Members() {
 		status := admin.MemberStatus{
 			Name: m.Name, Address: m.Address, DataCentre: m.DataCentre, Region: m.Region,
-			State: m.State.String(), Incarnation: m.Incarnation, Revision: m.SettingsRevision, Heard: m.LastHeard,
+			State: m.State.String(), Incarnation: m.Incarnation, Revision: m.SettingsRevision, LastHeard: m.LastHeard,
 		}
 		if m.Leaving {
 			status.State += ", leaving"
@@ -49,7 +49,7 @@
 		s.Shares = append(s.Shares, admin.ShareStatus{Account: account, Fraction: c.Board.Shares.Fraction(account, now), Floor: share.Floor(listed)})
 	}
 	for _, o := range c.Board.Leases.Owned(now) {
-		s.Leases = append(s.Leases, admin.LeaseStatus{Target: o.Target, Owner: c.Board.Self.Name, Fence: o.Fence, Expires: o.ExpiresAt})
+		s.Leases = append(s.Leases, admin.LeaseStatus{Target: o.Target, Owner: c.Board.Self.Name, FencingToken: o.Fence, ExpiresAt: o.ExpiresAt})
 	}
 	return s
 }
--- a/node/cmd/doorstack/client.go
+++ b/node/cmd/doorstack/client.go
@@ -18,13 +18,13 @@
 	JSON  bool   `help:"Print JSON."`
 }
 
-// askTimeout bounds a question to a daemon.
-const askTimeout = 10 * time.Second
+// requestTimeout bounds a question to a daemon.
+const requestTimeout = 10 * time.Second
 
 // ask reads a document of the daemon. With accept404 a body that comes with
 // "not found" is an answer too.
-func (f *adminFlags) ask(path string, into any, accept404 bool) error {
-	client := &http.Client{Timeout: askTimeout}
+func (f *adminFlags) getJSON(path string, into any, accept404 bool) error {
+	client := &http.Client{Timeout: requestTimeout}
 	resp, err := client.Get("http://" + f.Admin + path)
 	if err != nil {
 		return errors.Wrap(err, "ask the daemon; give the admin address of a living one with --admin")
@@ -58,11 +58,11 @@
 
 func newTable(out io.Writer, header ...any) *table {
 	t := &table{w: tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)}
-	t.row(header...)
+	t.addRow(header...)
 	return t
 }
 
-func (t *table) row(cells ...any) {
+func (t *table) addRow(cells ...any) {
 	for i, c := range cells {
 		if i > 0 {
 			_, _ = fmt.Fprint(t.w, "\t")
--- a/node/cmd/doorstack/explain.go
+++ b/node/cmd/doorstack/explain.go
@@ -28,7 +28,7 @@
 		query = "?replay=1"
 	}
 	var e admin.Explanation
-	if err := c.ask("/v1/explain/"+url.PathEscape(c.Request)+query, &e, true); err != nil {
+	if err := c.getJSON("/v1/explain/"+url.PathEscape(c.Request)+query, &e, true); err != nil {
 		return err
 	}
 	if c.JSON {
@@ -57,7 +57,7 @@
 	}
 	for i := range e.Records {
 		r := &e.Records[i]
-		_, _ = fmt.Fprintf(out, "%s  %s  %s  %s\n", r.At.Format(time.StampMilli), r.Daemon, r.Kind, headline(r))
+		_, _ = fmt.Fprintf(out, "%s  %s  %s  %s\n", r.At.Format(time.StampMilli), r.Daemon, r.Kind, recordSummary(r))
 		if r.Routing != nil {
 			printRouting(out, r.Routing)
 		}
@@ -67,7 +67,7 @@
 	}
 }
 
-func headline(r *decision.Record) string {
+func recordSummary(r *decision.Record) string {
 	words := []string{r.Outcome}
 	if r.Target != "" {
 		words = append(words, "target "+r.Target)
@@ -86,7 +86,7 @@
 
 // printRouting shows the candidates with what filters and scorers said.
 func printRouting(out io.Writer, d *routing.Decision) {
-	_, _ = fmt.Fprintf(out, "    prompt %d tokens, %d targets considered, rejected: %s\n", d.Request.PromptTokens, d.Considered, rejections(&d.Rejections))
+	_, _ = fmt.Fprintf(out, "    prompt %d tokens, %d targets considered, rejected: %s\n", d.Request.PromptTokens, d.Considered, formatRejections(&d.Rejections))
 	t := newTable(out, "    TARGET", "RESULT", "TOTAL", "PREFILL", "BACKLOG", "BATCH", "MEMORY", "LONG", "REMOTE", "SAVED", "USED", "REPORT AGE")
 	for i := range d.Candidates {
 		c := &d.Candidates[i]
@@ -97,15 +97,15 @@
 			result = "chosen"
 		}
 		s := &c.Scores
-		t.row("    "+c.Target.ID, result, ms(s.Total()), ms(s.Prefill), ms(s.Backlog), ms(s.Batch), ms(s.Memory), ms(s.Interference), ms(s.Locality), ms(s.PrefixSaved),
+		t.addRow("    "+c.Target.ID, result, formatMilliseconds(s.Total()), formatMilliseconds(s.Prefill), formatMilliseconds(s.Backlog), formatMilliseconds(s.Batch), formatMilliseconds(s.Memory), formatMilliseconds(s.Interference), formatMilliseconds(s.Locality), formatMilliseconds(s.PrefixSaved),
 			fmt.Sprintf("%d/%d", c.Target.Load.MemoryTokens, c.Target.MemoryTokens), c.Target.ReportAge.Round(time.Millisecond))
 	}
 	t.flush()
 }
 
-func ms(seconds float64) string { return fmt.Sprintf("%.1fms", seconds*1000) }
+func formatMilliseconds(seconds float64) string { return fmt.Sprintf("%.1fms", seconds*1000) }
 
-func rejections(r *routing.Rejections) string {
+func formatRejections(r *routing.Rejections) string {
 	var parts []string
 	for _, n := range r.Counts() {
 		if n.Count > 0 {
--- a/node/cmd/doorstack/settings.go
+++ b/node/cmd/doorstack/settings.go
@@ -94,7 +94,7 @@
 		if e.Values, err = tree.EffectiveValues(c.Path); err != nil {
 			return err
 		}
-	} else if err := c.ask("/v1/effective?path="+url.QueryEscape(c.Path), &e, false); err != nil {
+	} else if err := c.getJSON("/v1/effective?path="+url.QueryEscape(c.Path), &e, false); err != nil {
 		return err
 	}
 	if c.JSON {
@@ -102,7 +102,7 @@
 	}
 	t := newTable(os.Stdout, "KEY", "VALUE", "SET BY")
 	for _, v := range e.Values {
-		t.row(v.Name, v.Value, v.Origin)
+		t.addRow(v.Name, v.Value, v.Origin)
 	}
 	t.flush()
 	return nil
--- a/node/cmd/doorstack/standin.go
+++ b/node/cmd/doorstack/standin.go
@@ -42,7 +42,7 @@
 		return err
 	}
 	for name, address := range c.Daemon {
-		hosts = append(hosts, c.host(name, hostlist.RoleDaemon, address, ""))
+		hosts = append(hosts, c.newHost(name, hostlist.RoleDaemon, address, ""))
 	}
 	p.SetHosts(hosts)
 	server, err := standin.Listen(c.Listen, p.Handler(), nil)
@@ -57,7 +57,7 @@
 	return nil
 }
 
-func (c *standinCommand) host(id string, role hostlist.Role, address, pool string) hostlist.Host {
+func (c *standinCommand) newHost(id string, role hostlist.Role, address, pool string) hostlist.Host {
 	return hostlist.Host{ID: id, Role: role, Address: address, Pool: pool, DataCentre: c.Centre, Region: c.Region, State: hostlist.Live}
 }
 
@@ -71,7 +71,7 @@
 			if err != nil {
 				return nil, err
 			}
-			hosts = append(hosts, c.host(name, hostlist.RoleTarget, server.Address, pool.Name))
+			hosts = append(hosts, c.newHost(name, hostlist.RoleTarget, server.Address, pool.Name))
 		}
 	}
 	return hosts, nil
--- a/node/cmd/doorstack/status.go
+++ b/node/cmd/doorstack/status.go
@@ -26,7 +26,7 @@
 func (c *statusCommand) Run() error {
 	for {
 		var s admin.Status
-		if err := c.ask("/v1/status", &s, false); err != nil {
+		if err := c.getJSON("/v1/status", &s, false); err != nil {
 			return err
 		}
 		if c.Watch {
@@ -59,8 +59,8 @@
 		waiting += n
 	}
 	_, _ = fmt.Fprintf(out, "in flight %d, waiting %d, explanations %d KB (%d dropped), keys held %d\n", s.InFlight, waiting, s.Explain.Bytes>>10, s.Explain.Evicted, s.Fleet.Claims.Keys)
-	if s.Store != "" || s.Quarantined > 0 {
-		_, _ = fmt.Fprintf(out, "store known to %s, calls quarantined %d\n", s.Store, s.Quarantined)
+	if s.StorePosition != "" || s.Quarantined > 0 {
+		_, _ = fmt.Fprintf(out, "store known to %s, calls quarantined %d\n", s.StorePosition, s.Quarantined)
 	}
 	if len(s.Fleet.Members) > 0 {
 		_, _ = fmt.Fprintln(out)
@@ -74,14 +74,14 @@
 	t := newTable(out, "MEMBER", "WHERE", "STATE", "REVISION", "HEARD")
 	for _, m := range s.Fleet.Members {
 		heard := "-"
-		if !m.Heard.IsZero() {
-			heard = time.Since(m.Heard).Round(time.Millisecond).String() + " ago"
+		if !m.LastHeard.IsZero() {
+			heard = time.Since(m.LastHeard).Round(time.Millisecond).String() + " ago"
 		}
 		revision := fmt.Sprint(m.Revision)
 		if m.Revision != 0 && m.Revision != s.Revision {
 			revision += " (differs)"
 		}
-		t.row(m.Name, m.Region+"/"+m.DataCentre, m.State, revision, heard)
+		t.addRow(m.Name, m.Region+"/"+m.DataCentre, m.State, revision, heard)
 	}
 	t.flush()
 }
@@ -96,7 +96,7 @@
 	rate := func(n int64) string { return fmt.Sprintf("%.1f", float64(n)/seconds) }
 	t := newTable(out, "MESSAGE", "FRAMES IN/S", "BYTES IN/S", "FRAMES OUT/S", "BYTES OUT/S")
 	for _, k := range s.Traffic {
-		t.row(k.Kind, rate(k.FramesIn), rate(k.BytesIn), rate(k.FramesOut), rate(k.BytesOut))
+		t.addRow(k.Kind, rate(k.FramesIn), rate(k.BytesIn), rate(k.FramesOut), rate(k.BytesOut))
 	}
 	t.flush()
 }
@@ -124,7 +124,7 @@
 		if v.MemoryTokens > 0 {
 			memory = fmt.Sprintf("%d%%", 100*v.Load.MemoryTokens/v.MemoryTokens)
 		}
-		t.row(targets[i].Pool, v.ID, v.DataCentre, state, v.Load.Requests, targets[i].OwnCalls, memory, v.Load.BacklogTokens, v.Load.LongPrefills, v.ReportAge.Round(time.Millisecond), targets[i].Failures)
+		t.addRow(targets[i].Pool, v.ID, v.DataCentre, state, v.Load.Requests, targets[i].OwnCalls, memory, v.Load.BacklogTokens, v.Load.LongPrefills, v.ReportAge.Round(time.Millisecond), targets[i].Failures)
 	}
 	t.flush()
 }
@@ -137,7 +137,7 @@
 // Run implements the command.
 func (c *targetsCommand) Run() error {
 	var s admin.Status
-	if err := c.ask("/v1/status", &s, false); err != nil {
+	if err := c.getJSON("/v1/status", &s, false); err != nil {
 		return err
 	}
 	if c.JSON {
@@ -155,16 +155,16 @@
 // Run implements the command.
 func (c *accountsCommand) Run() error {
 	var s admin.Status
-	if err := c.ask("/v1/status", &s, false); err != nil {
+	if err := c.getJSON("/v1/status", &s, false); err != nil {
 		return err
 	}
 	if c.JSON {
 		return printJSON(s.Accounts)
 	}
-	slices.SortFunc(s.Accounts, func(a, b admin.AccountUse) int { return b.Running - a.Running })
+	slices.SortFunc(s.Accounts, func(a, b admin.AccountStatus) int { return b.Running - a.Running })
 	t := newTable(os.Stdout, "ACCOUNT", "RUNNING", "SHARE RUNNING", "SHARE REQUESTS/S", "SHARE TOKENS/S")
 	for _, a := range s.Accounts {
-		t.row(a.Account, a.Running, a.Share.Concurrent, a.Share.RequestsPerSecond, a.Share.PromptTokensPerSecond)
+		t.addRow(a.Account, a.Running, a.Share.Concurrent, a.Share.RequestsPerSecond, a.Share.PromptTokensPerSecond)
 	}
 	t.flush()
 	return nil
--- a/node/cmd/doorstack/status_test.go
+++ b/node/cmd/doorstack/status_test.go
@@ -9,7 +9,7 @@
 	"doorstack.dev/node/telemetry"
 )
 
-func TestTrafficIsShownASecond(t *testing.T) {
+func TestPrintTrafficShowsRatesPerSecond(t *testing.T) {
 	started := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	s := &admin.Status{Started: started, Traffic: []telemetry.Traffic{{Kind: "heartbeat", FramesIn: 20, BytesIn: 4000, FramesOut: 10, BytesOut: 2500}}}
 	var out strings.Builder
@@ -20,9 +20,9 @@
 	}
 }
 
-// TestStatusShowsWhatHoldsCallsBack: the store's position, quarantined calls, a target's rest and limit.
-func TestStatusShowsWhatHoldsCallsBack(t *testing.T) {
-	s := &admin.Status{Store: "2.17", Quarantined: 3, Targets: []admin.TargetStatus{{Pool: "llm", Backoff: 1200 * time.Millisecond, Limit: "1.4/s"}}}
+// TestPrintStatusShowsStoreQuarantineAndBackoff: the store's position, quarantined calls, a target's rest and limit.
+func TestPrintStatusShowsStoreQuarantineAndBackoff(t *testing.T) {
+	s := &admin.Status{StorePosition: "2.17", Quarantined: 3, Targets: []admin.TargetStatus{{Pool: "llm", Backoff: 1200 * time.Millisecond, Limit: "1.4/s"}}}
 	var out strings.Builder
 	printStatus(&out, s)
 	for _, want := range []string{"store known to 2.17, calls quarantined 3", "live, rests 1.2s, limit 1.4/s"} {
--- a/node/cmd/doorstackd/early_signal_test.go
+++ b/node/cmd/doorstackd/early_signal_test.go
@@ -11,7 +11,7 @@
 	"doorstack.dev/platform"
 )
 
-const earlyBoot = `
+const bootFile = `
 node = "d1"
 ip = "127.0.0.1"
 zone = "z1"
@@ -26,11 +26,11 @@
 address = "127.0.0.1:4"
 `
 
-// TestASignalDuringTheStartEndsNothing: a daemon that was told of changed settings while it still
+// TestSignalDuringStartIsNotFatal: a daemon that was told of changed settings while it still
 // read them ended without a word, since signals were taken only once it was put together; on a
 // busy host with restarts and changes in series it was gone until somebody started it again. The
 // settings are a pipe here, so that the daemon waits in the middle of its start.
-func TestASignalDuringTheStartEndsNothing(t *testing.T) {
+func TestSignalDuringStartIsNotFatal(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, "doorstackd")
 	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
@@ -54,7 +54,7 @@
 	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := settings.WriteString(earlyBoot); err != nil {
+	if _, err := settings.WriteString(bootFile); err != nil {
 		t.Errorf("the daemon does not read on: %v", err)
 	}
 	if err := settings.Close(); err != nil {
--- a/node/cmd/doorstackd/main.go
+++ b/node/cmd/doorstackd/main.go
@@ -31,7 +31,7 @@
 const version = "0.1.0"
 
 func main() {
-	signals := takeSignals()
+	signals := registerSignals()
 	var c cli
 	kong.Parse(&c,
 		kong.Name("doorstackd"),
@@ -45,22 +45,22 @@
 	}
 }
 
-// signals are those that the process takes.
-type signals struct {
+// signalChannels are those that the process takes.
+type signalChannels struct {
 	// reload tells that the settings file has changed, end that the process is to end.
 	reload, end chan os.Signal
 }
 
-// takeSignals is called before anything else: a signal that comes while the daemon is put
+// registerSignals is called before anything else: a signal that comes while the daemon is put
 // together, 20 ms on an idle host, ended the process without a word.
-func takeSignals() *signals {
-	s := &signals{reload: make(chan os.Signal, 1), end: make(chan os.Signal, 2)}
+func registerSignals() *signalChannels {
+	s := &signalChannels{reload: make(chan os.Signal, 1), end: make(chan os.Signal, 2)}
 	signal.Notify(s.reload, syscall.SIGHUP)
 	signal.Notify(s.end, syscall.SIGTERM, syscall.SIGINT)
 	return s
 }
 
-func run(c *cli, s *signals) error {
+func run(c *cli, s *signalChannels) error {
 	output := telemetry.NewOutput(os.Stdout)
 	defer output.Close()
 	log := slog.New(slog.NewJSONHandler(output, &slog.HandlerOptions{Level: c.LogLevel}))
@@ -90,7 +90,7 @@
 const gcPercent = 30
 
 // runOnPlatform serves on the users' platform, which gives the process its settings.
-func runOnPlatform(c *cli, output *telemetry.Output, log *slog.Logger, s *signals) error {
+func runOnPlatform(c *cli, output *telemetry.Output, log *slog.Logger, s *signalChannels) error {
 	boot, err := onplatform.Load()
 	if err != nil {
 		return err
@@ -112,7 +112,7 @@
 }
 
 // serve runs the daemon until a signal ends it.
-func serve(d *daemon.Daemon, log *slog.Logger, s *signals) error {
+func serve(d *daemon.Daemon, log *slog.Logger, s *signalChannels) error {
 	go drainOnSignal(s.end, d, log)
 	return d.Run(context.Background())
 }
--- a/node/cmd/doorstackd/signal_test.go
+++ b/node/cmd/doorstackd/signal_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// start builds and starts the daemon with a platform that does not answer, and
+// startDaemon builds and starts the daemon with a platform that does not answer, and
 // returns once it has said that it runs.
-func start(t *testing.T) *exec.Cmd {
+func startDaemon(t *testing.T) *exec.Cmd {
 	t.Helper()
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "doorstackd")
@@ -58,8 +58,8 @@
 drain_delay: 0s
 `
 
-func TestItLeavesAtASignal(t *testing.T) {
-	cmd := start(t)
+func TestDaemonExitsCleanlyOnSIGTERM(t *testing.T) {
+	cmd := startDaemon(t)
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
--- a/node/daemon/drain.go
+++ b/node/daemon/drain.go
@@ -4,13 +4,13 @@
 	"time"
 )
 
-// drainPoll is how often a leaving daemon looks whether all has ended.
-const drainPoll = 20 * time.Millisecond
+// drainPollInterval is how often a leaving daemon looks whether all has ended.
+const drainPollInterval = 20 * time.Millisecond
 
 // Drain takes nothing new, waits for all that is in flight, each bounded by its
 // own deadline, and then lets Run return.
 func (d *Daemon) Drain() {
-	d.drainOne.Do(func() {
+	d.drainOnce.Do(func() {
 		d.Board.Drain()
 		d.cluster.HeartbeatNow()
 		d.Log.Info("draining", "in_flight", d.Board.InFlight())
@@ -26,8 +26,8 @@
 		// The balancer needs a moment to see that this host is not ready.
 		time.Sleep(time.Duration(d.Config.DrainDelay))
 	}
-	for d.Board.InFlight() > 0 && !d.graceOver(began) {
-		time.Sleep(drainPoll)
+	for d.Board.InFlight() > 0 && !d.graceExpired(began) {
+		time.Sleep(drainPollInterval)
 	}
 	d.Log.Info("drained", "cut", d.Board.InFlight(), "took", time.Since(began).Round(time.Millisecond).String())
 	close(d.drained)
@@ -39,18 +39,18 @@
 
 // cutCalls closes the connections of calls that are still in flight when the process has to end: an
 // orderly stop of the listener would wait for them until the process is killed.
-func (d *Daemon) cutCalls() {
+func (d *Daemon) closeActiveCalls() {
 	if d.Board.InFlight() == 0 {
 		return
 	}
-	if err := d.callers.Close(); err != nil {
+	if err := d.callerServer.Close(); err != nil {
 		d.Log.Warn("connections of callers could not be closed", "error", err.Error())
 	}
 }
 
 // graceOver tells whether the process is about to be killed.
-func (d *Daemon) graceOver(began time.Time) bool {
-	grace := time.Duration(d.grace.Load())
+func (d *Daemon) graceExpired(began time.Time) bool {
+	grace := time.Duration(d.shutdownGrace.Load())
 	return grace > 0 && time.Since(began) > grace-killMargin
 }
 
@@ -61,14 +61,14 @@
 // still running can end before the process is killed; the rest of the time lets the
 // refusals reach them.
 const (
-	refuseAfter = 2500 * time.Millisecond
-	closeAfter  = 500 * time.Millisecond
+	refuseDelay     = 2500 * time.Millisecond
+	refusalDuration = 500 * time.Millisecond
 )
 
 // leaveRotation serves until the balancer sends nobody any more, and then refuses.
 func (d *Daemon) leaveRotation() {
-	time.Sleep(refuseAfter)
+	time.Sleep(refuseDelay)
 	d.Board.CloseForward()
 	d.Log.Info("refusing new calls", "in_flight", d.Board.InFlight())
-	time.Sleep(closeAfter)
+	time.Sleep(refusalDuration)
 }
--- a/node/daemon/kratoslog.go
+++ b/node/daemon/kratoslog.go
@@ -10,9 +10,9 @@
 	klog "github.com/go-kratos/kratos/v2/log"
 )
 
-// noSignal is a signal that never comes, as a daemon starts no process.
+// unusedSignal is a signal that never comes, as a daemon starts no process.
 // listen to every signal if it were given none.
-const noSignal = syscall.SIGCHLD
+const unusedSignal = syscall.SIGCHLD
 
 // kratosLoggerOnce guards the library's logger, which is one for the process.
 var kratosLoggerOnce sync.Once
--- a/node/daemon/servers.go
+++ b/node/daemon/servers.go
@@ -31,7 +31,7 @@
 	if d.adapter != nil {
 		handler = callers.PathHandler(d.adapter.Dialect)
 	}
-	if d.callers, err = newServer("listen", &d.Config.Listen, handler); err != nil {
+	if d.callerServer, err = newServer("listen", &d.Config.Listen, handler); err != nil {
 		return err
 	}
 	adminServer, err := newServer("admin", &d.Config.Admin, operators.Handler())
@@ -42,16 +42,16 @@
 	if err != nil {
 		return err
 	}
-	servers := []transport.Server{d.callers, adminServer, peerServer}
+	servers := []transport.Server{d.callerServer, adminServer, peerServer}
 	if d.adapter != nil {
-		ready, err := newServer("ready", &d.adapter.Ready, operators.ReadyHandler())
+		ready, err := newServer("ready", &d.adapter.ReadyAddress, operators.ReadyHandler())
 		if err != nil {
 			return err
 		}
 		servers = append(servers, ready)
 		idle := &api.IdleConns{Board: d.Board}
-		d.callers.ConnState = idle.Track
-		d.callers.ConnContext = api.KeepCallerConn
+		d.callerServer.ConnState = idle.Track
+		d.callerServer.ConnContext = api.WithCallerConn
 	}
 	d.app = kratos.New(
 		kratos.Name("doorstackd"),
@@ -60,7 +60,7 @@
 		kratos.StopTimeout(stopTimeout),
 		// Draining is done before Stop, so signals are not the library's: it
 		// would stop the listeners at once.
-		kratos.Signal(noSignal),
+		kratos.Signal(unusedSignal),
 	)
 	return nil
 }
--- a/node/internal/fleet/fleet.go
+++ b/node/internal/fleet/fleet.go
@@ -233,7 +233,7 @@
 // Kill makes the daemon fall silent at once, as a crash does: what it has begun at
 // targets stays there.
 func (n *Node) Kill() {
-	n.Crash()
+	n.SimulateCrash()
 	n.Stop()
 }
 
--- a/node/onplatform/harness_test.go
+++ b/node/onplatform/harness_test.go
@@ -132,7 +132,7 @@
 	file := fileOf(boot, metrics)
 	file.PeerKeys = []string{"the key of the fleet under test"}
 	log := slog.New(slog.NewJSONHandler(d.log, nil))
-	if d.Daemon, err = daemon.NewAdapted(&file, adapterOf(boot, log), log); err != nil {
+	if d.Daemon, err = daemon.NewWithAdapter(&file, adapterOf(boot, log), log); err != nil {
 		f.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/node/onplatform/leaving_in_time_test.go
+++ b/node/onplatform/leaving_in_time_test.go
@@ -15,7 +15,7 @@
 	const grace = 4 * time.Second // The steps of leaving take 3 s.
 	f := newFleet(t, 1, 1)
 	d := f.daemons[0]
-	d.Adapt(d.boot.Seeds, repeatsOf(d.boot), grace)
+	d.UpdatePlatformSettings(d.boot.Seeds, repeatsOf(d.boot), grace)
 	arrived := make(chan struct{}, 1)
 	f.targets["t1"].Script(func(w http.ResponseWriter, r *http.Request, _ standin.Call) {
 		arrived <- struct{}{}
--- a/node/onplatform/onplatform.go
+++ b/node/onplatform/onplatform.go
@@ -66,7 +66,7 @@
 
 // apply puts changed settings in force.
 func apply(d *daemon.Daemon, old, next *platform.Boot, log *slog.Logger) {
-	d.Adapt(next.Seeds, repeatsOf(next), next.Bounds.ShutdownGrace)
+	d.UpdatePlatformSettings(next.Seeds, repeatsOf(next), next.Bounds.ShutdownGrace)
 	restart := next.CallerAddress != old.CallerAddress || next.ReadyAddress != old.ReadyAddress || next.PeerAddress != old.PeerAddress || next.Name != old.Name || next.StoreAddress != old.StoreAddress
 	log.Info("reload", "outcome", "adopted", "seeds", next.Seeds, "needs_restart", restart)
 }
@@ -79,7 +79,7 @@
 // and metrics means the default one.
 func New(boot *platform.Boot, metricsPort string, log *slog.Logger) (*daemon.Daemon, error) {
 	file := fileOf(boot, metricsPort)
-	return daemon.NewAdapted(&file, adapterOf(boot, log), log)
+	return daemon.NewWithAdapter(&file, adapterOf(boot, log), log)
 }
 
 // The memory that a daemon may use on the platform's small hosts, where memory is
@@ -116,8 +116,8 @@
 	feed := platform.NewFeed(platform.NewStore(boot.StoreAddress), boot.Regions, foreign.warn)
 	return &daemon.Adapter{
 		Settings: feed, Targets: feed, Parse: parser.Parse, Dialect: platform.Headers{},
-		Ready: boot.ReadyAddress, Seeds: boot.Seeds, Grace: boot.Bounds.ShutdownGrace,
-		Repeats: repeatsOf(boot), Cores: boot.Cores, Settles: boot.Bounds.StoreSettleTime,
+		ReadyAddress: boot.ReadyAddress, Seeds: boot.Seeds, ShutdownGrace: boot.Bounds.ShutdownGrace,
+		RepeatLimit: repeatsOf(boot), Cores: boot.Cores, StoreSettleTime: boot.Bounds.StoreSettleTime,
 	}
 }
 
--- a/node/report/page.go
+++ b/node/report/page.go
@@ -18,7 +18,7 @@
 	plotHeight = 8 * vg.Centimeter
 )
 
-var page = template.Must(template.New("page").Parse(`<!doctype html>
+var pageTemplate = template.Must(template.New("page").Parse(`<!doctype html>
 <meta charset="utf-8"><title>doorstack: report</title>
 <style>body{font:15px sans-serif;max-width:60em;margin:2em auto}td,th{padding:.2em .8em;text-align:right}th:first-child,td:first-child{text-align:left}</style>
 <h1>What callers got, {{.From.Format "2006-01-02 15:04:05"}} to {{.To.Format "15:04:05"}}</h1>
@@ -48,15 +48,15 @@
 
 // Write writes the page.
 func (s *Summary) Write(w io.Writer) error {
-	shares, err := draw(s.plotShares)
+	shares, err := renderPlot(s.plotInTimeShare)
 	if err != nil {
 		return err
 	}
-	lateness, err := draw(s.plotLateness)
+	lateness, err := renderPlot(s.plotLateness)
 	if err != nil {
 		return err
 	}
-	starts, err := draw(s.plotStarts)
+	starts, err := renderPlot(s.plotStarts)
 	if err != nil {
 		return err
 	}
@@ -64,14 +64,14 @@
 		*Summary
 		Shares, Lateness, StartsPlot template.HTML
 	}{s, shares, lateness, starts}
-	if err := page.Execute(w, content); err != nil {
+	if err := pageTemplate.Execute(w, content); err != nil {
 		return errors.Wrap(err, "write the page")
 	}
 	return nil
 }
 
-// draw makes the SVG text of a plot.
-func draw(fill func(*plot.Plot) error) (template.HTML, error) {
+// renderPlot makes the SVG text of a plot.
+func renderPlot(fill func(*plot.Plot) error) (template.HTML, error) {
 	p := plot.New()
 	if err := fill(p); err != nil {
 		return "", errors.Wrap(err, "draw a plot")
@@ -88,16 +88,16 @@
 	return template.HTML(svg[max(0, bytes.Index(svg, []byte("<svg"))):]), nil //nolint:gosec // The plot library's own text.
 }
 
-func (s *Summary) plotShares(p *plot.Plot) error {
+func (s *Summary) plotInTimeShare(p *plot.Plot) error {
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "share in time"
 	p.Y.Min, p.Y.Max = 0, 1.02
 	p.Legend.Left = true
 	for i := range s.Classes {
 		k := &s.Classes[i]
 		var points plotter.XYs
-		for step, share := range k.Share {
+		for step, share := range k.InTimeShare {
 			if share >= 0 {
-				points = append(points, plotter.XY{X: float64(step) * Step.Seconds(), Y: share})
+				points = append(points, plotter.XY{X: float64(step) * ShareInterval.Seconds(), Y: share})
 			}
 		}
 		if len(points) == 0 {
@@ -119,12 +119,12 @@
 	p.Y.Min = 0
 	var names []string
 	width := vg.Points(14)
-	for q, pick := range []func(Spread) float64{
-		func(x Spread) float64 { return x.P10 }, func(x Spread) float64 { return x.P50 }, func(x Spread) float64 { return x.P90 },
+	for q, pick := range []func(Quantiles) float64{
+		func(x Quantiles) float64 { return x.P10 }, func(x Quantiles) float64 { return x.P50 }, func(x Quantiles) float64 { return x.P90 },
 	} {
 		var values plotter.Values
 		for i := range s.Classes {
-			values = append(values, pick(s.Classes[i].First))
+			values = append(values, pick(s.Classes[i].FirstEventToGoal))
 		}
 		bars, err := plotter.NewBarChart(values, width)
 		if err != nil {
--- a/node/report/read.go
+++ b/node/report/read.go
@@ -15,27 +15,27 @@
 	"github.com/go-faster/errors"
 )
 
-// line is what is read of a line of the decision log; node/telemetry writes it.
-type line struct {
-	Time         time.Time      `json:"time"`
-	Message      string         `json:"msg"`
-	Kind         decision.Kind  `json:"kind"`
-	Outcome      string         `json:"outcome"`
-	Request      string         `json:"request"`
-	Pool         string         `json:"pool"`
-	Reason       string         `json:"reason"`
-	PromptTokens int64          `json:"prompt_tokens"`
-	Waited       float64        `json:"waited_s"`
-	Foreseen     float64        `json:"foreseen_s"`
-	Rejections   map[string]int `json:"rejections"`
-	Events       int            `json:"events"`
-	First        int64          `json:"first_ms"`
-	Gap          int64          `json:"gap_ms"`
-	Took         int64          `json:"took_ms"`
-	Goal         int64          `json:"goal_ms"`
-	GapGoal      int64          `json:"gap_goal_ms"`
-	Stage        string         `json:"stage"`
-	After        int64          `json:"after_ms"`
+// logLine is what is read of a line of the decision log; node/telemetry writes it.
+type logLine struct {
+	Time                       time.Time      `json:"time"`
+	Message                    string         `json:"msg"`
+	Kind                       decision.Kind  `json:"kind"`
+	Outcome                    string         `json:"outcome"`
+	Request                    string         `json:"request"`
+	Pool                       string         `json:"pool"`
+	Reason                     string         `json:"reason"`
+	PromptTokens               int64          `json:"prompt_tokens"`
+	WaitedSeconds              float64        `json:"waited_s"`
+	PredictedFirstEventSeconds float64        `json:"foreseen_s"`
+	Rejections                 map[string]int `json:"rejections"`
+	Events                     int            `json:"events"`
+	FirstEventMS               int64          `json:"first_ms"`
+	LongestGapMS               int64          `json:"gap_ms"`
+	TotalMS                    int64          `json:"took_ms"`
+	FirstEventGoalMS           int64          `json:"goal_ms"`
+	LongestGapGoalMS           int64          `json:"gap_goal_ms"`
+	Stage                      string         `json:"stage"`
+	AfterMS                    int64          `json:"after_ms"`
 }
 
 // Call is what the log tells of one request.
@@ -43,28 +43,28 @@
 	Ended        time.Time
 	PromptTokens int64
 	// Whole is true if the caller has the whole answer.
-	Whole bool
+	Complete bool
 	// First is the time from arrival to the first event, or to the whole answer where it
 	// has no events. Goal is what the route asks of it; zero asks nothing.
-	First, Goal time.Duration
-	Gap         time.Duration
-	GapGoal     time.Duration
+	FirstEvent, FirstEventGoal time.Duration
+	LongestGap                 time.Duration
+	LongestGapGoal             time.Duration
 	// Waited is how long the placement took, and Foreseen the time to the first event
 	// that it told; zero where none was foreseen.
-	Waited, Foreseen time.Duration
+	Waited, PredictedFirstEvent time.Duration
 	// Refused is true if a decision refused the request, and Filters are what the last
 	// one to wait or refuse found wrong with the targets.
-	Refused bool
-	Filters map[string]int
+	Refused    bool
+	Rejections map[string]int
 }
 
 // InTime tells whether the caller has the whole answer and had it in time.
 func (c *Call) InTime() bool {
-	return c.Whole && (c.Goal <= 0 || c.First <= c.Goal) && (c.GapGoal <= 0 || c.Gap <= c.GapGoal)
+	return c.Complete && (c.FirstEventGoal <= 0 || c.FirstEvent <= c.FirstEventGoal) && (c.LongestGapGoal <= 0 || c.LongestGap <= c.LongestGapGoal)
 }
 
-// maxLine bounds a log line, in bytes.
-const maxLine = 1 << 20
+// maxLineSize bounds a log line, in bytes.
+const maxLineSize = 1 << 20
 
 // Log collects the calls of the lines of several daemons.
 type Log struct {
@@ -82,23 +82,23 @@
 // object is passed over.
 func (l *Log) Read(r io.Reader) error {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineSize)
 	for scanner.Scan() {
 		text := scanner.Bytes()
 		start := bytes.IndexByte(text, '{')
 		if start < 0 {
 			continue
 		}
-		var entry line
+		var entry logLine
 		if err := json.Unmarshal(text[start:], &entry); err != nil {
 			l.Skipped++
 			continue
 		}
 		switch {
 		case entry.Message == "decision" && entry.Request != "":
-			l.take(&entry)
+			l.addDecision(&entry)
 		case entry.Message == startMessage:
-			l.starts[entry.Stage] = append(l.starts[entry.Stage], milliseconds(entry.After).Seconds())
+			l.starts[entry.Stage] = append(l.starts[entry.Stage], milliseconds(entry.AfterMS).Seconds())
 		}
 	}
 	if err := scanner.Err(); err != nil {
@@ -107,7 +107,7 @@
 	return nil
 }
 
-func (l *Log) take(entry *line) {
+func (l *Log) addDecision(entry *logLine) {
 	c := l.calls[entry.Request]
 	if c == nil {
 		c = &Call{}
@@ -115,33 +115,33 @@
 	}
 	switch entry.Kind {
 	case decision.KindRoute, decision.KindPlace:
-		c.placed(entry)
+		c.addPlacement(entry)
 	case decision.KindAnswer:
-		c.answered(entry)
+		c.addAnswer(entry)
 	}
 }
 
-func (c *Call) placed(entry *line) {
+func (c *Call) addPlacement(entry *logLine) {
 	c.PromptTokens = max(c.PromptTokens, entry.PromptTokens)
 	if entry.Outcome != string(routing.Place) {
 		c.Refused = c.Refused || entry.Outcome == string(routing.Refuse)
-		c.Filters = entry.Rejections
+		c.Rejections = entry.Rejections
 		return
 	}
-	if c.Foreseen == 0 {
-		c.Foreseen = seconds(entry.Foreseen)
-		c.Waited = seconds(entry.Waited)
+	if c.PredictedFirstEvent == 0 {
+		c.PredictedFirstEvent = seconds(entry.PredictedFirstEventSeconds)
+		c.Waited = seconds(entry.WaitedSeconds)
 	}
 }
 
-func (c *Call) answered(entry *line) {
+func (c *Call) addAnswer(entry *logLine) {
 	c.Ended = entry.Time
-	c.Whole = entry.Outcome == decision.OutcomeComplete
-	c.First, c.Goal = milliseconds(entry.First), milliseconds(entry.Goal)
+	c.Complete = entry.Outcome == decision.OutcomeComplete
+	c.FirstEvent, c.FirstEventGoal = milliseconds(entry.FirstEventMS), milliseconds(entry.FirstEventGoalMS)
 	if entry.Events == 0 {
-		c.First = milliseconds(entry.Took)
+		c.FirstEvent = milliseconds(entry.TotalMS)
 	}
-	c.Gap, c.GapGoal = milliseconds(entry.Gap), milliseconds(entry.GapGoal)
+	c.LongestGap, c.LongestGapGoal = milliseconds(entry.LongestGapMS), milliseconds(entry.LongestGapGoalMS)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/node/report/report_test.go
+++ b/node/report/report_test.go
@@ -8,7 +8,7 @@
 )
 
 // The lines of four calls by two daemons, as a collector may keep them.
-const lines = `
+const logLines = `
 3.1 d1 {"time":"2026-12-02T10:00:00Z","msg":"started","daemon":"d1"}
 3.2 d2 {"time":"2026-12-02T10:00:01Z","msg":"decision","kind":"place","outcome":"place","request":"a","prompt_tokens":154000,"waited_s":0.5,"foreseen_s":1.5}
 3.3 d1 {"time":"2026-12-02T10:00:01Z","msg":"decision","kind":"route","outcome":"place","request":"a","by":"d2","prompt_tokens":154000,"foreseen_s":0}
@@ -24,17 +24,17 @@
 cut in the mid {"time":
 `
 
-func read(t *testing.T) *Log {
+func readLogLines(t *testing.T) *Log {
 	t.Helper()
 	log := NewLog()
-	if err := log.Read(strings.NewReader(lines)); err != nil {
+	if err := log.Read(strings.NewReader(logLines)); err != nil {
 		t.Fatal(err)
 	}
 	return log
 }
 
-func TestSummary(t *testing.T) {
-	s := read(t).Summarize()
+func TestSummarize(t *testing.T) {
+	s := readLogLines(t).Summarize()
 	if s.Skipped != 1 || s.To.Sub(s.From) != 3*time.Second {
 		t.Errorf("%d lines skipped, %v long", s.Skipped, s.To.Sub(s.From))
 	}
@@ -57,13 +57,13 @@
 	if len(s.Filters) != 1 || s.Filters[0] != (FilterCount{"concurrency", 1}) {
 		t.Errorf("filters %v", s.Filters)
 	}
-	if len(long.Share) != 2 || long.Share[0] != 1 || long.Share[1] >= 0 {
-		t.Errorf("shares %v, want one step in time and one without a call", long.Share)
+	if len(long.InTimeShare) != 2 || long.InTimeShare[0] != 1 || long.InTimeShare[1] >= 0 {
+		t.Errorf("shares %v, want one step in time and one without a call", long.InTimeShare)
 	}
 }
 
-func TestPage(t *testing.T) {
-	s := read(t).Summarize()
+func TestWritePage(t *testing.T) {
+	s := readLogLines(t).Summarize()
 	var page bytes.Buffer
 	if err := s.Write(&page); err != nil {
 		t.Fatal(err)
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestNothingEnded: a log without answers gives an empty summary.
-func TestNothingEnded(t *testing.T) {
+// TestSummarizeEmptyLog: a log without answers gives an empty summary.
+func TestSummarizeEmptyLog(t *testing.T) {
 	if s := NewLog().Summarize(); !s.From.IsZero() || len(s.Filters) != 0 {
 		t.Errorf("%+v", s)
 	}
--- a/node/report/starts.go
+++ b/node/report/starts.go
@@ -10,8 +10,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Stage is how long after their starts the daemons came to a step of it.
-type Stage struct {
+// StageTimes is how long after their starts the daemons came to a step of it.
+type StageTimes struct {
 	Name string
 	// After are the times in seconds, in order.
 	After []float64
@@ -23,14 +23,14 @@
 const startMessage = "start"
 
 // sumStarts lists the stages that were reached, in the order of a start.
-func (l *Log) sumStarts() []Stage {
-	var list []Stage
+func (l *Log) summarizeStarts() []StageTimes {
+	var list []StageTimes
 	for _, s := range blackboard.Stages() {
 		after := slices.Sorted(slices.Values(l.starts[s.String()]))
 		if len(after) == 0 {
 			continue
 		}
-		list = append(list, Stage{Name: s.String(), After: after, Median: after[len(after)/2], Last: after[len(after)-1]})
+		list = append(list, StageTimes{Name: s.String(), After: after, Median: after[len(after)/2], Last: after[len(after)-1]})
 	}
 	return list
 }
--- a/node/report/summary.go
+++ b/node/report/summary.go
@@ -9,36 +9,36 @@
 // Summary are the figures of a page.
 type Summary struct {
 	From, To time.Time
-	Classes  []Class
+	Classes  []PromptClass
 	Filters  []FilterCount
 	// Starts are the stages of the daemons' starts.
-	Starts []Stage
+	Starts []StageTimes
 	// Skipped counts lines that could not be read.
 	Skipped int
 }
 
-// Class are the calls of one range of prompt lengths.
-type Class struct {
+// PromptClass are the calls of one range of prompt lengths.
+type PromptClass struct {
 	Name string
 	// Least is the shortest prompt of the class, in tokens.
-	Least int64
+	MinTokens int64
 	// Calls is how many ended, InTime, Late, Refused and Failed what became of them.
 	Calls, InTime, Late, Refused, Failed int
 	// First are the times to the first event against the goal, and Waited the waits of
 	// those placed.
-	First  Spread
-	Waited Spread
+	FirstEventToGoal Quantiles
+	Waited           Quantiles
 	// Foreseen is the time seen from the placement to the first event, against the one
 	// foreseen, and ForeseenCalls of how many calls.
-	Foreseen      Spread
+	Foreseen      Quantiles
 	ForeseenCalls int
 	// Share is the share in time in each step of Step from Summary.From on; negative
 	// where no call ended.
-	Share []float64
+	InTimeShare []float64
 }
 
-// Spread are quantiles of a number of values.
-type Spread struct{ P10, P50, P90 float64 }
+// Quantiles are quantiles of a number of values.
+type Quantiles struct{ P10, P50, P90 float64 }
 
 // FilterCount is how often a filter was what a call waited for or was refused by.
 type FilterCount struct {
@@ -46,27 +46,27 @@
 	Calls  int
 }
 
-// Step is the resolution of shares over time.
-const Step = 2 * time.Second
+// ShareInterval is the resolution of shares over time.
+const ShareInterval = 2 * time.Second
 
-// classes are the ranges of prompt lengths, by their least length in tokens.
-var classes = []Class{
-	{Name: "no prompt", Least: 0},
-	{Name: "under 16,000 tokens", Least: 1},
-	{Name: "16,000 to 64,000", Least: 16_000},
-	{Name: "64,000 to 200,000", Least: 64_000},
-	{Name: "200,000 and more", Least: 200_000},
+// promptClasses are the ranges of prompt lengths, by their least length in tokens.
+var promptClasses = []PromptClass{
+	{Name: "no prompt", MinTokens: 0},
+	{Name: "under 16,000 tokens", MinTokens: 1},
+	{Name: "16,000 to 64,000", MinTokens: 16_000},
+	{Name: "64,000 to 200,000", MinTokens: 64_000},
+	{Name: "200,000 and more", MinTokens: 200_000},
 }
 
 // samples are the values of a class before they are summed up.
 type samples struct {
-	first, waited, foreseen []float64
-	inTime, ended           map[int]int // by step
+	firstEventToGoal, waited, observedToPredicted []float64
+	inTime, ended                                 map[int]int // by step
 }
 
 // Summarize sums the calls up that have ended.
 func (l *Log) Summarize() Summary {
-	s := Summary{Skipped: l.Skipped, Classes: slices.Clone(classes), Starts: l.sumStarts()}
+	s := Summary{Skipped: l.Skipped, Classes: slices.Clone(promptClasses), Starts: l.summarizeStarts()}
 	var ended []*Call
 	for _, c := range l.calls {
 		if !c.Ended.IsZero() {
@@ -78,38 +78,38 @@
 		return s
 	}
 	s.From, s.To = ended[0].Ended, ended[len(ended)-1].Ended
-	values := make([]samples, len(classes))
+	values := make([]samples, len(promptClasses))
 	filters := map[string]int{}
 	for _, c := range ended {
-		i := classOf(c)
-		s.Classes[i].count(c)
-		values[i].add(c, int(c.Ended.Sub(s.From)/Step))
-		for f := range c.Filters {
+		i := promptClassOf(c)
+		s.Classes[i].countCall(c)
+		values[i].add(c, int(c.Ended.Sub(s.From)/ShareInterval))
+		for f := range c.Rejections {
 			filters[f]++
 		}
 	}
-	steps := int(s.To.Sub(s.From)/Step) + 1
+	steps := int(s.To.Sub(s.From)/ShareInterval) + 1
 	for i := range s.Classes {
-		s.Classes[i].sum(&values[i], steps)
+		s.Classes[i].summarize(&values[i], steps)
 	}
 	s.Filters = countFilters(filters)
 	return s
 }
 
-func classOf(c *Call) int {
-	i := len(classes) - 1
-	for c.PromptTokens < classes[i].Least {
+func promptClassOf(c *Call) int {
+	i := len(promptClasses) - 1
+	for c.PromptTokens < promptClasses[i].MinTokens {
 		i--
 	}
 	return i
 }
 
-func (k *Class) count(c *Call) {
+func (k *PromptClass) countCall(c *Call) {
 	k.Calls++
 	switch {
 	case c.InTime():
 		k.InTime++
-	case c.Whole:
+	case c.Complete:
 		k.Late++
 	case c.Refused:
 		k.Refused++
@@ -126,35 +126,35 @@
 	if c.InTime() {
 		v.inTime[step]++
 	}
-	if c.Whole && c.Goal > 0 {
-		v.first = append(v.first, float64(c.First)/float64(c.Goal))
+	if c.Complete && c.FirstEventGoal > 0 {
+		v.firstEventToGoal = append(v.firstEventToGoal, float64(c.FirstEvent)/float64(c.FirstEventGoal))
 	}
-	if c.Whole && c.Foreseen > c.Waited {
+	if c.Complete && c.PredictedFirstEvent > c.Waited {
 		v.waited = append(v.waited, c.Waited.Seconds())
-		v.foreseen = append(v.foreseen, float64(c.First-c.Waited)/float64(c.Foreseen-c.Waited))
+		v.observedToPredicted = append(v.observedToPredicted, float64(c.FirstEvent-c.Waited)/float64(c.PredictedFirstEvent-c.Waited))
 	}
 }
 
-func (k *Class) sum(v *samples, steps int) {
-	k.First, k.Waited, k.Foreseen = spread(v.first), spread(v.waited), spread(v.foreseen)
-	k.ForeseenCalls = len(v.foreseen)
+func (k *PromptClass) summarize(v *samples, steps int) {
+	k.FirstEventToGoal, k.Waited, k.Foreseen = quantilesOf(v.firstEventToGoal), quantilesOf(v.waited), quantilesOf(v.observedToPredicted)
+	k.ForeseenCalls = len(v.observedToPredicted)
 	for step := range steps {
 		share := -1.0
 		if n := v.ended[step]; n > 0 {
 			share = float64(v.inTime[step]) / float64(n)
 		}
-		k.Share = append(k.Share, share)
+		k.InTimeShare = append(k.InTimeShare, share)
 	}
 }
 
-// spread sorts the values.
-func spread(values []float64) Spread {
+// quantilesOf sorts the values.
+func quantilesOf(values []float64) Quantiles {
 	if len(values) == 0 {
-		return Spread{}
+		return Quantiles{}
 	}
 	slices.Sort(values)
 	at := func(q float64) float64 { return values[int(q*float64(len(values)-1)+0.5)] }
-	return Spread{at(0.1), at(0.5), at(0.9)}
+	return Quantiles{at(0.1), at(0.5), at(0.9)}
 }
 
 func countFilters(filters map[string]int) []FilterCount {
