--- a/node/daemon/daemon.go
+++ b/node/daemon/daemon.go
@@ -1,5 +1,6 @@
-// Package daemon puts the parts of a daemon together and runs them: listeners,
-// workers, controllers, and the orderly end.
+// Package daemon assembles a doorstack daemon from its configuration file and, on a platform, an
+// Adapter, and runs it: the listeners for callers, operators and peers, the workers and
+// controllers, and the graceful shutdown.
 package daemon
 
 import (
@@ -30,14 +31,14 @@
 	khttp "github.com/go-kratos/kratos/v2/transport/http"
 )
 
-// Daemon is a doorstackd in a process. Several can run in one process.
+// Daemon is an instance of doorstackd. Several instances can run in one process.
 type Daemon struct {
 	Config  *config.File
 	Board   *blackboard.Blackboard
 	Metrics *telemetry.Metrics
 	Log     *slog.Logger
 
-	adapter       *Adapter // nil where the project's own protocols are spoken
+	adapter       *Adapter // nil if the daemon uses the project's own protocols
 	confClient    *confservice.Client
 	recorder      *telemetry.Recorder
 	director      *requestcontrol.Director
@@ -49,40 +50,41 @@
 	app           *kratos.App
 	loops         []func(context.Context)
 	drained       chan struct{}
-	shutdownGrace atomic.Int64 // from the request to end until the kill, in nanoseconds
+	shutdownGrace atomic.Int64 // from the termination signal until the process is killed, in nanoseconds
 	drainOnce     sync.Once
 }
 
-// Adapter is what a daemon takes from a platform that it runs on in place of the
-// project's own protocols.
+// Adapter connects a daemon to the platform that it runs on, in place of the project's own
+// protocols.
 type Adapter struct {
-	// Settings and Targets publish, and Parse resolves settings.
+	// Settings and Targets are the sources of settings and targets. Parse parses and resolves
+	// settings.
 	Settings controller.SettingsSource
 	Targets  controller.TargetSource
 	Parse    func(parts map[string][]byte) (*settings.Tree, error)
-	// Dialect reads and writes the headers of forwarded calls.
+	// Dialect reads and writes the platform's headers of forwarded calls.
 	Dialect target.Dialect
-	// Ready is the address where the balancer asks whether this daemon takes
-	// connections.
+	// ReadyAddress is the listen address for the load balancer's readiness checks.
 	ReadyAddress string
-	// Seeds are peers' addresses of some daemons, which may be stale.
+	// Seeds are peer addresses of some daemons. They may be outdated.
 	Seeds []string
-	// Repeats bounds the sends of calls beyond their first.
+	// RepeatLimit limits how often calls are sent again.
 	RepeatLimit admission.RepeatLimit
-	// Grace is the time from the request to end until the process is killed.
+	// ShutdownGrace is the time from the termination signal until the platform kills the process.
 	ShutdownGrace time.Duration
-	// Cores is how much of a processor the host gives this daemon, in cores.
+	// Cores is the processor time that the host gives this daemon, in cores.
 	Cores float64
-	// Settles is the time after a disturbance of the platform's store in which what it
-	// published has to be known everywhere; zero where the platform does not say.
+	// StoreSettleTime is the time after a disruption of the platform's store within which all
+	// daemons must know what it has published. It is zero if the platform sets none.
 	StoreSettleTime time.Duration
 }
 
-// New provisions a daemon from its file. Its listeners are open afterwards, so a
-// busy port is an error here; nothing is served before Run.
+// New creates a daemon from its configuration file. It opens the listeners, so a port in use
+// is an error here. Requests are served only once Run is called.
 func New(file *config.File, log *slog.Logger) (*Daemon, error) { return NewWithAdapter(file, nil, log) }
 
-// NewWithAdapter provisions a daemon that runs on a platform through an adapter.
+// NewWithAdapter is like New for a daemon that runs on a platform. A nil adapter selects the
+// project's own protocols.
 func NewWithAdapter(file *config.File, adapter *Adapter, log *slog.Logger) (*Daemon, error) {
 	d := &Daemon{
 		adapter: adapter,
@@ -113,6 +115,8 @@
 	return d, nil
 }
 
+// provisionControllers creates the director, the cluster, the workers and the controllers, and
+// lists the loops that Run starts.
 func (d *Daemon) provisionControllers() {
 	client := target.NewClient()
 	d.targets = client
@@ -153,11 +157,12 @@
 	d.loops = append(d.loops, hosts.Run, reports.Run)
 }
 
-// feedMaxHold is how long the settings' controller waits for the feed, which costs no call
-// of the store.
+// feedMaxHold is how long the settings controller waits for a change of the feed. Waiting makes
+// no call to the store.
 const feedMaxHold = 5 * time.Second
 
-// adapt provisions what is different on a platform.
+// provisionAdapter sets up the parts that differ on a platform: the directory of targets, the
+// exchange of forwarded calls, and the monitors of slowdown and lag.
 func (d *Daemon) provisionAdapter() {
 	d.settings.MaxHold = feedMaxHold
 	directory := &controller.Directory{Board: d.Board, Source: d.adapter.Targets, Recorder: d.recorder, ShouldWatch: d.shouldWatch, OnChange: d.cluster.HeartbeatNow, MaxHold: watch.HoldTime(d.adapter.StoreSettleTime)}
@@ -172,14 +177,15 @@
 	d.loops = append(d.loops, lag.Run, directory.Run, d.director.Exchanger.Run, paces.Run)
 }
 
-// adopted takes a new revision to the targets and to the neighbours.
+// onAdopt applies a new revision of the settings to the targets and announces it to the
+// neighbours.
 func (d *Daemon) onAdopt() {
 	d.Board.SyncTargets()
 	d.cluster.HeartbeatNow()
 }
 
-// watches tells whether this daemon is one of those that watch the platform's store or the
-// configuration service, by the living members that it knows.
+// shouldWatch reports whether this daemon watches the platform's store or the configuration
+// service, given the live members that it knows.
 func (d *Daemon) shouldWatch() bool {
 	var living []membership.Member
 	for _, m := range d.Board.Members.Members() {
@@ -198,24 +204,26 @@
 	return watch.ShouldWatch(d.Config.Name, members)
 }
 
-// Adapt takes over settings of a platform that change while the daemon runs.
+// UpdatePlatformSettings applies those values of an Adapter that may change while the daemon
+// runs.
 func (d *Daemon) UpdatePlatformSettings(seeds []string, repeats admission.RepeatLimit, grace time.Duration) {
 	d.cluster.SetSeeds(seeds)
 	d.Board.Repeats.SetLimit(repeats)
 	d.shutdownGrace.Store(int64(grace))
 }
 
-// Hub is the daemon's links to its peers.
+// Hub returns the hub of the daemon's links to its peers.
 func (d *Daemon) Hub() *peer.Hub { return d.hub }
 
-// SetConfigurationURL changes where settings are read, before Run.
+// SetConfigurationURL sets the URL that settings are read from. It must be called before Run.
 func (d *Daemon) SetConfigurationURL(url string) { d.confClient.ConfigURL = url }
 
-// Crash cuts the daemon off from its targets for good, so that a test in one
-// process can see what a killed process leaves behind.
+// SimulateCrash disconnects the daemon from its targets for good, so that a test within one
+// process can check the effects of a killed daemon.
 func (d *Daemon) SimulateCrash() { d.targets.Disconnect() }
 
-// Run serves until ctx ends or Drain has finished, and then stops in order.
+// Run serves until ctx ends or Drain has finished, and then stops the hub, the listeners and the
+// controllers.
 func (d *Daemon) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -243,5 +251,5 @@
 	return nil
 }
 
-// stopTimeout bounds the closing of listeners after everything has been drained.
+// stopTimeout limits the time for closing the listeners after draining.
 const stopTimeout = 5 * time.Second
--- a/node/daemon/drain.go
+++ b/node/daemon/drain.go
@@ -4,11 +4,11 @@
 	"time"
 )
 
-// drainPollInterval is how often a leaving daemon looks whether all has ended.
+// drainPollInterval is how often a draining daemon checks whether all calls have ended.
 const drainPollInterval = 20 * time.Millisecond
 
-// Drain takes nothing new, waits for all that is in flight, each bounded by its
-// own deadline, and then lets Run return.
+// Drain starts a graceful shutdown and returns at once. The daemon accepts no new calls, waits
+// for the calls in flight, each of which has a deadline, and then lets Run return.
 func (d *Daemon) Drain() {
 	d.drainOnce.Do(func() {
 		d.Board.Drain()
@@ -18,12 +18,14 @@
 	})
 }
 
+// waitDrained waits until the balancer has stopped sending calls and those in flight have ended,
+// or until the shutdown grace is nearly over.
 func (d *Daemon) waitDrained() {
 	began := time.Now()
 	if d.adapter != nil {
 		d.leaveRotation()
 	} else {
-		// The balancer needs a moment to see that this host is not ready.
+		// Give the balancer time to see that this host is not ready.
 		time.Sleep(time.Duration(d.Config.DrainDelay))
 	}
 	for d.Board.InFlight() > 0 && !d.graceExpired(began) {
@@ -33,39 +35,39 @@
 	close(d.drained)
 }
 
-// killMargin is how long before the kill a daemon that still has calls ends by itself,
-// so that its last lines are written.
+// killMargin is how long before the process is killed a daemon with calls in flight exits, so that
+// its last log lines are written.
 const killMargin = 200 * time.Millisecond
 
-// cutCalls closes the connections of calls that are still in flight when the process has to end: an
-// orderly stop of the listener would wait for them until the process is killed.
+// closeActiveCalls closes the connections of callers if calls are still in flight when the process
+// has to end. A graceful stop of the listener would wait for them until the process is killed.
 func (d *Daemon) closeActiveCalls() {
 	if d.Board.InFlight() == 0 {
 		return
 	}
 	if err := d.callerServer.Close(); err != nil {
-		d.Log.Warn("connections of callers could not be closed", "error", err.Error())
+		d.Log.Warn("cannot close the connections of callers", "error", err.Error())
 	}
 }
 
-// graceOver tells whether the process is about to be killed.
+// graceExpired reports whether the process is about to be killed.
 func (d *Daemon) graceExpired(began time.Time) bool {
 	grace := time.Duration(d.shutdownGrace.Load())
 	return grace > 0 && time.Since(began) > grace-killMargin
 }
 
-// The steps of leaving on a platform, from the request to end. The balancer asks once
-// a second and takes a daemon out of rotation after two answers that it is not ready,
-// so calls that come later come on kept connections, whose callers have been told
-// with their last answer that this one closes. They are refused, so that what is
-// still running can end before the process is killed; the rest of the time lets the
-// refusals reach them.
+// The phases of draining on a platform. The balancer checks readiness once a second and takes a
+// daemon out of rotation after two failed checks. Calls that arrive after refuseDelay come over
+// kept-alive connections, whose callers were told with their last answer that the connection
+// closes. They are refused, so that the running calls can end before the process is killed;
+// refusalDuration is the time for the refusals to reach the callers.
 const (
 	refuseDelay     = 2500 * time.Millisecond
 	refusalDuration = 500 * time.Millisecond
 )
 
-// leaveRotation serves until the balancer sends nobody any more, and then refuses.
+// leaveRotation accepts calls until the balancer has taken the daemon out of rotation, and then
+// refuses new calls.
 func (d *Daemon) leaveRotation() {
 	time.Sleep(refuseDelay)
 	d.Board.CloseForward()
--- a/node/daemon/kratoslog.go
+++ b/node/daemon/kratoslog.go
@@ -10,27 +10,28 @@
 	klog "github.com/go-kratos/kratos/v2/log"
 )
 
-// unusedSignal is a signal that never comes, as a daemon starts no process.
-// listen to every signal if it were given none.
+// unusedSignal is a signal that the process never receives, as a daemon starts no child process.
+// Without any signal given, the library would handle all of them.
 const unusedSignal = syscall.SIGCHLD
 
-// kratosLoggerOnce guards the library's logger, which is one for the process.
+// kratosLoggerOnce guards the library's logger, which is global in the process.
 var kratosLoggerOnce sync.Once
 
+// setKratosLogger redirects the library's log lines to log. Only the first call has an effect.
 func setKratosLogger(log *slog.Logger) {
 	kratosLoggerOnce.Do(func() { klog.SetLogger(kratosLogger{log}) })
 }
 
-// kratosLogger passes the library's log lines on to slog.
+// kratosLogger forwards the library's log lines to slog.
 type kratosLogger struct {
 	log *slog.Logger
 }
 
-// Log implements the library's interface.
+// Log implements the library's Logger interface.
 func (l kratosLogger) Log(level klog.Level, keyvals ...any) error {
 	levels := map[klog.Level]slog.Level{
 		klog.LevelDebug: slog.LevelDebug,
-		klog.LevelInfo:  slog.LevelDebug, // Its start and stop lines say nothing new.
+		klog.LevelInfo:  slog.LevelDebug, // The daemon logs start and stop itself.
 		klog.LevelWarn:  slog.LevelWarn,
 		klog.LevelError: slog.LevelError,
 		klog.LevelFatal: slog.LevelError,
--- a/node/daemon/servers.go
+++ b/node/daemon/servers.go
@@ -16,9 +16,11 @@
 	khttp "github.com/go-kratos/kratos/v2/transport/http"
 )
 
-// readHeaderTimeout bounds a caller that opens a connection and says nothing.
+// readHeaderTimeout limits how long a client may take to send the headers of a request.
 const readHeaderTimeout = 10 * time.Second
 
+// provisionServers opens the listeners for callers, operators, peers and, on a platform, readiness
+// checks.
 func (d *Daemon) provisionServers() error {
 	setKratosLogger(d.Log)
 	limits := api.DefaultLimits()
@@ -58,16 +60,16 @@
 		kratos.ID(d.Config.Name),
 		kratos.Server(servers...),
 		kratos.StopTimeout(stopTimeout),
-		// Draining is done before Stop, so signals are not the library's: it
-		// would stop the listeners at once.
+		// The library must not handle signals: it would stop the listeners at once,
+		// while the daemon drains before it stops them.
 		kratos.Signal(unusedSignal),
 	)
 	return nil
 }
 
-// newServer opens a listener and writes the address back, whose port may have been
-// left to the system. The library's own request timeout of one second is
-// switched off: requests carry their own deadlines.
+// newServer opens a listener for the config key and stores the actual address in *address, as its
+// port may be 0. The library's request timeout of one second is disabled, as requests have their
+// own deadlines.
 func newServer(key string, address *string, handler http.Handler) (*khttp.Server, error) {
 	listener, err := net.Listen("tcp", *address)
 	if err != nil {
@@ -80,7 +82,7 @@
 		khttp.Timeout(0),
 		khttp.StrictSlash(false),
 	)
-	// The library's router would answer some paths with a redirect to a tidier one.
+	// Bypass the library's router, which would redirect some paths to a cleaned form.
 	server.Handler = handler
 	server.ReadHeaderTimeout = readHeaderTimeout
 	return server, nil
