--- a/node/admin/admin.go
+++ b/node/admin/admin.go
@@ -1,5 +1,6 @@
-// Package admin is the interface for operators: health, metrics, status and
-// explanations.
+// Package admin is the HTTP interface for operators: health, readiness, metrics, the status of the
+// daemon and its fleet, and the recorded decisions about a request. The doorstack command and the
+// load balancer use it.
 package admin
 
 import (
@@ -16,23 +17,23 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Server serves operators.
+// Server serves requests of operators.
 type Server struct {
 	Board   *blackboard.Blackboard
 	Metrics *telemetry.Metrics
-	// Fleet adds what the peers know; nil on a daemon without peers.
+	// Fleet queries the other daemons. It is nil on a daemon without peers.
 	Fleet Fleet
 }
 
-// Fleet finds what other daemons know.
+// Fleet provides the status of the fleet and the records of other daemons.
 type Fleet interface {
-	// Status describes the peers, claims and shares.
+	// Status returns the peers, claims, shares and leases that this daemon knows.
 	Status() FleetStatus
-	// Explain asks the daemon that handled a request for its records.
+	// Explain returns the records of the daemon that handled a request.
 	Explain(request string) Explanation
 }
 
-// FleetStatus is the fleet as this daemon sees it.
+// FleetStatus is the fleet as known to this daemon.
 type FleetStatus struct {
 	Members []MemberStatus `json:"members"`
 	Claims  ClaimStatus    `json:"claims"`
@@ -40,7 +41,7 @@
 	Leases  []LeaseStatus  `json:"leases,omitempty"`
 }
 
-// MemberStatus is a daemon as this one sees it.
+// MemberStatus is a member of the fleet as known to this daemon. Revision is that of its settings.
 type MemberStatus struct {
 	Name        string    `json:"name"`
 	Address     string    `json:"address"`
@@ -52,7 +53,8 @@
 	LastHeard   time.Time `json:"heard,omitzero"`
 }
 
-// ClaimStatus describes the keys that this daemon holds as a witness.
+// ClaimStatus describes the idempotency keys that this daemon stores as a witness. Granted and
+// Denied count the claims of requests on them.
 type ClaimStatus struct {
 	Keys    int   `json:"keys"`
 	Bytes   int64 `json:"bytes"`
@@ -60,14 +62,14 @@
 	Denied  int64 `json:"denied"`
 }
 
-// ShareStatus is an account's share at this daemon.
+// ShareStatus is the fraction of an account's limits that this daemon may use.
 type ShareStatus struct {
 	Account  string  `json:"account"`
 	Fraction float64 `json:"fraction"`
 	Floor    float64 `json:"floor"`
 }
 
-// LeaseStatus is a target's owner.
+// LeaseStatus is the lease of a target's owner.
 type LeaseStatus struct {
 	Target       string    `json:"target"`
 	Owner        string    `json:"owner"`
@@ -75,7 +77,7 @@
 	ExpiresAt    time.Time `json:"expires"`
 }
 
-// Status is a daemon's answer to "doorstack status".
+// Status is the answer of GET /v1/status, which "doorstack status" shows.
 type Status struct {
 	Name        string               `json:"name"`
 	DataCentre  string               `json:"data_centre"`
@@ -86,10 +88,10 @@
 	Digest      string               `json:"digest"`
 	Adopted     time.Time            `json:"adopted,omitzero"`
 	Rejected    blackboard.Rejection `json:"rejected,omitzero"`
-	// Store is the position up to which the targets' entries in the platform's store are known:
-	// its era and revision, or the revision alone where it tells no era.
+	// StorePosition is the position up to which this daemon knows the targets' entries in the
+	// platform's store: era and revision, or the revision alone if the store has no eras.
 	StorePosition string `json:"store,omitempty"`
-	// Quarantined is the number of calls that no daemon sends, since they end their targets.
+	// Quarantined is the number of calls that no daemon sends because they crash targets.
 	Quarantined int                        `json:"quarantined,omitempty"`
 	InFlight    int64                      `json:"in_flight"`
 	Waiting     map[string]int             `json:"waiting"`
@@ -98,39 +100,40 @@
 	Targets     []blackboard.TargetStatus  `json:"targets"`
 	Explain     ExplainStatus              `json:"explain"`
 	Fleet       FleetStatus                `json:"fleet"`
-	// Started is when this process started; Traffic counts since then.
+	// Started is when this process started. Traffic counts from then on.
 	Started time.Time           `json:"started,omitzero"`
 	Traffic []telemetry.Traffic `json:"traffic,omitempty"`
-	// Incomplete says what could not be told and why.
+	// Incomplete says which part of the status is missing and why.
 	Incomplete string `json:"incomplete,omitempty"`
 }
 
-// TargetStatus is a target in a Status.
+// TargetStatus is the status of a target.
 type TargetStatus = blackboard.TargetStatus
 
-// AccountStatus is an account in a Status.
+// AccountStatus is the use of a client account at this daemon.
 type AccountStatus = blackboard.AccountStatus
 
-// ExplainStatus is the memory of recorded decisions.
+// ExplainStatus is the memory used by recorded decisions, in bytes, and the number of records
+// evicted from it.
 type ExplainStatus struct {
 	Bytes   int64 `json:"bytes"`
 	Evicted int64 `json:"evicted"`
 }
 
-// Explanation is a daemon's answer to "doorstack explain".
+// Explanation is the answer of GET /v1/explain, which "doorstack explain" shows.
 type Explanation struct {
 	Request string `json:"request"`
-	// Daemon is who answered.
+	// Daemon is the name of the daemon that has the records.
 	Daemon string `json:"daemon"`
-	// Records are the decisions, oldest first.
+	// Records are the decisions about the request, oldest first.
 	Records []decision.Record `json:"records"`
-	// Replays stand beside Records.
+	// Replays are the results of replaying Records, by index.
 	Replays []decision.ReplayResult `json:"replays,omitempty"`
-	// Note says why there are none, or what may be missing.
+	// Note says why there are no records, or which may be missing.
 	Note string `json:"note,omitempty"`
 }
 
-// Handler routes the endpoints.
+// Handler returns the handler of the endpoints for operators.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok\n")) })
@@ -143,15 +146,17 @@
 	return mux
 }
 
-// ReadyHandler answers on every path whether this daemon takes connections.
+// ReadyHandler returns a handler that reports on every path whether this daemon is serving.
 func (s *Server) ReadyHandler() http.Handler { return http.HandlerFunc(s.serveReady) }
 
+// writeJSON writes v as the JSON body of an answer.
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
+// serveReady answers 200 while the daemon is serving, and 503 with its phase otherwise.
 func (s *Server) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if phase := s.Board.Phase(); phase != blackboard.Serving {
 		http.Error(w, phase.String(), http.StatusServiceUnavailable)
@@ -160,7 +165,7 @@
 	_, _ = w.Write([]byte("ready\n"))
 }
 
-// Status describes this daemon.
+// Status returns the current status of this daemon.
 func (s *Server) Status() Status {
 	now := time.Now()
 	self := s.Board.Self
@@ -200,7 +205,8 @@
 	return status
 }
 
-// storePosition is how far the targets' entries are known; empty where none were read.
+// storePosition returns the store position up to which the targets' entries are known. It is
+// empty if none were read.
 func (s *Server) storePosition() string {
 	at := s.Board.Directory.Revision()
 	if at == 0 {
@@ -209,17 +215,19 @@
 	return at.String()
 }
 
-// Explain returns this daemon's own records of a request.
+// Explain returns the records that this daemon has of a request.
 func (s *Server) Explain(request string) Explanation {
 	e := Explanation{Request: request, Daemon: s.Board.Self.Name, Records: s.Board.Decisions.Find(request)}
 	if _, evicted := s.Board.Decisions.Usage(); len(e.Records) == 0 && evicted > 0 {
-		e.Note = "no record here; " + strconv.FormatInt(evicted, 10) + " older records have been dropped, this request's may be among them"
+		e.Note = "this daemon has no record of the request; " + strconv.FormatInt(evicted, 10) + " older records were evicted, possibly including those of the request"
 	} else if len(e.Records) == 0 {
-		e.Note = "no record here; no record has been dropped since this daemon started, so it did not handle the request since then"
+		e.Note = "this daemon has no record of the request; it has evicted no record since its start, so it did not handle the request since then"
 	}
 	return e
 }
 
+// serveExplain answers with the records of this daemon or, unless local is set, of the daemon that
+// has them. With replay set, each decision is computed again from its record.
 func (s *Server) serveExplain(w http.ResponseWriter, r *http.Request) {
 	request := r.PathValue("request")
 	e := s.Explain(request)
@@ -238,9 +246,10 @@
 	writeJSON(w, status, e)
 }
 
-// maxDecisions bounds the answer of GET /v1/decisions.
+// maxDecisions is the largest number of records in an answer of GET /v1/decisions.
 const maxDecisions = 1000
 
+// serveDecisions answers with the last recorded decisions.
 func (s *Server) serveDecisions(w http.ResponseWriter, r *http.Request) {
 	n, err := strconv.Atoi(r.URL.Query().Get("last"))
 	if err != nil || n <= 0 || n > maxDecisions {
@@ -249,16 +258,17 @@
 	writeJSON(w, http.StatusOK, s.Board.Decisions.Last(n))
 }
 
-// Effective is a daemon's answer to "doorstack settings effective".
+// Effective is the answer of GET /v1/effective, which "doorstack settings effective" shows.
 type Effective struct {
 	Revision int64                     `json:"revision"`
 	Values   []settings.EffectiveValue `json:"values"`
 }
 
+// serveEffective answers with the effective settings of a node of the tree.
 func (s *Server) serveEffective(w http.ResponseWriter, r *http.Request) {
 	view := s.Board.Settings.Current()
 	if view == nil {
-		writeJSON(w, http.StatusServiceUnavailable, fault.New(fault.NotReady, "there are no settings yet", "ask again"))
+		writeJSON(w, http.StatusServiceUnavailable, fault.New(fault.NotReady, "this daemon has no settings yet", "retry the request"))
 		return
 	}
 	values, err := view.Tree.EffectiveValues(r.URL.Query().Get("path"))
@@ -269,8 +279,8 @@
 	writeJSON(w, http.StatusOK, Effective{Revision: view.Revision, Values: values})
 }
 
-// ParseExplanation reads an explanation that another daemon sent; one that
-// cannot be read counts as no answer.
+// ParseExplanation decodes an explanation that another daemon sent. If that fails, it returns an
+// empty one, which counts as no answer.
 func ParseExplanation(data []byte) Explanation {
 	var e Explanation
 	if err := json.Unmarshal(data, &e); err != nil {
