--- a/node/report/read.go
+++ b/node/report/read.go
@@ -1,6 +1,6 @@
-// Package report turns the log lines of a fleet into a page that a person can look at:
-// what was in time, how late the rest was by length of prompt, who waited for what, and
-// how well times were foreseen.
+// Package report summarizes the log lines of a fleet's daemons in an HTML page for operators: how
+// many calls were in time by length of prompt, how late the others were, which filters made calls
+// wait, how accurate predicted times were, and how fast daemons started.
 package report
 
 import (
@@ -15,7 +15,8 @@
 	"github.com/go-faster/errors"
 )
 
-// logLine is what is read of a line of the decision log; node/telemetry writes it.
+// logLine holds the fields of a decision's or a start stage's log line, as node/telemetry writes
+// it.
 type logLine struct {
 	Time                       time.Time      `json:"time"`
 	Message                    string         `json:"msg"`
@@ -38,48 +39,51 @@
 	AfterMS                    int64          `json:"after_ms"`
 }
 
-// Call is what the log tells of one request.
+// Call is a request as described by the log lines of all daemons that handled it.
 type Call struct {
+	// Ended is when the answer ended. It is zero if the log has no end.
 	Ended        time.Time
 	PromptTokens int64
-	// Whole is true if the caller has the whole answer.
+	// Complete reports whether the caller received the complete answer.
 	Complete bool
-	// First is the time from arrival to the first event, or to the whole answer where it
-	// has no events. Goal is what the route asks of it; zero asks nothing.
+	// FirstEvent is the time from arrival to the first event, or to the complete answer if it
+	// has no events. FirstEventGoal is the route's goal for it, zero if there is none.
 	FirstEvent, FirstEventGoal time.Duration
-	LongestGap                 time.Duration
-	LongestGapGoal             time.Duration
-	// Waited is how long the placement took, and Foreseen the time to the first event
-	// that it told; zero where none was foreseen.
+	// LongestGap is the longest time between two events, and LongestGapGoal the route's goal
+	// for it, zero if there is none.
+	LongestGap     time.Duration
+	LongestGapGoal time.Duration
+	// Waited is the time from arrival to the placement, and PredictedFirstEvent the time from
+	// arrival to the first event that the placement predicted, zero if it predicted none.
 	Waited, PredictedFirstEvent time.Duration
-	// Refused is true if a decision refused the request, and Filters are what the last
-	// one to wait or refuse found wrong with the targets.
+	// Refused reports whether a decision refused the request. Rejections are the numbers of
+	// targets that each filter rejected in the last decision to wait or to refuse.
 	Refused    bool
 	Rejections map[string]int
 }
 
-// InTime tells whether the caller has the whole answer and had it in time.
+// InTime reports whether the caller received the complete answer within the goals.
 func (c *Call) InTime() bool {
 	return c.Complete && (c.FirstEventGoal <= 0 || c.FirstEvent <= c.FirstEventGoal) && (c.LongestGapGoal <= 0 || c.LongestGap <= c.LongestGapGoal)
 }
 
-// maxLineSize bounds a log line, in bytes.
+// maxLineSize is the longest log line, in bytes.
 const maxLineSize = 1 << 20
 
-// Log collects the calls of the lines of several daemons.
+// Log collects calls from the log lines of several daemons.
 type Log struct {
 	calls map[string]*Call
-	// starts are the times, in seconds, after which daemons came to each stage of their starts.
+	// starts are the times from process start to each start stage, in seconds, by stage.
 	starts map[string][]float64
-	// Skipped counts lines that are no JSON.
+	// Skipped counts lines that are not valid JSON.
 	Skipped int
 }
 
-// NewLog returns a log without calls.
+// NewLog returns an empty log.
 func NewLog() *Log { return &Log{calls: map[string]*Call{}, starts: map[string][]float64{}} }
 
-// Read takes the lines of one source in. What a log collector puts before a line's
-// object is passed over.
+// Read adds the log lines from r. Text before a line's JSON object, such as a log collector's
+// prefix, is ignored.
 func (l *Log) Read(r io.Reader) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineSize)
@@ -107,6 +111,7 @@
 	return nil
 }
 
+// addDecision adds a decision to its call.
 func (l *Log) addDecision(entry *logLine) {
 	c := l.calls[entry.Request]
 	if c == nil {
@@ -121,6 +126,8 @@
 	}
 }
 
+// addPlacement adds a placement decision. The first one that predicts a time to the first event
+// sets the prediction.
 func (c *Call) addPlacement(entry *logLine) {
 	c.PromptTokens = max(c.PromptTokens, entry.PromptTokens)
 	if entry.Outcome != string(routing.Place) {
@@ -134,6 +141,7 @@
 	}
 }
 
+// addAnswer adds the end of the answer.
 func (c *Call) addAnswer(entry *logLine) {
 	c.Ended = entry.Time
 	c.Complete = entry.Outcome == decision.OutcomeComplete
@@ -144,6 +152,8 @@
 	c.LongestGap, c.LongestGapGoal = milliseconds(entry.LongestGapMS), milliseconds(entry.LongestGapGoalMS)
 }
 
+// seconds converts seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
+// milliseconds converts milliseconds to a duration.
 func milliseconds(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
--- a/node/report/starts.go
+++ b/node/report/starts.go
@@ -10,19 +10,20 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// StageTimes is how long after their starts the daemons came to a step of it.
+// StageTimes are the times after which daemons reached a stage of their start, in seconds since
+// their processes started.
 type StageTimes struct {
 	Name string
-	// After are the times in seconds, in order.
+	// After are the times in ascending order.
 	After []float64
-	// Median and Last are two of them.
+	// Median and Last are the median and the longest of the times.
 	Median, Last float64
 }
 
-// startMessage is the log line of a stage.
+// startMessage is the message of a log line about a start stage.
 const startMessage = "start"
 
-// sumStarts lists the stages that were reached, in the order of a start.
+// summarizeStarts returns the stages that daemons reached, in the order of a start.
 func (l *Log) summarizeStarts() []StageTimes {
 	var list []StageTimes
 	for _, s := range blackboard.Stages() {
@@ -35,7 +36,7 @@
 	return list
 }
 
-// plotStarts draws how many daemons have come to each stage, by the time since their starts.
+// plotStarts plots how many daemons have reached each stage, by the time since their start.
 func (s *Summary) plotStarts(p *plot.Plot) error {
 	p.X.Label.Text, p.Y.Label.Text = "seconds since the process started", "daemons"
 	p.X.Min, p.Y.Min = 0, 0
--- a/node/report/summary.go
+++ b/node/report/summary.go
@@ -6,50 +6,50 @@
 	"time"
 )
 
-// Summary are the figures of a page.
+// Summary holds the figures of a page. The fields' names are used in pageTemplate.
 type Summary struct {
 	From, To time.Time
 	Classes  []PromptClass
 	Filters  []FilterCount
-	// Starts are the stages of the daemons' starts.
+	// Starts are the times of the start stages.
 	Starts []StageTimes
 	// Skipped counts lines that could not be read.
 	Skipped int
 }
 
-// PromptClass are the calls of one range of prompt lengths.
+// PromptClass summarizes the calls whose prompt length is in a range.
 type PromptClass struct {
 	Name string
-	// Least is the shortest prompt of the class, in tokens.
+	// MinTokens is the length of the shortest prompt in the class, in tokens.
 	MinTokens int64
-	// Calls is how many ended, InTime, Late, Refused and Failed what became of them.
+	// Calls is the number of ended calls, which are split into InTime, Late, Refused and Failed.
 	Calls, InTime, Late, Refused, Failed int
-	// First are the times to the first event against the goal, and Waited the waits of
-	// those placed.
+	// FirstEventToGoal is the ratio of the time to the first event to its goal. Waited is the
+	// wait of placed calls, in seconds.
 	FirstEventToGoal Quantiles
 	Waited           Quantiles
-	// Foreseen is the time seen from the placement to the first event, against the one
-	// foreseen, and ForeseenCalls of how many calls.
+	// Foreseen is the ratio of the actual to the predicted time from the placement to the first
+	// event, and ForeseenCalls the number of calls that have a prediction.
 	Foreseen      Quantiles
 	ForeseenCalls int
-	// Share is the share in time in each step of Step from Summary.From on; negative
-	// where no call ended.
+	// InTimeShare is the share of calls in time, by intervals of ShareInterval from Summary.From.
+	// It is negative for an interval in which no call ended.
 	InTimeShare []float64
 }
 
-// Quantiles are quantiles of a number of values.
+// Quantiles are the 10th, 50th and 90th percentile of some values.
 type Quantiles struct{ P10, P50, P90 float64 }
 
-// FilterCount is how often a filter was what a call waited for or was refused by.
+// FilterCount is the number of calls that waited or were refused while a filter rejected targets.
 type FilterCount struct {
 	Filter string
 	Calls  int
 }
 
-// ShareInterval is the resolution of shares over time.
+// ShareInterval is the time resolution of PromptClass.InTimeShare.
 const ShareInterval = 2 * time.Second
 
-// promptClasses are the ranges of prompt lengths, by their least length in tokens.
+// promptClasses are the ranges of prompt lengths, in ascending order.
 var promptClasses = []PromptClass{
 	{Name: "no prompt", MinTokens: 0},
 	{Name: "under 16,000 tokens", MinTokens: 1},
@@ -58,13 +58,13 @@
 	{Name: "200,000 and more", MinTokens: 200_000},
 }
 
-// samples are the values of a class before they are summed up.
+// samples are the values that a class is summarized from.
 type samples struct {
 	firstEventToGoal, waited, observedToPredicted []float64
-	inTime, ended                                 map[int]int // by step
+	inTime, ended                                 map[int]int // by index of the interval
 }
 
-// Summarize sums the calls up that have ended.
+// Summarize returns the figures of all calls that have ended.
 func (l *Log) Summarize() Summary {
 	s := Summary{Skipped: l.Skipped, Classes: slices.Clone(promptClasses), Starts: l.summarizeStarts()}
 	var ended []*Call
@@ -96,6 +96,7 @@
 	return s
 }
 
+// promptClassOf returns the index of a call's class.
 func promptClassOf(c *Call) int {
 	i := len(promptClasses) - 1
 	for c.PromptTokens < promptClasses[i].MinTokens {
@@ -104,6 +105,7 @@
 	return i
 }
 
+// countCall counts a call by its result.
 func (k *PromptClass) countCall(c *Call) {
 	k.Calls++
 	switch {
@@ -118,6 +120,7 @@
 	}
 }
 
+// add adds a call that ended in the interval with this index.
 func (v *samples) add(c *Call, step int) {
 	if v.ended == nil {
 		v.ended, v.inTime = map[int]int{}, map[int]int{}
@@ -135,6 +138,7 @@
 	}
 }
 
+// summarize sets the figures of the class from its samples. steps is the number of intervals.
 func (k *PromptClass) summarize(v *samples, steps int) {
 	k.FirstEventToGoal, k.Waited, k.Foreseen = quantilesOf(v.firstEventToGoal), quantilesOf(v.waited), quantilesOf(v.observedToPredicted)
 	k.ForeseenCalls = len(v.observedToPredicted)
@@ -147,7 +151,7 @@
 	}
 }
 
-// quantilesOf sorts the values.
+// quantilesOf sorts values and returns their quantiles.
 func quantilesOf(values []float64) Quantiles {
 	if len(values) == 0 {
 		return Quantiles{}
@@ -157,6 +161,7 @@
 	return Quantiles{at(0.1), at(0.5), at(0.9)}
 }
 
+// countFilters returns the filters with the most calls first.
 func countFilters(filters map[string]int) []FilterCount {
 	var list []FilterCount
 	for f, n := range filters {
