--- a/node/cmd/doorstackd/early_signal_test.go
+++ b/node/cmd/doorstackd/early_signal_test.go
@@ -11,6 +11,7 @@
 	"doorstack.dev/platform"
 )
 
+// bootFile is a valid settings file of the platform.
 const bootFile = `
 node = "d1"
 ip = "127.0.0.1"
@@ -26,15 +27,15 @@
 address = "127.0.0.1:4"
 `
 
-// TestSignalDuringStartIsNotFatal: a daemon that was told of changed settings while it still
-// read them ended without a word, since signals were taken only once it was put together; on a
-// busy host with restarts and changes in series it was gone until somebody started it again. The
-// settings are a pipe here, so that the daemon waits in the middle of its start.
+// TestSignalDuringStartIsNotFatal checks that a SIGHUP does not end a daemon that is still reading
+// its settings. If signals were registered only after the daemon was created, one about changed
+// settings would kill it without a log line, as on a busy host with repeated restarts and changes.
+// The settings file is a named pipe here, so that the daemon blocks in the middle of its start.
 func TestSignalDuringStartIsNotFatal(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, "doorstackd")
 	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("go build: %v: %s", err, out)
 	}
 	pipe := filepath.Join(dir, "boot.toml")
 	if err := syscall.Mkfifo(pipe, 0o600); err != nil {
@@ -47,7 +48,7 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	settings, err := os.OpenFile(pipe, os.O_WRONLY, 0) // Waits until the daemon reads.
+	settings, err := os.OpenFile(pipe, os.O_WRONLY, 0) // Blocks until the daemon opens the pipe.
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,12 +56,12 @@
 		t.Fatal(err)
 	}
 	if _, err := settings.WriteString(bootFile); err != nil {
-		t.Errorf("the daemon does not read on: %v", err)
+		t.Errorf("write settings after SIGHUP: %v, want the daemon to continue reading", err)
 	}
 	if err := settings.Close(); err != nil {
 		t.Error(err)
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Fatalf("the daemon ended: %v: %s", err, output.String())
+		t.Fatalf("doorstackd --platform --check exited with %v, want success: %s", err, output.String())
 	}
 }
--- a/node/cmd/doorstackd/main.go
+++ b/node/cmd/doorstackd/main.go
@@ -1,4 +1,5 @@
-// Command doorstackd is the daemon of doorstack. It runs on every entry host.
+// Command doorstackd is the doorstack daemon, which runs on every entry host. It receives requests
+// of callers and forwards them to targets.
 package main
 
 import (
@@ -45,14 +46,15 @@
 	}
 }
 
-// signalChannels are those that the process takes.
+// signalChannels receive the signals that the process handles.
 type signalChannels struct {
-	// reload tells that the settings file has changed, end that the process is to end.
+	// reload receives a signal when the settings file has changed, end when the process must end.
 	reload, end chan os.Signal
 }
 
-// registerSignals is called before anything else: a signal that comes while the daemon is put
-// together, 20 ms on an idle host, ended the process without a word.
+// registerSignals registers the handled signals. It must be called first: a signal that arrives
+// while the daemon is being created, which takes 20 ms on an idle host, would otherwise kill the
+// process without a log line.
 func registerSignals() *signalChannels {
 	s := &signalChannels{reload: make(chan os.Signal, 1), end: make(chan os.Signal, 2)}
 	signal.Notify(s.reload, syscall.SIGHUP)
@@ -60,6 +62,7 @@
 	return s
 }
 
+// run loads the configuration and serves, or only checks the configuration.
 func run(c *cli, s *signalChannels) error {
 	output := telemetry.NewOutput(os.Stdout)
 	defer output.Close()
@@ -67,7 +70,7 @@
 	if c.Platform {
 		return runOnPlatform(c, output, log, s)
 	}
-	signal.Reset(syscall.SIGHUP) // Its settings come from elsewhere.
+	signal.Reset(syscall.SIGHUP) // Settings come from the configuration service.
 	file, err := config.Load(c.Config)
 	if err != nil {
 		return err
@@ -84,12 +87,12 @@
 	return serve(d, log, s)
 }
 
-// gcPercent lets the heap grow by so much between two collections, on hosts where memory
-// is dear and a daemon works a fiftieth of the time: 11 to 14 MB at the peak of a played
-// day in place of 15 to 17, for a tenth more processor time.
+// gcPercent is the heap growth between two garbage collections, on hosts where memory is scarce
+// and a daemon is busy a fiftieth of the time. In a simulated day, peak memory was 11 to 14 MB
+// instead of 15 to 17 MB, for a tenth more processor time.
 const gcPercent = 30
 
-// runOnPlatform serves on the users' platform, which gives the process its settings.
+// runOnPlatform serves on the users' platform, whose settings file configures the daemon.
 func runOnPlatform(c *cli, output *telemetry.Output, log *slog.Logger, s *signalChannels) error {
 	boot, err := onplatform.Load()
 	if err != nil {
@@ -117,12 +120,11 @@
 	return d.Run(context.Background())
 }
 
-// drainOnSignal lets the daemon finish its work at the first signal and ends it
-// at the second.
+// drainOnSignal drains the daemon on the first signal and ends the process on the second.
 func drainOnSignal(end <-chan os.Signal, d *daemon.Daemon, log *slog.Logger) {
 	<-end
 	d.Drain()
 	<-end
-	log.Warn("second signal: ending at once", "cut", d.Board.InFlight())
+	log.Warn("second signal; exiting without waiting for the calls in flight", "cut", d.Board.InFlight())
 	os.Exit(1)
 }
--- a/node/cmd/doorstackd/signal_test.go
+++ b/node/cmd/doorstackd/signal_test.go
@@ -10,14 +10,14 @@
 	"testing"
 )
 
-// startDaemon builds and starts the daemon with a platform that does not answer, and
-// returns once it has said that it runs.
+// startDaemon builds and starts the daemon with a platform that does not answer, and returns once
+// the daemon has logged that it started.
 func startDaemon(t *testing.T) *exec.Cmd {
 	t.Helper()
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "doorstackd")
 	if out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("go build: %v: %s", err, out)
 	}
 	file := filepath.Join(dir, "daemon.yaml")
 	if err := os.WriteFile(file, []byte(daemonFile), 0o600); err != nil {
@@ -42,10 +42,11 @@
 			return cmd
 		}
 	}
-	t.Fatal("it did not start")
+	t.Fatal("doorstackd exited without logging that it started")
 	return nil
 }
 
+// daemonFile is the configuration of the daemon.
 const daemonFile = `
 name: d1
 listen: 127.0.0.1:0
@@ -58,12 +59,13 @@
 drain_delay: 0s
 `
 
+// TestDaemonExitsCleanlyOnSIGTERM checks that SIGTERM ends the daemon with status 0.
 func TestDaemonExitsCleanlyOnSIGTERM(t *testing.T) {
 	cmd := startDaemon(t)
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Fatalf("it left with %v", err)
+		t.Fatalf("doorstackd exited with %v after SIGTERM, want success", err)
 	}
 }
