--- a/node/cmd/doorstack/client.go
+++ b/node/cmd/doorstack/client.go
@@ -12,22 +12,22 @@
 	"github.com/go-faster/errors"
 )
 
-// adminFlags are shared by commands that ask a daemon.
+// adminFlags are the flags of all commands that query a daemon.
 type adminFlags struct {
 	Admin string `default:"${admin}" placeholder:"IP:PORT" help:"The admin address of any daemon (default ${admin})."`
 	JSON  bool   `help:"Print JSON."`
 }
 
-// requestTimeout bounds a question to a daemon.
+// requestTimeout is the timeout of a request to a daemon.
 const requestTimeout = 10 * time.Second
 
-// ask reads a document of the daemon. With accept404 a body that comes with
-// "not found" is an answer too.
+// getJSON requests a path of the daemon's admin address and decodes the JSON answer. With
+// accept404, the body of a 404 answer is decoded too.
 func (f *adminFlags) getJSON(path string, into any, accept404 bool) error {
 	client := &http.Client{Timeout: requestTimeout}
 	resp, err := client.Get("http://" + f.Admin + path)
 	if err != nil {
-		return errors.Wrap(err, "ask the daemon; give the admin address of a living one with --admin")
+		return errors.Wrap(err, "connect to the daemon; give the admin address of a living one with --admin")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
@@ -43,6 +43,7 @@
 	return nil
 }
 
+// printJSON writes v to standard output as indented JSON.
 func printJSON(v any) error {
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
@@ -54,8 +55,10 @@
 	w *tabwriter.Writer
 }
 
+// columnGap is the number of spaces between columns.
 const columnGap = 2
 
+// newTable returns a table with a header row.
 func newTable(out io.Writer, header ...any) *table {
 	t := &table{w: tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)}
 	t.addRow(header...)
--- a/node/cmd/doorstack/explain.go
+++ b/node/cmd/doorstack/explain.go
@@ -14,7 +14,7 @@
 	"github.com/go-faster/errors"
 )
 
-// explainCommand tells why a request went as it did.
+// explainCommand shows the recorded decisions about a request.
 type explainCommand struct {
 	adminFlags
 	Request string `arg:"" help:"The request id, as in X-Request-Id."`
@@ -36,21 +36,22 @@
 	}
 	printExplanation(os.Stdout, &e)
 	if len(e.Records) == 0 {
-		return errors.New("nothing is known of " + c.Request)
+		return errors.New("there is no record of request " + c.Request)
 	}
 	return replayError(&e)
 }
 
-// replayError fails when a decision does not come out the same again.
+// replayError returns an error if the replay of a decision gave another result.
 func replayError(e *admin.Explanation) error {
 	for i := range e.Replays {
 		if e.Replays[i].Possible && !e.Replays[i].Same {
-			return errors.New("a decision does not replay; this is a bug, please report it with --json")
+			return errors.New("the replay of a decision gave another result; this is a bug, please report it with the output of --json")
 		}
 	}
 	return nil
 }
 
+// printExplanation writes the records of a request and the results of their replays.
 func printExplanation(out io.Writer, e *admin.Explanation) {
 	if e.Note != "" {
 		_, _ = fmt.Fprintln(out, "note:", e.Note)
@@ -67,6 +68,7 @@
 	}
 }
 
+// recordSummary returns the outcome of a decision in one line.
 func recordSummary(r *decision.Record) string {
 	words := []string{r.Outcome}
 	if r.Target != "" {
@@ -84,7 +86,7 @@
 	return strings.Join(words, " ")
 }
 
-// printRouting shows the candidates with what filters and scorers said.
+// printRouting writes the candidates with their filter results and scores.
 func printRouting(out io.Writer, d *routing.Decision) {
 	_, _ = fmt.Fprintf(out, "    prompt %d tokens, %d targets considered, rejected: %s\n", d.Request.PromptTokens, d.Considered, formatRejections(&d.Rejections))
 	t := newTable(out, "    TARGET", "RESULT", "TOTAL", "PREFILL", "BACKLOG", "BATCH", "MEMORY", "LONG", "REMOTE", "SAVED", "USED", "REPORT AGE")
@@ -103,8 +105,10 @@
 	t.flush()
 }
 
+// formatMilliseconds formats a time given in seconds.
 func formatMilliseconds(seconds float64) string { return fmt.Sprintf("%.1fms", seconds*1000) }
 
+// formatRejections lists how many targets each filter rejected.
 func formatRejections(r *routing.Rejections) string {
 	var parts []string
 	for _, n := range r.Counts() {
--- a/node/cmd/doorstack/main.go
+++ b/node/cmd/doorstack/main.go
@@ -1,4 +1,5 @@
-// Command doorstack is the operators' tool.
+// Command doorstack is the tool for operators. It checks settings files, queries daemons for their
+// status and decisions, makes reports of log files, and runs stand-ins for trials.
 package main
 
 import (
@@ -8,7 +9,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// cli is the command line; each command has a file of its own.
+// cli is the command line.
 type cli struct {
 	Check    checkCommand     `cmd:"" help:"Check settings files whole, and print every problem with its place."`
 	Settings settingsCommand  `cmd:"" help:"Look at the settings tree."`
@@ -30,7 +31,7 @@
 	var c cli
 	ctx := kong.Parse(&c,
 		kong.Name("doorstack"),
-		kong.Description("Looks into doorstack and checks its settings."),
+		kong.Description("Inspects a doorstack fleet and checks its settings."),
 		kong.Vars{"version": version, "admin": "127.0.0.1:8081"},
 		kong.UsageOnError(),
 	)
--- a/node/cmd/doorstack/report.go
+++ b/node/cmd/doorstack/report.go
@@ -9,7 +9,7 @@
 	"github.com/go-faster/errors"
 )
 
-// reportCommand makes a page of the daemons' logs.
+// reportCommand writes a page about the requests in the daemons' logs.
 type reportCommand struct {
 	Logs []string `arg:"" help:"Files with the daemons' log lines; - is standard input."`
 	Out  string   `short:"o" default:"report.html" help:"The page to write."`
@@ -25,7 +25,7 @@
 	}
 	summary := log.Summarize()
 	if summary.From.IsZero() {
-		return errors.New("the logs tell of no request that ended; name the files with the daemons' lines")
+		return errors.New("the logs have no request that ended; give the files with the daemons' log lines")
 	}
 	out, err := os.Create(c.Out)
 	if err != nil {
@@ -38,6 +38,7 @@
 	return err
 }
 
+// readLog adds the lines of a file, or of standard input if name is "-".
 func readLog(log *report.Log, name string) error {
 	var in io.ReadCloser = os.Stdin
 	if name != "-" {
--- a/node/cmd/doorstack/settings.go
+++ b/node/cmd/doorstack/settings.go
@@ -29,7 +29,8 @@
 	return nil
 }
 
-// loadTree reads a file, or a directory laid out like the configuration service.
+// loadTree parses a settings file, or a directory with the parts as the configuration service has
+// them.
 func loadTree(path string) (*settings.Tree, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -49,8 +50,8 @@
 	return settings.ParseParts(parts)
 }
 
-// readParts reads the YAML files of a directory; a part's key is the file's path
-// in it without the ending.
+// readParts reads the YAML files of a directory. The key of a part is the file's path relative to
+// the directory, without the extension.
 func readParts(dir string) (map[string][]byte, error) {
 	parts := map[string][]byte{}
 	err := filepath.WalkDir(dir, func(path string, entry os.DirEntry, err error) error {
@@ -71,12 +72,12 @@
 	return parts, err
 }
 
-// settingsCommand groups the commands on the tree.
+// settingsCommand groups the commands about the settings tree.
 type settingsCommand struct {
 	Effective effectiveCommand `cmd:"" help:"Show each value in force at a path, and the node that sets it."`
 }
 
-// effectiveCommand shows the values in force at a path.
+// effectiveCommand shows the values in effect at a path of the tree.
 type effectiveCommand struct {
 	adminFlags
 	Path string `arg:"" help:"A path in the tree, such as /desks/north."`
@@ -119,7 +120,7 @@
 	}
 	key := strings.TrimSpace(line)
 	if key == "" {
-		return errors.New("there is no key on standard input; write it as one line")
+		return errors.New("there is no key on standard input; write it as a single line")
 	}
 	hash := settings.HashKey(key)
 	fmt.Printf("%x\n", hash[:])
--- a/node/cmd/doorstack/standin.go
+++ b/node/cmd/doorstack/standin.go
@@ -14,8 +14,8 @@
 	"github.com/go-faster/errors"
 )
 
-// standinCommand runs stand-ins for the platform and the targets as a process of
-// their own, to try real daemons against.
+// standinCommand runs stand-ins for the platform and the targets in one process, for trials of real
+// daemons.
 type standinCommand struct {
 	Settings string            `required:"" type:"path" placeholder:"FILE" help:"The settings document to publish."`
 	Listen   string            `default:"127.0.0.1:9000" help:"Where the platform's service listens; give loopback only."`
@@ -47,7 +47,7 @@
 	p.SetHosts(hosts)
 	server, err := standin.Listen(c.Listen, p.Handler(), nil)
 	if err != nil {
-		return errors.Wrap(err, "open --listen")
+		return errors.Wrap(err, "listen on the address of --listen")
 	}
 	defer server.Close()
 	fmt.Printf("platform at %s, %d hosts listed\n", server.Address, len(hosts))
@@ -57,11 +57,12 @@
 	return nil
 }
 
+// newHost returns an entry of the host list.
 func (c *standinCommand) newHost(id string, role hostlist.Role, address, pool string) hostlist.Host {
 	return hostlist.Host{ID: id, Role: role, Address: address, Pool: pool, DataCentre: c.Centre, Region: c.Region, State: hostlist.Live}
 }
 
-// startTargets starts the targets of every pool.
+// startTargets starts the targets of all pools and returns their host list entries.
 func (c *standinCommand) startTargets(tree *settings.Tree) ([]hostlist.Host, error) {
 	var hosts []hostlist.Host
 	for _, pool := range tree.Pools() {
@@ -77,6 +78,7 @@
 	return hosts, nil
 }
 
+// startTarget starts a target with the protocol of the pool.
 func startTarget(name string, pool *settings.ResolvedPool) (*standin.Server, error) {
 	if pool.Kind.Protocol == settings.ProtocolService {
 		return standin.Listen("", standin.NewService(name).Handler(), nil)
--- a/node/cmd/doorstack/status.go
+++ b/node/cmd/doorstack/status.go
@@ -11,7 +11,7 @@
 	"doorstack.dev/node/admin"
 )
 
-// statusCommand shows a daemon and its fleet.
+// statusCommand shows the status of a daemon and its fleet.
 type statusCommand struct {
 	adminFlags
 	Watch   bool          `help:"Show it again and again until interrupted."`
@@ -19,7 +19,7 @@
 	Traffic bool          `help:"Show what the daemon exchanges with its peers, by kind of message."`
 }
 
-// clearScreen moves the cursor home and clears a terminal.
+// clearScreen is the terminal sequence that moves the cursor home and clears the screen.
 const clearScreen = "\x1b[H\x1b[2J"
 
 // Run implements the command.
@@ -49,6 +49,7 @@
 	}
 }
 
+// printStatus writes a summary of the daemon, its members and its targets.
 func printStatus(out io.Writer, s *admin.Status) {
 	_, _ = fmt.Fprintf(out, "%s  %s/%s  %s  revision %d (%s), in force since %s\n", s.Name, s.Region, s.DataCentre, s.Phase, s.Revision, s.Digest, s.Adopted.Format(time.TimeOnly))
 	if s.Rejected.Revision != 0 {
@@ -70,6 +71,7 @@
 	printTargets(out, s.Targets)
 }
 
+// printMembers writes the members of the fleet.
 func printMembers(out io.Writer, s *admin.Status) {
 	t := newTable(out, "MEMBER", "WHERE", "STATE", "REVISION", "HEARD")
 	for _, m := range s.Fleet.Members {
@@ -86,11 +88,12 @@
 	t.flush()
 }
 
-// printTraffic shows the messages between the daemon and its peers, a second since it started.
+// printTraffic writes the messages between the daemon and its peers, as averages per second since
+// the daemon started.
 func printTraffic(out io.Writer, s *admin.Status, now time.Time) {
 	_, _ = fmt.Fprintln(out)
 	if s.Incomplete != "" {
-		_, _ = fmt.Fprintln(out, "not known: "+s.Incomplete)
+		_, _ = fmt.Fprintln(out, "incomplete: "+s.Incomplete)
 	}
 	seconds := max(1, now.Sub(s.Started).Seconds())
 	rate := func(n int64) string { return fmt.Sprintf("%.1f", float64(n)/seconds) }
@@ -101,8 +104,10 @@
 	t.flush()
 }
 
+// stateNames are the printed names of target states.
 var stateNames = map[routing.State]string{routing.Live: "live", routing.Draining: "leaving", routing.Unavailable: "gone"}
 
+// printTargets writes the state and load of the targets.
 func printTargets(out io.Writer, targets []admin.TargetStatus) {
 	t := newTable(out, "POOL", "TARGET", "WHERE", "STATE", "CALLS", "OWN", "MEMORY", "BACKLOG", "LONG", "REPORT AGE", "FAILURES")
 	for i := range targets {
@@ -129,7 +134,7 @@
 	t.flush()
 }
 
-// targetsCommand shows the targets.
+// targetsCommand shows the targets that a daemon knows.
 type targetsCommand struct {
 	adminFlags
 }
@@ -147,7 +152,7 @@
 	return nil
 }
 
-// accountsCommand shows the use by client accounts.
+// accountsCommand shows the use by client accounts at a daemon.
 type accountsCommand struct {
 	adminFlags
 }
--- a/node/cmd/doorstack/status_test.go
+++ b/node/cmd/doorstack/status_test.go
@@ -9,6 +9,7 @@
 	"doorstack.dev/node/telemetry"
 )
 
+// TestPrintTrafficShowsRatesPerSecond checks that counters are divided by the time since the start.
 func TestPrintTrafficShowsRatesPerSecond(t *testing.T) {
 	started := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	s := &admin.Status{Started: started, Traffic: []telemetry.Traffic{{Kind: "heartbeat", FramesIn: 20, BytesIn: 4000, FramesOut: 10, BytesOut: 2500}}}
@@ -16,18 +17,19 @@
 	printTraffic(&out, s, started.Add(10*time.Second))
 	fields := strings.Fields(strings.Split(strings.TrimSpace(out.String()), "\n")[1])
 	if got := strings.Join(fields, " "); got != "heartbeat 2.0 400.0 1.0 250.0" {
-		t.Errorf("got %q in\n%s", got, out.String())
+		t.Errorf("printTraffic: first row = %q, want %q; output:\n%s", got, "heartbeat 2.0 400.0 1.0 250.0", out.String())
 	}
 }
 
-// TestPrintStatusShowsStoreQuarantineAndBackoff: the store's position, quarantined calls, a target's rest and limit.
+// TestPrintStatusShowsStoreQuarantineAndBackoff checks that the status has the store's position, the
+// number of quarantined calls, and a target's backoff and rate limit.
 func TestPrintStatusShowsStoreQuarantineAndBackoff(t *testing.T) {
 	s := &admin.Status{StorePosition: "2.17", Quarantined: 3, Targets: []admin.TargetStatus{{Pool: "llm", Backoff: 1200 * time.Millisecond, Limit: "1.4/s"}}}
 	var out strings.Builder
 	printStatus(&out, s)
 	for _, want := range []string{"store known to 2.17, calls quarantined 3", "live, rests 1.2s, limit 1.4/s"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("no %q in\n%s", want, out.String())
+			t.Errorf("printStatus: output lacks %q:\n%s", want, out.String())
 		}
 	}
 }
--- a/node/cmd/doorstack/try.go
+++ b/node/cmd/doorstack/try.go
@@ -7,7 +7,7 @@
 	"doorstack.dev/node/internal/tryout"
 )
 
-// tryCommand runs the whole system on loopback.
+// tryCommand runs a fleet with stand-ins for the platform and the targets on loopback.
 type tryCommand struct {
 	Logs bool `help:"Print the daemons' log lines to standard error."`
 }
