--- a/core/admission/estimate.go
+++ b/core/admission/estimate.go
@@ -25,8 +25,8 @@
 	return Estimate{
 		TokensAhead:   tokensAhead,
 		Rate:          rate,
-		Wait:          readTime(tokensAhead, rate),
-		Prefill:       readTime(prompt, targetRate),
+		Wait:          prefillTime(tokensAhead, rate),
+		Prefill:       prefillTime(prompt, targetRate),
 		UntilDeadline: left,
 	}
 }
@@ -40,8 +40,8 @@
 	return max(0, e.Wait+e.Prefill-e.UntilDeadline)
 }
 
-// readTime returns the time in which a prefill rate, in tokens per second, processes tokens.
-func readTime(tokens int64, rate float64) time.Duration {
+// prefillTime returns the time in which a prefill rate, in tokens per second, processes tokens.
+func prefillTime(tokens int64, rate float64) time.Duration {
 	if rate <= 0 || tokens <= 0 {
 		return 0
 	}
--- a/core/admission/lag_test.go
+++ b/core/admission/lag_test.go
@@ -83,7 +83,7 @@
 // simProcessor simulates a daemon whose tasks wait in one queue for a share of a CPU core.
 type simProcessor struct {
 	now   time.Duration
-	turns []simTask
+	tasks []simTask
 }
 
 // simTask is a task of the simulated daemon.
@@ -93,14 +93,14 @@
 }
 
 func (p *simProcessor) add(cost time.Duration, done func(time.Duration)) {
-	p.turns = append(p.turns, simTask{cost, done})
+	p.tasks = append(p.tasks, simTask{cost, done})
 }
 
 // runUntil runs the queued tasks in order until the given time.
 func (p *simProcessor) runUntil(end time.Duration) {
-	for len(p.turns) > 0 && p.now < end {
-		next := p.turns[0]
-		p.turns = p.turns[1:]
+	for len(p.tasks) > 0 && p.now < end {
+		next := p.tasks[0]
+		p.tasks = p.tasks[1:]
 		p.now += next.cost
 		next.done(p.now)
 	}
--- a/core/routing/disturb.go
+++ b/core/routing/disturb.go
@@ -25,7 +25,7 @@
 	heavyLimit := d.Pool.heavyPartLimit(r, targets)
 	fewest := int64(maxDisturbedShare * float64(r.PromptTokens))
 	var best []int
-	s.collectDisturbances(p, targets)
+	s.collectDisturbedTargets(p, targets)
 	for parts := partLimit(s.prefillers, d.PrefillTime); parts >= 1; parts-- {
 		part := d.PrefillTime / float64(parts)
 		if part > heavyPart && parts > heavyLimit {
@@ -47,32 +47,32 @@
 	return true
 }
 
-// maxDisturbances bounds the targets compared in a large pool.
-const maxDisturbances = 4 * MaxParts
+// maxDisturbedTargets bounds the targets compared in a large pool.
+const maxDisturbedTargets = 4 * MaxParts
 
 // collectDisturbances lists the targets with little pending prefill, with the gap that
 // their decoding requests have before a part is added.
-func (s *Scratch) collectDisturbances(p *Params, targets []Target) {
-	s.disturbances = s.disturbances[:0]
+func (s *Scratch) collectDisturbedTargets(p *Params, targets []Target) {
+	s.disturbedTargets = s.disturbedTargets[:0]
 	for _, i := range s.prefillers {
 		t := &targets[i]
-		if t.PendingPrefill > maxPrefillBefore || len(s.disturbances) == maxDisturbances {
+		if t.PendingPrefill > maxPrefillBefore || len(s.disturbedTargets) == maxDisturbedTargets {
 			break
 		}
-		s.disturbances = append(s.disturbances, disturbance{index: i, gap: p.Timing.PassTime(t.Load.Requests, t.Load.MemoryTokens) + t.PendingPrefill})
+		s.disturbedTargets = append(s.disturbedTargets, disturbedTarget{index: i, gap: p.Timing.PassTime(t.Load.Requests, t.Load.MemoryTokens) + t.PendingPrefill})
 	}
 }
 
 // leastDisturbed lists the targets where a part disturbs the fewest tokens, and returns
 // the number of tokens disturbed.
 func (s *Scratch) leastDisturbed(targets []Target, part float64, parts int) (chosen []int, disturbed int64) {
-	for i := range s.disturbances {
-		h := &s.disturbances[i]
+	for i := range s.disturbedTargets {
+		h := &s.disturbedTargets[i]
 		h.tokens = disturbedTokens(&targets[h.index], h.gap+part) + delayedTokens(&targets[h.index], part)
 	}
-	slices.SortStableFunc(s.disturbances, func(a, b disturbance) int { return cmp.Compare(a.tokens, b.tokens) })
+	slices.SortStableFunc(s.disturbedTargets, func(a, b disturbedTarget) int { return cmp.Compare(a.tokens, b.tokens) })
 	chosen = s.chosen[:0]
-	for _, h := range s.disturbances[:min(parts, len(s.disturbances))] {
+	for _, h := range s.disturbedTargets[:min(parts, len(s.disturbedTargets))] {
 		chosen = append(chosen, h.index)
 		disturbed += h.tokens
 	}
@@ -80,9 +80,9 @@
 	return chosen, disturbed
 }
 
-// disturbance is a target that may prefill a part, with the gap of its decoding requests in
+// disturbedTarget is a target that may prefill a part, with the gap of its decoding requests in
 // seconds, and the tokens of the requests there that the part disturbs.
-type disturbance struct {
+type disturbedTarget struct {
 	index  int
 	gap    float64
 	tokens int64
--- a/core/routing/limit.go
+++ b/core/routing/limit.go
@@ -65,7 +65,7 @@
 		return Decision{}, false
 	}
 	remaining := r.UntilDeadline
-	if r.Goal > 0 && !r.Retry && !r.WaitAccepted {
+	if r.Goal > 0 && !r.Retry && !r.AllowedToWait {
 		remaining = min(remaining, r.Goal-r.Waited)
 	}
 	if wait <= max(0, remaining) {
--- a/core/routing/pick.go
+++ b/core/routing/pick.go
@@ -40,7 +40,7 @@
 	// packingCost is the cost of decoding the answer on an engine without gap-sensitive requests, in seconds.
 	packingCost float64
 	// disturbances are the targets that may prefill a part, with the requests that this disturbs.
-	disturbances []disturbance
+	disturbedTargets []disturbedTarget
 }
 
 // Decide makes a routing decision over the targets of one pool. The result
--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -153,7 +153,7 @@
 	// Waited is how long the request has waited, in seconds.
 	Waited float64 `json:"waited_s,omitempty"`
 	// WaitAccepted reports whether an earlier decision let the request wait under rate limits.
-	WaitAccepted bool `json:"let_wait,omitempty"`
+	AllowedToWait bool `json:"let_wait,omitempty"`
 	// UntilDeadline is the time until the request's deadline, in seconds.
 	UntilDeadline float64 `json:"left_s,omitempty"`
 	// PrefillAhead is the prefill time of the long prompts queued before the request, in seconds.
@@ -300,9 +300,9 @@
 type PoolState struct {
 	// Live is the number of live targets, GapSensitive that of those with gap-sensitive
 	// requests, and HeavyPrefill that of those with more than heavyPart of pending prefill.
-	Live         int `json:"live"`
-	GapSensitive int `json:"close"`
-	HeavyPrefill int `json:"deep"`
+	Live                int `json:"live"`
+	GapSensitiveTargets int `json:"close"`
+	HeavyPrefillTargets int `json:"deep"`
 	// Requests is the number of requests at the live targets.
 	Requests int `json:"writers"`
 	// PendingPrefill is the sum of their pending prefill, in seconds.
--- a/core/routing/split.go
+++ b/core/routing/split.go
@@ -118,7 +118,7 @@
 // heavyPartLimit returns how many engines may take a heavy part of a prompt: what is
 // left of heavyShare, or as many as the request's memory needs.
 func (s *PoolState) heavyPartLimit(r *Request, targets []Target) int {
-	return max(int(heavyShare*float64(s.Live))-s.HeavyPrefill, enginesForMemory(r, targets))
+	return max(int(heavyShare*float64(s.Live))-s.HeavyPrefillTargets, enginesForMemory(r, targets))
 }
 
 // enginesForMemory returns how many engines the memory of a request needs if all of them
--- a/core/routing/timed.go
+++ b/core/routing/timed.go
@@ -76,10 +76,10 @@
 		sum.Requests += t.Load.Requests
 		sum.PendingPrefill += t.PendingPrefill
 		if t.GapSensitive > 0 {
-			sum.GapSensitive++
+			sum.GapSensitiveTargets++
 		}
 		if t.PendingPrefill > heavyPart {
-			sum.HeavyPrefill++
+			sum.HeavyPrefillTargets++
 		}
 	}
 	return sum
@@ -155,7 +155,7 @@
 		scores.Jitter = jitter(r, t)
 		return scores // An uncoordinated daemon does not know where the others pack requests.
 	}
-	scores.Packing = s.packingCost * unsharedSlots(t)
+	scores.Packing = s.packingCost * remainingSlotShare(t)
 	return scores
 }
 
@@ -172,8 +172,8 @@
 	return packingLossShare * events * pass * min(1, pass/(usableGapShare*r.GapGoal))
 }
 
-// unsharedSlots returns the share of an engine's slots that no gap-sensitive request takes.
-func unsharedSlots(t *Target) float64 {
+// remainingSlotShare returns the share of an engine's slots that no gap-sensitive request takes.
+func remainingSlotShare(t *Target) float64 {
 	switch {
 	case t.GapSensitive == 0:
 		return 1
--- a/node/blackboard/queues.go
+++ b/node/blackboard/queues.go
@@ -225,7 +225,7 @@
 		d, refused := routing.RefuseRateLimited(r, ahead, limited)
 		if !refused {
 			ahead++
-			r.WaitAccepted = true
+			r.AllowedToWait = true
 			continue
 		}
 		p.queue.Remove(it)
