--- a/core/routing/answering.go
+++ b/core/routing/answering.go
@@ -63,8 +63,8 @@
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(targets[b].freeMemory(), targets[a].freeMemory()) })
 	// A reservation is no call, so a rate-limited target may hold one.
 	if first := slices.IndexFunc(order, func(i int) bool { return !targets[i].rateLimited(r) }); first > 0 {
-		leader := order[first]
-		order = slices.Insert(slices.Delete(order, first, first+1), 0, leader)
+		answering := order[first]
+		order = slices.Insert(slices.Delete(order, first, first+1), 0, answering)
 	}
 	if len(order) == 0 || targets[order[0]].full() || targets[order[0]].rateLimited(r) || r.MemoryTokens() <= targets[order[0]].MemoryTokens {
 		return -1
--- a/core/routing/disturb.go
+++ b/core/routing/disturb.go
@@ -5,19 +5,20 @@
 	"slices"
 )
 
-// Where no gap goals allow the parts of a long prompt, they go beside requests with fewer tokens.
+// Where gap goals leave no room for the parts of a long prompt, the parts may still go beside
+// requests that have far fewer tokens than the prompt.
 const (
-	// After missGapsAfter of its goal a prompt may miss the gap goals of requests beside
-	// it, if its first event is predicted within inTimeShare of its goal and they have at
-	// most maxDisturbedShare of its tokens.
+	// After missGapsAfter of its goal a prompt may make requests beside it miss their gap
+	// goals, if its first event is predicted within inTimeShare of its goal and those
+	// requests have at most maxDisturbedShare of its tokens.
 	missGapsAfter     = 0.03
 	inTimeShare       = 0.9
 	maxDisturbedShare = 0.35
 )
 
-// splitMissingGapGoals splits a prompt into parts that miss gap goals of requests beside
-// them, where the prompt is about three times as long as all of those together. Of the
-// splits that are in time it takes the one that disturbs the fewest tokens.
+// splitMissingGapGoals splits a prompt into parts that make requests beside them miss their
+// gap goals, where the prompt is about three times as long as all of those requests together.
+// Of the splits that are in time it takes the one that disturbs the fewest tokens.
 func (s *Scratch) splitMissingGapGoals(r *Request, p *Params, targets []Target, d *Decision) bool {
 	if r.Goal <= 0 || r.Waited < missGapsAfter*r.Goal {
 		return false
--- a/core/routing/limit.go
+++ b/core/routing/limit.go
@@ -36,7 +36,7 @@
 }
 
 // timeToTurn returns the time, in seconds, until a request with so many others queued before it can be
-// placed, and false where a target that could take it has no rate limit or no target could.
+// placed. It returns false if no target could take the request, or one without a rate limit could.
 func timeToTurn(r *Request, queuedBefore int, targets []Target) (float64, bool) {
 	rate, earliest := 0.0, math.Inf(1)
 	for i := range targets {
@@ -57,7 +57,7 @@
 }
 
 // RefuseRateLimited reports whether a waiting request is refused because the targets' rate limits are
-// predicted to admit it after its goal, and returns that decision. A request that was accepted to wait
+// predicted to admit it after its goal, and returns that decision. A request that was allowed to wait
 // or placed before is refused only where it would miss its deadline, and a started answer never.
 func RefuseRateLimited(r *Request, queuedBefore int, targets []Target) (Decision, bool) {
 	wait, limited := timeToTurn(r, queuedBefore, targets)
--- a/core/routing/limit_test.go
+++ b/core/routing/limit_test.go
@@ -77,13 +77,13 @@
 		"after its goal":                           {Request{Goal: 0.3, UntilDeadline: 3}, 2, nil, true, 0.6},
 		"no goal":                                  {Request{UntilDeadline: 3}, 8, nil, false, 0},
 		"after its deadline":                       {Request{UntilDeadline: 3}, 12, nil, true, 3.1},
-		"accepted to wait":                         {Request{Goal: 0.3, Waited: 0.2, UntilDeadline: 3, AllowedToWait: true}, 2, nil, false, 0},
-		"accepted to wait, after its deadline":     {Request{Goal: 0.3, UntilDeadline: 0.5, AllowedToWait: true}, 2, nil, true, 0.6},
+		"allowed to wait":                          {Request{Goal: 0.3, Waited: 0.2, UntilDeadline: 3, AllowedToWait: true}, 2, nil, false, 0},
+		"allowed to wait, after its deadline":      {Request{Goal: 0.3, UntilDeadline: 0.5, AllowedToWait: true}, 2, nil, true, 0.6},
 		"placed before":                            {Request{Goal: 0.3, UntilDeadline: 3, Retry: true}, 2, nil, false, 0},
 		"answer started":                           {Request{Goal: 0.3, UntilDeadline: 0.1, AnswerStarted: true}, 9, nil, false, 0},
-		"a target without rate limit":              {Request{Goal: 0.3, UntilDeadline: 3}, 9, func(l []Target) { l[1].RateLimit = nil }, false, 0},
-		"that target excluded":                     {Request{Goal: 0.3, UntilDeadline: 3, Exclude: []string{"b"}}, 0, func(l []Target) { l[1].RateLimit = nil }, false, 0},
-		"that target unavailable":                  {Request{Goal: 0.3, UntilDeadline: 3}, 1, func(l []Target) { l[1].RateLimit, l[1].State = nil, Unavailable }, true, 1.1},
+		"b without rate limit":                     {Request{Goal: 0.3, UntilDeadline: 3}, 9, func(l []Target) { l[1].RateLimit = nil }, false, 0},
+		"b without rate limit, excluded":           {Request{Goal: 0.3, UntilDeadline: 3, Exclude: []string{"b"}}, 0, func(l []Target) { l[1].RateLimit = nil }, false, 0},
+		"b without rate limit, unavailable":        {Request{Goal: 0.3, UntilDeadline: 3}, 1, func(l []Target) { l[1].RateLimit, l[1].State = nil, Unavailable }, true, 1.1},
 		"uncoordinated daemon":                     {Request{Goal: 0.3, UntilDeadline: 3, Uncoordinated: true, DaemonCount: 2}, 0, func(l []Target) { l[0].RateLimit.SinceLastCall, l[1].RateLimit.SinceLastCall = 9, 9 }, false, 0},
 		"uncoordinated daemon after a recent call": {Request{Goal: 0.3, UntilDeadline: 3, Uncoordinated: true, DaemonCount: 2}, 0, nil, true, 1},
 	} {
@@ -98,7 +98,7 @@
 		}
 		d, refused := RefuseRateLimited(&c.request, c.queuedBefore, list)
 		if refused != c.refused || refused && (d.Verdict != Refuse || math.Abs(d.RetryAfter-c.retryAfter) > 1e-9) {
-			t.Errorf("%s: RefuseRateLimited = %v, retry after %v s", name, refused, d.RetryAfter)
+			t.Errorf("%s: RefuseRateLimited = %v, retry after %v s; want %v, %v s", name, refused, d.RetryAfter, c.refused, c.retryAfter)
 		}
 	}
 }
--- a/core/routing/packing_test.go
+++ b/core/routing/packing_test.go
@@ -22,14 +22,14 @@
 // TestInterferenceCountsEachDecodingRequest: a prompt whose prefill makes eleven chats miss small gap goals
 // goes to an idle engine, or beside one such chat rather than beside eleven.
 func TestInterferenceCountsEachDecodingRequest(t *testing.T) {
-	const closeGap = 0.11
+	const smallGapGoal = 0.11
 	long := chatRequest()
-	long.PromptTokens, long.GapGoal = 10_000, closeGap
+	long.PromptTokens, long.GapGoal = 10_000, smallGapGoal
 	list := engines(3)
 	list[0].addChats(11, 66_000)
-	list[0].GapGoal = closeGap
+	list[0].GapGoal = smallGapGoal
 	list[1].addChats(1, 6_000)
-	list[1].GapGoal = closeGap
+	list[1].GapGoal = smallGapGoal
 	if d := decide(long, list[:2]); d.Chosen != "e01" {
 		t.Errorf("chose %s, want the engine with one chat", d.Chosen)
 	}
@@ -37,7 +37,7 @@
 		t.Errorf("chose %s, want the idle engine", d.Chosen)
 	}
 	short := chatRequest()
-	short.PromptTokens, short.GapGoal = 1_000, closeGap
+	short.PromptTokens, short.GapGoal = 1_000, smallGapGoal
 	if d := decide(short, list); d.Chosen != "e00" {
 		t.Errorf("chose %s for a prompt that misses no gap goal, want the packed engine", d.Chosen)
 	}
--- a/core/routing/pick.go
+++ b/core/routing/pick.go
@@ -35,11 +35,12 @@
 type Scratch struct {
 	best     []ranked
 	rejected []rejected
-	// prefillers are indices of targets that may prefill a part, chosen of those that will.
+	// prefillers holds the indices of the targets that may prefill a part; chosen holds the
+	// indices of those that will.
 	prefillers, chosen []int
 	// packingCost is the cost of decoding the answer on an engine without gap-sensitive requests, in seconds.
 	packingCost float64
-	// disturbances are the targets that may prefill a part, with the requests that this disturbs.
+	// disturbedTargets are the targets that may prefill a part, with the tokens that this disturbs.
 	disturbedTargets []disturbedTarget
 }
 
--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -91,19 +91,21 @@
 	// placed on it; for engines of known timing.
 	PendingPrefill float64 `json:"reading_s,omitempty"`
 	// RecentPrefill is the prefill time, in seconds, of what was placed on the engine within its
-	// last pass. A decoding engine does all of it in its next pass, even if PendingPrefill is less.
+	// last pass (package engine defines a pass). A decoding engine does all of it in its next
+	// pass, even if PendingPrefill is less.
 	RecentPrefill float64 `json:"fresh_s,omitempty"`
 	// GapGoal is the smallest gap goal among the requests at the target, in seconds; zero
 	// where none has one. A gap is the time between two events of a stream. GapSensitive
-	// is the number of requests whose gap goal a pass full of prefill would miss by far.
+	// is the number of requests whose gap goal is far shorter than a pass full of prefill.
 	GapGoal      float64 `json:"gap_goal_s,omitempty"`
 	GapSensitive int     `json:"tight,omitempty"`
 	// DecodeGroups are the requests at the target grouped by gap goal, the smallest first,
 	// without those whose gap goal has been missed already.
 	DecodeGroups []DecodeGroup `json:"writers,omitempty"`
-	// PendingPromptTokens is the length of the prompts whose part at the target is not
-	// prefilled yet, and PrefillSlack the time, in seconds, by which all of them can be
-	// delayed and still be answered in time. A part placed later is prefilled before them.
+	// PendingPromptTokens is the total length of the prompts of which the target has yet to
+	// prefill its part, and PrefillSlack the time, in seconds, by which all of them can be
+	// delayed and still be answered in time. An engine prefills the newest part first, so a
+	// part that is added delays them.
 	PendingPromptTokens int64   `json:"unread_tokens,omitempty"`
 	PrefillSlack        float64 `json:"hold_up_s,omitempty"`
 	// RecentFailures counts the target's recently failed calls; older ones count less.
@@ -146,13 +148,13 @@
 	Cached []CachedPrefix `json:"cached,omitempty"`
 	// Exclude lists the IDs of targets that must not be chosen, such as those of earlier attempts.
 	Exclude []string `json:"exclude,omitempty"`
-	// Goal is the time to the first event that the caller wants, and GapGoal the longest
-	// time between two events, in seconds; zero where there is no goal.
+	// Goal is the caller's goal for the time to the first event, and GapGoal that for the
+	// longest time between two events, in seconds; zero where there is no goal.
 	Goal    float64 `json:"goal_s,omitempty"`
 	GapGoal float64 `json:"gap_goal_s,omitempty"`
 	// Waited is how long the request has waited, in seconds.
 	Waited float64 `json:"waited_s,omitempty"`
-	// WaitAccepted reports whether an earlier decision let the request wait under rate limits.
+	// AllowedToWait reports whether RefuseRateLimited has let the request wait before.
 	AllowedToWait bool `json:"let_wait,omitempty"`
 	// UntilDeadline is the time until the request's deadline, in seconds.
 	UntilDeadline float64 `json:"left_s,omitempty"`
@@ -161,9 +163,9 @@
 	// OmitCandidates leaves the candidates out of a decision to wait, because a decision
 	// shortly before has recorded them.
 	OmitCandidates bool `json:"-"`
-	// Retry reports whether the request has been placed before: it is not refused for being late, and
-	// does not wait for a better placement. AnswerStarted reports whether the caller has a part of the
-	// answer: the request is never refused.
+	// Retry reports whether the request has been placed before. A retry is not refused for being late,
+	// and does not wait for a better placement. AnswerStarted reports whether the caller has a part of
+	// the answer. Such a request is never refused.
 	Retry         bool `json:"retry,omitempty"`
 	AnswerStarted bool `json:"begun,omitempty"`
 	// Seed is the seed of random choices; it differs between daemons.
@@ -226,15 +228,18 @@
 
 // Scores are the terms of a target's estimated time to first token, in seconds.
 type Scores struct {
-	Backlog      float64 `json:"backlog_s"`
-	Prefill      float64 `json:"prefill_s"`
-	Batch        float64 `json:"batch_s"`
-	Memory       float64 `json:"memory_s"`
+	Backlog float64 `json:"backlog_s"`
+	Prefill float64 `json:"prefill_s"`
+	// Batch is the time that the target's running requests add.
+	Batch  float64 `json:"batch_s"`
+	Memory float64 `json:"memory_s"`
+	// Interference is the cost of prefill that delays other requests at the target.
 	Interference float64 `json:"long_mix_s"`
 	Locality     float64 `json:"locality_s"`
 	PrefixSaved  float64 `json:"prefix_saved_s"`
-	Packing      float64 `json:"packing_s,omitempty"`
-	Failures     float64 `json:"trouble_s,omitempty"`
+	// Packing is the cost of not packing the request onto an engine with many gap-sensitive ones.
+	Packing  float64 `json:"packing_s,omitempty"`
+	Failures float64 `json:"trouble_s,omitempty"`
 	// Lateness is the penalty for a first event that is likely to miss the caller's goal.
 	Lateness float64 `json:"lateness_s,omitempty"`
 	// Jitter keeps uncoordinated daemons from all choosing the same target.
@@ -270,8 +275,8 @@
 	// Reservations are the parts of the request's KV cache that helpers reserve, where no
 	// target has room for the whole.
 	Reservations []MemoryReservation `json:"tickets,omitempty"`
-	// Forced reports whether parts of the prompt are placed beside requests whose gap goals
-	// they miss, because those requests are much shorter than the prompt.
+	// Forced reports whether parts of the prompt are placed where they make other requests miss
+	// their gap goals, because those requests are much shorter than the prompt.
 	Forced bool `json:"forced,omitempty"`
 	// PrefillTime is the time to prefill the whole prompt, and PartPrefillTime that of
 	// each part, in seconds; for engines of known timing.
@@ -298,8 +303,8 @@
 
 // PoolState sums up the live targets of a pool of engines.
 type PoolState struct {
-	// Live is the number of live targets, GapSensitive that of those with gap-sensitive
-	// requests, and HeavyPrefill that of those with more than heavyPart of pending prefill.
+	// Live is the number of live targets. GapSensitiveTargets counts those with gap-sensitive
+	// requests, and HeavyPrefillTargets those with more than heavyPart of pending prefill.
 	Live                int `json:"live"`
 	GapSensitiveTargets int `json:"close"`
 	HeavyPrefillTargets int `json:"deep"`
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -27,7 +27,7 @@
 		verdict Verdict
 	}{
 		{"free", 1000, func(*Target) {}, "", Place},
-		{"leaving", 1000, func(x *Target) { x.State = Draining }, FilterState, None},
+		{"draining", 1000, func(x *Target) { x.State = Draining }, FilterState, None},
 		{"breaker", 1000, func(x *Target) { x.BreakerOpen = true }, FilterBreaker, None},
 		{"excluded", 1000, func(x *Target) { x.ID = "used" }, FilterExcluded, None},
 		{"model not loaded", 1000, func(x *Target) { x.Unloaded = true }, FilterUnloaded, None},
--- a/core/routing/score.go
+++ b/core/routing/score.go
@@ -1,9 +1,9 @@
 package routing
 
 // The costs below are added to the estimated time to first token, in seconds. They follow
-// from continuous batching, not from one engine: every running request adds a little
-// to each step, nearly full memory makes an engine evict or queue, and a long prefill
-// beside a short one takes part of the token budget of a step.
+// from how continuous batching works and are not specific to one engine: every running
+// request adds a little to each step, nearly full memory makes an engine evict or queue, and
+// a long prefill beside a short one takes part of the token budget of a step.
 const (
 	// secondsPerRunning is added for each running request at the target.
 	secondsPerRunning = 0.0005
@@ -19,8 +19,8 @@
 	secondsPerLong = 0.1
 )
 
-// score estimates the time to first token of the request at the target. It writes
-// to s because copying a result for each of 2,300 targets takes half the time.
+// score estimates the time to first token of the request at the target. It writes to s
+// because a decision about 2,300 targets would spend half of its time on copying results.
 func (s *Scores) score(r *Request, p *Params, long bool, t *Target) {
 	*s = Scores{Failures: failurePenalty(t), Jitter: jitter(r, t)}
 	s.Batch = secondsPerRunning * float64(t.Load.Requests)
@@ -46,8 +46,9 @@
 func failurePenalty(t *Target) float64 { return secondsPerFailure * min(t.RecentFailures, maxFailures) }
 
 // backlogAhead returns the part of a target's prefill backlog that is ahead of the request,
-// in tokens. Engines honour priorities, so a short request passes long prefills; the
-// rest ahead of it is bounded by what the daemons admit.
+// in tokens. Engines honour priorities, so a short request passes long prefills, each
+// counted as LongPromptTokens. Of the rest at most LongPromptTokens count, since it is
+// bounded by what the daemons admit.
 func backlogAhead(p *Params, long bool, t *Target) float64 {
 	if long || t.Load.LongPrefills == 0 {
 		return float64(t.Load.BacklogTokens)
--- a/core/routing/split.go
+++ b/core/routing/split.go
@@ -37,9 +37,9 @@
 	unpredictedTime = 3600
 	// prefillShare is the share of an engine's time that is left for prefill.
 	prefillShare = 0.85
-	// A long prompt waits for as many engines as it can use: its parts may be at most
-	// maxPartStretch times as long as with all engines. After acceptFewerAfter of its
-	// goal it takes any number of engines whose gap goals allow the parts.
+	// A long prompt waits until so many engines can take a part that its parts are at most
+	// maxPartStretch times as long as with all engines. After acceptFewerAfter of its goal
+	// it takes any number of engines whose gap goals allow the parts.
 	maxPartStretch   = 3.0
 	acceptFewerAfter = 0.4
 	// passesToFirstEvent is the time from the end of prefill to the first event, in passes.
@@ -198,8 +198,8 @@
 }
 
 // prefillBudget returns how much prefill the gap goals at a target allow. All pending
-// prefill may fall into one pass: a step prefills up to a chunk of tokens, which takes
-// longer the more tokens come before them.
+// prefill may fall into one pass: what a step prefills is limited in tokens and not in
+// time, and the tokens take longer the more tokens come before them.
 func prefillBudget(p *Params, t *Target) float64 {
 	if t.GapGoal <= 0 {
 		return math.Inf(1)
--- a/core/routing/timed.go
+++ b/core/routing/timed.go
@@ -1,9 +1,10 @@
 package routing
 
 // Where the timing of the engines is known, a target is chosen by what a request would do
-// to the passes of its engine: prefill beside decoding requests lengthens the gaps of all of
-// their streams. Short prompts are packed onto few engines, long ones are split over many,
-// and a part goes beside decoding requests only where their gap goals allow it.
+// to the passes of its engine (package engine defines a pass): prefill beside decoding
+// requests lengthens the gaps of all of their streams. Short prompts are packed onto few
+// engines, long ones are split over many, and a part goes beside decoding requests only
+// where their gap goals allow it.
 
 // Constants of the policy, in seconds unless said otherwise.
 const (
@@ -12,11 +13,12 @@
 	// usableGapShare is the share of a gap goal that a pass may fill; the rest is for
 	// the network and for prefill that is not predicted.
 	usableGapShare = 0.8
-	// refuseAfter is the share of its goal that a prompt waits for room which is not
-	// predicted to come in time. Then the request is refused, early enough that a
-	// retry by the caller can be answered in time.
+	// refuseAfter is the share of its goal after which a waiting prompt is refused if no
+	// room for it is predicted in time: early enough that a retry by the caller can be
+	// answered in time.
 	refuseAfter = 0.2
-	// packingLossShare is the share of the time of an engine with one decoding request that is lost for prefill.
+	// packingLossShare is the largest share of its time for prefill that an engine loses
+	// while it decodes one request.
 	packingLossShare = 0.5
 	// safeGoalShare is the share of its goal within which a prompt's first event should be
 	// predicted, since more prompts are placed into the same pass later; latenessWeight
@@ -24,7 +26,8 @@
 	safeGoalShare  = 0.5
 	latenessWeight = 8
 	// interferenceCost is the cost of missing the gap goal of one other request, in seconds
-	// of an engine: a missed gap goal counts as much as a long prompt that is prefilled in that time.
+	// of an engine's time: keeping a gap goal is worth as much as a long prompt whose prefill
+	// takes that time.
 	interferenceCost = 0.15
 )
 
@@ -139,7 +142,7 @@
 }
 
 // scoreTimed estimates the time to the first event of a prompt that is not split, and
-// the cost of placing the prompt there for other requests.
+// what placing the prompt there costs other requests.
 func (s *Scratch) scoreTimed(r *Request, p *Params, t *Target, prefill float64) Scores {
 	pass := t.slowdown() * p.Timing.PassTime(t.Load.Requests+1, t.Load.MemoryTokens+r.PromptTokens)
 	prefill *= t.slowdown()
@@ -161,8 +164,8 @@
 
 // packingCost returns the prefill time, in seconds, that an engine without gap-sensitive requests
 // loses by decoding the answer: each event takes a pass, and the gap goal allows no pass full of
-// prefill. An engine with such requests has lost that already in proportion to their share of its
-// slots; so they are packed onto it, and other engines finish theirs.
+// prefill. An engine with gap-sensitive requests has lost prefill time already, in proportion to
+// the slots that these take. More of them are thus packed onto it, while other engines finish theirs.
 func packingCost(r *Request, p *Params) float64 {
 	if r.GapGoal <= 0 {
 		return 0
--- a/core/routing/timed_test.go
+++ b/core/routing/timed_test.go
@@ -241,7 +241,7 @@
 			}
 		}
 		if c.avoid != (used == 0) {
-			t.Errorf("%s: %d of the engines with pending prompts are used", name, used)
+			t.Errorf("%s: %d of the engines with pending prompts are used, want none = %v", name, used, c.avoid)
 		}
 	}
 }
@@ -263,7 +263,7 @@
 	}
 }
 
-// TestLargePromptIsPlacedOnFewEngines: the limit on engines with heavy parts spares those that the request's
+// TestLargePromptIsPlacedOnFewEngines: however many engines may have heavy parts, a prompt gets as many as its
 // memory needs; a small idle pool must not turn a large prompt away forever.
 func TestLargePromptIsPlacedOnFewEngines(t *testing.T) {
 	for n := 2; n <= 4; n++ {
@@ -296,7 +296,7 @@
 		}
 	}
 	if d := decide(chatRequest(), list); d.Chosen == "e00" || d.Chosen == "e01" || d.Chosen == "e02" {
-		t.Errorf("chose %s for a chat, which is slow", d.Chosen)
+		t.Errorf("chose %s for a chat, want an engine at full speed", d.Chosen)
 	}
 	for i := range list {
 		list[i].Slowdown = 2
