--- a/core/rendezvous/rendezvous.go
+++ b/core/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
 // Package rendezvous orders hosts for a key by rendezvous hashing: all daemons that
-// know the same hosts compute the same order, and adding or removing a host changes
-// the relative order of no others.
+// know the same hosts compute the same order, and adding or removing a host leaves the
+// other hosts in the same order.
 package rendezvous
 
 import (
