--- a/core/admission/lag.go
+++ b/core/admission/lag.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Lag measures the queueing delay of a daemon for the processor. Its samples are the times
-// that an event, once it has arrived, waits until the daemon handles it. The zero value has no
-// samples.
+// Lag measures how long the events of a daemon queue for the processor. Its samples are the
+// times that an event, once it has arrived, waits until the daemon handles it. The zero value
+// has no samples.
 //
 // A single long sample does not show a queue: a process that was paused, or that used up its
 // CPU quota for the moment, catches up at once. There is a queue where the last two samples
@@ -18,7 +18,7 @@
 // Begin starts a sample.
 func (l *Lag) Begin(at time.Time) { l.pendingSince = at }
 
-// End completes the sample in progress: the daemon has handled it.
+// End completes the sample in progress: the daemon has handled the event.
 func (l *Lag) End(at time.Time) {
 	if l.pendingSince.IsZero() {
 		return
@@ -57,7 +57,7 @@
 
 // OverloadCheck decides whether a daemon that handles its events late refuses a call.
 type OverloadCheck struct {
-	// Lag is the queueing delay for the processor, from Lag.Sustained.
+	// Lag is the time that events queue for the processor, from Lag.Sustained.
 	Lag time.Duration
 	// Goal is the route's goal for the time to the first event; zero if the route has none.
 	Goal time.Duration
--- a/core/admission/queue.go
+++ b/core/admission/queue.go
@@ -24,15 +24,15 @@
 	Arrived time.Time
 	// PrefillSeconds is the time that processing the prompt takes, in seconds; zero if
 	// unknown. Long prompts of known prefill time go shortest first, whatever their account,
-	// since the least work earns the most per second; each second of waiting counts as one
-	// second less. A prompt of known prefill time does not hold up others, since each may be
-	// refused by itself.
+	// since this answers the most prompts per second; each second that a prompt has waited is
+	// subtracted from its prefill time. A prompt of known prefill time that finds no room does
+	// not stop those behind it, since Dispatch has to offer each of them: each may be refused.
 	PrefillSeconds float64
 
 	// LatestStart is the time by which the request has to be placed to be answered in time;
 	// zero if unknown. After it, the request goes behind all that can still be answered in
-	// time: its answer is worth little to its caller whenever it comes, and theirs would be
-	// late too.
+	// time: its answer is worth little whenever it comes, and if it went first, the others
+	// would be late too.
 	LatestStart time.Time
 
 	// Value is the caller's own record of the request; the queue ignores it.
@@ -172,10 +172,11 @@
 // short for a long queue of many accounts; the next event calls Dispatch again.
 const maxDispatchAttempts = 64
 
-// Dispatch offers requests in order to place, which reports whether it placed the request or
-// found no room. A short request that finds no room stops all short ones that are no smaller,
-// and a long one all such long ones, unless it is a retry or its prefill time is known.
-// Dispatch returns the number of requests placed.
+// Dispatch calls place for one request after the other, in the order of dispatch; place reports
+// whether it placed the request or found no room. After a short request that finds no room,
+// short requests of the same or a larger cost are not tried, and likewise for long ones. Retries
+// and requests of known prefill time that find no room have no such effect. Dispatch returns the
+// number of requests placed.
 func (q *Queue) Dispatch(now time.Time, place func(*Item) bool) int {
 	placed := 0
 	stopShort, stopLong := int64(-1), int64(-1)
@@ -298,8 +299,8 @@
 	return max(0, it.Level-int(now.Sub(it.Arrived)/q.AgeingPerLevel))
 }
 
-// Oldest returns the longest-waiting request among the first of each flow of long or of short
-// prompts, or nil.
+// Oldest returns the request that arrived first among the heads of the flows of long prompts,
+// or of short prompts if long is false; nil if there are none.
 func (q *Queue) Oldest(long bool) *Item {
 	var oldest *Item
 	for _, f := range q.flows {
--- a/core/admission/repeats.go
+++ b/core/admission/repeats.go
@@ -20,8 +20,8 @@
 const repeatSafetyFactor = 0.6
 
 // RepeatBudget is one daemon's part of the fleet's repeat limit for one pool. Daemons exchange
-// no messages about it: each uses the share of the calls that it received itself, and an equal
-// part of the slack.
+// no messages about it: each uses RepeatLimit.Share for the calls that it received itself, and an
+// equal part of RepeatLimit.Slack.
 type RepeatBudget struct {
 	slots [repeatSlots + 1]repeatSlot
 }
--- a/core/admission/retryafter.go
+++ b/core/admission/retryafter.go
@@ -10,18 +10,18 @@
 	// busyRetryAfterLong is the time in which a burst of long prompts may be over.
 	busyRetryAfterLong = 4 * time.Second
 	// maxRetryAfterShare is the largest part of its remaining time that a caller is told to
-	// wait: callers follow the advice up to a third of it.
+	// wait: callers follow advice of up to a third of that time.
 	maxRetryAfterShare = 0.3
 )
 
-// QueueRetryAfter returns the advised wait for a request whose turn is predicted after turn,
-// with left until its deadline.
+// QueueRetryAfter returns the advised wait for a request that is predicted to be dispatched
+// after the duration turn, where left is the time until its deadline.
 func QueueRetryAfter(turn, left time.Duration) time.Duration {
 	return min(turn, time.Duration(maxRetryAfterShare*float64(left)))
 }
 
-// BusyRetryAfter returns the advised wait for a prompt that found no room, with left until its
-// deadline.
+// BusyRetryAfter returns the advised wait for a prompt that found no room, where left is the
+// time until its deadline.
 func BusyRetryAfter(long bool, left time.Duration) time.Duration {
 	after := busyRetryAfterShort
 	if long {
--- a/core/admission/starting.go
+++ b/core/admission/starting.go
@@ -5,7 +5,7 @@
 // How long a daemon that has just started lets calls wait for it, and the advised waits of the
 // calls that it refuses.
 const (
-	// expectedStartTime is the age up to which a daemon expects to serve at any moment. With a
+	// expectedStartTime is the age up to which a daemon expects that it will soon serve. With a
 	// store that answers, a weak host in a fleet that starts all at once needs a fraction of
 	// it; an older daemon waits for something that may be unavailable for long.
 	expectedStartTime = 1500 * time.Millisecond
@@ -50,9 +50,10 @@
 }
 
 // RetryAfter returns the advised wait for a call that is refused. A daemon that knows no other
-// live daemon is most likely cut off, and a daemon whose peers have settings is an exception:
-// in both cases the retry most likely reaches a daemon that serves. Otherwise the whole fleet
-// waits for its settings, and spread, a random number from 0 to 1, spreads out the retries.
+// live daemon is most likely cut off, and where others have settings, this daemon is the
+// exception in lacking them: in both cases the retry most likely reaches a daemon that serves.
+// Otherwise the whole fleet waits for its settings, and spread, a random number from 0 to 1,
+// spreads out the retries.
 func (s Starting) RetryAfter(spread float64) time.Duration {
 	if s.OtherDaemons == 0 || s.OthersServe {
 		return otherDaemonRetryAfter
