--- a/core/group/group.go
+++ b/core/group/group.go
@@ -39,10 +39,10 @@
 // minPartTokens is the smallest part for which an engine is added to a group.
 const minPartTokens = 8192
 
-// NewPlan divides a prompt of prompt tokens, with an answer of up to output tokens, over
-// targets. It leaves the fraction headroom of each target's memory free, and tries the data
-// centre home first. It returns ErrNoRoom if the prompt fits only when the targets are less
-// full, and an error that wraps ErrTooLarge if it never fits.
+// NewPlan divides a prompt over targets. Prompt is its length and output the maximum length of
+// the answer, in tokens. NewPlan leaves the fraction headroom of each target's memory free, and
+// tries home, the name of a data centre, first. It returns ErrNoRoom if the prompt fits only
+// when the targets are less full, and an error that wraps ErrTooLarge if it never fits.
 func NewPlan(targets []routing.Target, prompt, output int64, headroom float64, home string) ([]Part, error) {
 	usable := slices.DeleteFunc(slices.Clone(targets), func(t routing.Target) bool {
 		return t.State != routing.Live || t.Unloaded || t.MemoryTokens == 0
