--- a/core/decision/ring.go
+++ b/core/decision/ring.go
@@ -40,8 +40,8 @@
 func (r *Ring) dropOldest() {
 	old := &r.records[r.head]
 	r.size -= sizeOf(old)
-	if ids := r.positionsByRequest[old.Request]; len(ids) > 1 {
-		r.positionsByRequest[old.Request] = ids[1:]
+	if positions := r.positionsByRequest[old.Request]; len(positions) > 1 {
+		r.positionsByRequest[old.Request] = positions[1:]
 	} else {
 		delete(r.positionsByRequest, old.Request)
 	}
