--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -11,9 +11,9 @@
 //
 //   - Daemons with different host lists. Two claims of a key must share a set of
 //     witnesses. A claim therefore needs a majority in every set that was in force
-//     from the creation of the key (less the time in which all daemons read a new
-//     list) until now; see History. The set at the creation is in all of them. A
-//     daemon whose list has not been confirmed within that time claims nothing.
+//     since HostListPropagation before the creation of the key; see History. Every
+//     claim of the key thus includes the set at its creation. A daemon whose list
+//     has not been confirmed for longer than HostListPropagation claims nothing.
 //   - A witness that restarted and lost its grants. It grants only keys that it
 //     knows to be younger than itself: a UUIDv7 carries its creation time; before it
 //     grants other keys, the witness waits for the time in which a retry may come;
@@ -27,7 +27,7 @@
 //     duplicates are answered with an unknown outcome and never run.
 //
 // model/claim.pml is the specification, which is checked exhaustively. Each rule has a switch
-// there without which the checker finds two sends.
+// there that removes it; the checker then finds two sends.
 //
 // The types hold plain state and take the current time as an argument. Durations are measured
 // on the monotonic clock where the values carry one.
@@ -50,8 +50,8 @@
 	// be claimed.
 	ClaimWindow = 30 * time.Minute
 	// RetryWindow is the time after the first call in which a retry with a key of unknown
-	// creation time still finds the first. Witnesses that started more recently do not grant
-	// such keys.
+	// creation time still finds that call's grant. Witnesses that started more recently do not
+	// grant such keys.
 	RetryWindow = 5 * time.Minute
 	// PermitTTL is the time for which a permit to send is valid.
 	PermitTTL = 2 * time.Second
--- a/core/claim/witness.go
+++ b/core/claim/witness.go
@@ -50,7 +50,7 @@
 		return Reply{Answer: Taken, Attempt: rec.attempt, Holder: rec.holder}
 	}
 	if rec != nil && rec.gaveUp[r.Attempt] {
-		// The attempt's own giving up overtook its claim on the way here.
+		// The attempt gave up, and the message that says so arrived before its claim.
 		return Reply{Answer: Taken, Attempt: r.Attempt, Holder: r.Holder}
 	}
 	if answer := w.refusalReason(r.Created, now); answer != 0 && rec == nil {
