--- a/core/poison/table.go
+++ b/core/poison/table.go
@@ -66,7 +66,7 @@
 // CrashResult is the consequence of a crash.
 type CrashResult struct {
 	// Counted is true unless the crash was ignored because of a recent success.
-	Counted bool
+	Accepted bool
 	// Quarantined is true if the crash began a quarantine; Verdict is then to be sent to all daemons.
 	Quarantined bool
 	Verdict     Verdict
@@ -145,11 +145,11 @@
 		return r.crashInQuarantine(k, now)
 	}
 	if !r.addCrash(crashEvent{c.Target, now, c.Suspected}) {
-		return CrashResult{Counted: true}
+		return CrashResult{Accepted: true}
 	}
 	r.crashes = slices.DeleteFunc(r.crashes, func(e crashEvent) bool { return now.Sub(e.at) > retention })
 	if len(r.crashes) < quarantineThreshold || r.distinctTimes() < minDistinctTimes {
-		return CrashResult{Counted: true}
+		return CrashResult{Accepted: true}
 	}
 	return r.quarantine(k, now)
 }
@@ -158,14 +158,14 @@
 func (r *record) quarantine(k Key, now time.Time) CrashResult {
 	r.count++
 	r.lifted, r.crashes, r.quarantinedAt, r.trialAt = false, nil, now, time.Time{}
-	return CrashResult{Counted: true, Quarantined: true, Verdict: r.verdict(k, now)}
+	return CrashResult{Accepted: true, Quarantined: true, Verdict: r.verdict(k, now)}
 }
 
 // crashInQuarantine records a crash under a quarantined request. A crash during a trial begins the
 // next quarantine; without a trial, the crash is that of a copy sent before the quarantine.
 func (r *record) crashInQuarantine(k Key, now time.Time) CrashResult {
 	if r.trialAt.IsZero() {
-		return CrashResult{Counted: true}
+		return CrashResult{Accepted: true}
 	}
 	return r.quarantine(k, now)
 }
--- a/core/share/share.go
+++ b/core/share/share.go
@@ -139,7 +139,7 @@
 	}
 	h.acknowledge(r.AckedSequence, now)
 	h.demand, h.lastRenewal = r.Demand, now
-	fraction := min(o.targetFraction(r, h, alive, published, now), o.availableFraction(r.Holder, alive, published, now))
+	fraction := min(o.desiredFraction(r, h, alive, published, now), o.availableFraction(r.Holder, alive, published, now))
 	o.sequence++
 	h.grants = append(h.grants, outstandingGrant{o.sequence, fraction, now.Add(LeaseTTL)})
 	return Grant{Sequence: o.sequence, Fraction: fraction}
@@ -151,7 +151,7 @@
 }
 
 // targetFraction returns the fraction that the holder should have by its demand.
-func (o *Owner) targetFraction(r Renewal, h *holderState, alive, published int, now time.Time) float64 {
+func (o *Owner) desiredFraction(r Renewal, h *holderState, alive, published int, now time.Time) float64 {
 	if now.Sub(o.waitFrom) < LeaseTTL {
 		// Leases of a previous owner may still be in use.
 		return r.Fraction
--- a/core/stream/stream.go
+++ b/core/stream/stream.go
@@ -75,13 +75,13 @@
 	if c.Index > a.next {
 		return a.buffer(c)
 	}
-	if err := a.emit(c.Text, emit); err != nil {
+	if err := a.emitNext(c.Text, emit); err != nil {
 		return err
 	}
 	return a.emitBuffered(emit)
 }
 
-func (a *Assembler) emit(text string, emit func(int64, string) error) error {
+func (a *Assembler) emitNext(text string, emit func(int64, string) error) error {
 	index := a.next
 	a.next++
 	a.lastText = text
@@ -95,7 +95,7 @@
 			return nil
 		}
 		delete(a.pending, a.next)
-		if err := a.emit(text, emit); err != nil {
+		if err := a.emitNext(text, emit); err != nil {
 			return err
 		}
 	}
--- a/node/requestcontrol/poison.go
+++ b/node/requestcontrol/poison.go
@@ -105,7 +105,7 @@
 	d.Recorder.Metrics.Crashes.WithLabelValues(r.Route.Pool.Name).Inc()
 	crash := poison.Crash{Request: r.poisonKey(), Target: id, Suspected: r.suspected}
 	result := d.Board.Poison.RecordCrash(crash, time.Now())
-	if d.CrashReporter == nil || !result.Counted {
+	if d.CrashReporter == nil || !result.Accepted {
 		return
 	}
 	d.CrashReporter.NotifyCrash(crash)
