--- a/core/poison/key.go
+++ b/core/poison/key.go
@@ -1,11 +1,12 @@
 // Package poison detects requests that crash the targets which run them (queries of death)
 // and quarantines them, so that they are not sent to further targets.
 //
-// A single crash does not convict a request: a target crashes while it runs a dozen requests, at
-// most one of which caused the crash. A request under which several targets crash in turn is
-// quarantined at every daemon. The package does no I/O and reads no clock: callers pass in
-// crashes, successes, the verdicts of other daemons and the time, and ask whether a request may
-// be sent. The callers also exchange the verdicts between daemons.
+// A single crash does not show that a request is the cause: a target that crashes is running a
+// dozen requests, at most one of which caused the crash. A request under which several targets
+// crash in turn is quarantined at every daemon. Daemons tell each other by verdicts: a verdict
+// begins or lifts the quarantine of a request. The package does no I/O and reads no clock: callers
+// pass in crashes, successes, the verdicts of other daemons and the time, and ask whether a request
+// may be sent. The callers also send the verdicts to other daemons.
 package poison
 
 import (
--- a/core/poison/table.go
+++ b/core/poison/table.go
@@ -16,17 +16,19 @@
 	quarantineThreshold = 3
 	minDistinctTimes    = 2
 	// duplicateWindow is the time within which two reports about one target count as one crash: a
-	// target does not restart faster, and all copies of a request that it runs fail together.
+	// target does not restart faster, and if it was sent the same request several times, all these
+	// copies fail together.
 	duplicateWindow = time.Second
-	// coincidenceWindow is the time within which crashes of different targets count as possibly one
-	// event, unless the request was already suspected. Several daemons report such crashes, some
-	// tenths of a second apart.
+	// coincidenceWindow is the time within which crashes of different targets count as one event,
+	// since they may have one cause, unless the request was already suspected. The reports of one
+	// event come from several daemons, some tenths of a second apart.
 	coincidenceWindow = 250 * time.Millisecond
 	// retention is how long a record is kept after the last crash, or, for a quarantined request,
 	// after the last attempt to send it.
 	retention = 10 * time.Minute
 	// successValidity is how long a success clears a request: crashes within that time are not
-	// counted. A request that many callers send is running at many targets that crash for other reasons.
+	// counted. A request that many callers send is running at many targets, some of which crash for
+	// other reasons.
 	successValidity = time.Minute
 	// firstTrialDelay is the time from the quarantine to the first trial: the request is sent once
 	// more, because its targets may have crashed by chance. Each further delay is
@@ -55,8 +57,9 @@
 type Status struct {
 	// Suspected is true if a target has crashed under the request.
 	Suspected bool
-	// Quarantined is true if the request must be refused. RetryAfter is then the time until the
-	// next trial, firstTrialDelay at least. The quarantine may expire sooner if no attempt follows.
+	// Quarantined is true if the request must be refused unless it is sent as a trial. RetryAfter is
+	// then the time until the next trial, firstTrialDelay at least. The quarantine may expire before
+	// that, retention after the last attempt to send the request.
 	Quarantined bool
 	RetryAfter  time.Duration
 	// TrialDue is true if one daemon may send the quarantined request as a trial.
@@ -65,7 +68,8 @@
 
 // CrashResult is the consequence of a crash.
 type CrashResult struct {
-	// Counted is true unless the crash was ignored because of a recent success.
+	// Accepted is true unless the crash was ignored because of a recent success. It is also true for
+	// a duplicate, which does not bring the request closer to quarantine.
 	Accepted bool
 	// Quarantined is true if the crash began a quarantine; Verdict is then to be sent to all daemons.
 	Quarantined bool
@@ -197,7 +201,8 @@
 const maxCrashesPerRecord = 4 * quarantineThreshold
 
 // distinctTimes returns the number of different times at which targets crashed. A crash counts as
-// a new time if its request was already suspected, or coincidenceWindow after the last one counted.
+// a new time if its request was already suspected, or if it happened more than coincidenceWindow
+// after the last crash that counted as a new time.
 func (r *record) distinctTimes() int {
 	n := 0
 	var last time.Time
@@ -242,8 +247,8 @@
 }
 
 // StartTrial reports whether a quarantined request may be sent once as a trial, and records that
-// the trial started. All daemons ask the same daemon; the one that sends the request then calls
-// RecordTrial on its own table.
+// the trial started. One daemon decides for all: the others ask it before a trial, and it calls
+// StartTrial. A daemon that it allows the trial calls RecordTrial on its own table.
 func (t *Table) StartTrial(k Key, now time.Time) bool {
 	r := t.records[k]
 	if r == nil || !r.quarantined() || r.untilNextTrial(now) > 0 || now.Sub(r.trialAt) < trialTimeout {
@@ -262,8 +267,8 @@
 }
 
 // Merge applies another daemon's verdict. If the verdict is new here, Merge returns the verdict to
-// pass on and true. It lifts a quarantine of a request that succeeded at this daemon within
-// successValidity, since only this daemon knows of that success.
+// pass on and true. If the request succeeded at this daemon within successValidity, Merge lifts
+// the quarantine, since only this daemon knows of that success.
 func (t *Table) Merge(v Verdict, now time.Time) (Verdict, bool) {
 	last := now.Add(-v.Age)
 	if v.Count == 0 || v.Age > retention {
@@ -284,7 +289,8 @@
 	return r.verdict(v.Request, now), true
 }
 
-// Verdicts returns all current verdicts, the most recently used first, for a daemon whose digest differs.
+// Verdicts returns all current verdicts, the most recently used first. They are sent to a daemon
+// whose Digest differs.
 func (t *Table) Verdicts(now time.Time) []Verdict {
 	t.removeExpired(now)
 	var list []Verdict
--- a/core/poison/table_test.go
+++ b/core/poison/table_test.go
@@ -75,8 +75,8 @@
 }
 
 // TestSuccessClearsCrashesAndLiftsQuarantine checks that a success clears earlier crashes, that
-// crashes within successValidity after it do not count, and that a quarantine learned from another
-// daemon is lifted there as well.
+// crashes within successValidity after it do not count, and that the daemon answers another daemon's
+// quarantine with a verdict that lifts it at both.
 func TestSuccessClearsCrashesAndLiftsQuarantine(t *testing.T) {
 	local, remote := NewTable(), NewTable()
 	local.RecordCrash(Crash{Request: request, Target: "t0"}, at(0))
@@ -161,13 +161,13 @@
 	recordCrashes(table, request, 0, time.Second, 2*time.Second)
 	asked := at(retention)
 	if !table.Check(request, asked).Quarantined {
-		t.Fatal("Check after retention: not quarantined, want quarantined")
+		t.Fatal("Check less than retention after the last crash: not quarantined, want quarantined")
 	}
 	if !table.Check(request, asked.Add(retention-time.Second)).Quarantined {
-		t.Fatal("Check less than retention after the last one: not quarantined, want quarantined")
+		t.Fatal("Check less than retention after the last Check: not quarantined, want quarantined")
 	}
 	if table.Check(request, asked.Add(3*retention)).Quarantined {
-		t.Fatal("Check long after the last one: quarantined, want expired")
+		t.Fatal("Check long after the last Check: quarantined, want expired")
 	}
 	if table.Digest(asked.Add(3*retention)) != 0 || !table.Empty() {
 		t.Error("the table holds an expired record, want it empty")
