--- a/core/forward/forward.go
+++ b/core/forward/forward.go
@@ -3,8 +3,8 @@
 // again, how long a silent target is waited for, and what the caller may be told about
 // execution. It also keeps what targets say of their own state, such as rate limits.
 //
-// The package does no I/O. The daemon passes in the route's rules and goals, the decoded
-// heads of answers and the result of each send.
+// The package does no I/O. The daemon passes in the route's rules and latency goals, the
+// decoded heads of answers and the result of each send.
 package forward
 
 import (
@@ -19,7 +19,7 @@
 	ID string
 	// APIKey is empty if the request has none.
 	APIKey string
-	// Timeout is how long the caller will wait from now on; zero if not stated.
+	// Timeout is how long the caller will wait, from the arrival of the call; zero if not stated.
 	Timeout time.Duration
 	// LastEventID is the id of the last event that the caller has received of a stream
 	// that it resumes; empty for a stream from the beginning.
@@ -95,7 +95,8 @@
 	FailedHelper string
 	// Notice is what the answering target says of its own state.
 	Notice Notice
-	// UnknownHeaders names the headers that the dialect does not understand.
+	// UnknownHeaders names the headers that the dialect, the code that reads the platform's
+	// headers, does not know.
 	UnknownHeaders []string
 }
 
@@ -159,7 +160,8 @@
 type Rules struct {
 	// Repeatable is true if a call may run more than once.
 	Repeatable bool
-	// MaxAttempts is the maximum number of sends after which a target may have run the call.
+	// MaxAttempts bounds the sends that may have run the call; sends that are proven not to have
+	// run it do not count.
 	MaxAttempts int
 }
 
@@ -193,8 +195,8 @@
 // Sends returns the number of sends that reached a target.
 func (p *Progress) Sends() int { return p.mayHaveRun + p.rejections }
 
-// MayRetry reports whether the rules allow one more send. The caller checks the retry budget and
-// the remaining time.
+// MayRetry reports whether the rules allow one more send. The daemon checks the retry budget and
+// the remaining time itself.
 func (p *Progress) MayRetry() bool {
 	if p.mayHaveRun > 0 && !p.Rules.Repeatable {
 		return false
--- a/core/forward/forward_test.go
+++ b/core/forward/forward_test.go
@@ -55,7 +55,7 @@
 			}
 			p.RecordFailure(x, x != fault.NotRun || rapid.Bool().Draw(t, "reached"))
 			if (p.Execution() == fault.NotRun) != (mayHaveRun == 0) {
-				t.Fatalf("Execution() = %v after %d sends that may have run", p.Execution(), mayHaveRun)
+				t.Fatalf("Execution() = %v after %d sends that may have run, want NotRun only after none", p.Execution(), mayHaveRun)
 			}
 		}
 		if mayHaveRun > p.Rules.MaxAttempts {
--- a/core/forward/limit.go
+++ b/core/forward/limit.go
@@ -8,7 +8,8 @@
 // Limit is what a target's answer says of the rate of requests that the target accepts from all
 // daemons together. The zero value says nothing.
 type Limit struct {
-	// Declared is true if the answer states a limit, Lifted if it answers a call and states none.
+	// Declared is true if the answer states a limit. Lifted is true if the answer to a call, rather
+	// than to a control request, states none.
 	Declared, Lifted bool
 	// PerSecond is the declared limit in requests per second.
 	PerSecond float64
--- a/core/forward/notice.go
+++ b/core/forward/notice.go
@@ -6,7 +6,7 @@
 // nothing.
 type Notice struct {
 	// Draining is true if the target's process is about to end and accepts no new calls. The
-	// platform's store may be unavailable and report this much later.
+	// platform's store reports this too, but much later if it is unavailable.
 	Draining bool
 	// Backoff is how long the target wants no calls from this daemon.
 	Backoff time.Duration
@@ -15,10 +15,11 @@
 }
 
 const (
-	// drainRetention is how long a target counts as draining after its last notice of that. Its
-	// process ends within a minute or two, which the store reports unless it is unavailable.
+	// drainRetention is how long a target counts as draining after its last drain notice. Its
+	// process ends within a minute or two, but the store may be unavailable and not report the end.
 	drainRetention = 10 * time.Minute
-	// limitRetention is how long a limit is kept after it was last declared, for targets that are gone.
+	// limitRetention is how long a limit is kept after it was last declared, so that the limits of
+	// targets that are gone are deleted.
 	limitRetention = 10 * time.Minute
 	// maxBackoff caps the backoff that a target asks for.
 	maxBackoff = 10 * time.Minute
@@ -44,7 +45,7 @@
 // NewNotices returns an empty collection.
 func NewNotices() *Notices { return &Notices{byTarget: map[string]*targetNotices{}} }
 
-// Empty reports whether there are no notices that may still apply.
+// Empty reports whether no notices are held. Expired ones are held until RemoveExpired.
 func (n *Notices) Empty() bool { return len(n.byTarget) == 0 }
 
 // TimedNotice is a notice with the time at which the answered call was sent and the time at which
@@ -108,9 +109,10 @@
 	return max(0, known.backoffUntil.Sub(at))
 }
 
-// UpdateTarget takes the address under which a target is listed and the start of its process in Unix
-// milliseconds, zero if unknown. A drain notice of an earlier process does not hold for a later
-// one. A backoff does: it is short, and the process may have ended for the reason for which it asked.
+// UpdateTarget deletes a target's drain notice if it came from an earlier process or from another
+// address than the target now has. started is the start of its process in Unix milliseconds, zero if
+// unknown. A backoff stays: it is short, and the process may have ended for the reason for which
+// it asked for the backoff.
 func (n *Notices) UpdateTarget(id, address string, started int64) {
 	known := n.byTarget[id]
 	if known == nil {
--- a/core/forward/notice_test.go
+++ b/core/forward/notice_test.go
@@ -97,7 +97,7 @@
 		}
 		n.Record("t", "a:1", 0, TimedNotice{declared, noticeTime.Add(-time.Second), noticeTime})
 		if isNew := n.Record("t", "a:1", 0, c.notice); isNew != c.isNew || (n.RateLimiter("t") != nil) != c.holds {
-			t.Errorf("%s: Record = %v, RateLimiter = %+v, want %v and a limiter: %v", name, isNew, n.RateLimiter("t"), c.isNew, c.holds)
+			t.Errorf("%s: Record = %v, RateLimiter = %+v, want %v and a rate limiter present = %v", name, isNew, n.RateLimiter("t"), c.isNew, c.holds)
 		}
 	}
 }
--- a/core/forward/ratelimiter.go
+++ b/core/forward/ratelimiter.go
@@ -15,8 +15,8 @@
 const (
 	// burst is how far calls may run ahead of the limit's rate.
 	burst = 500 * time.Millisecond
-	// minRate is the rate, in requests per second, at which a target is called at any declared limit:
-	// only an answer shows that the target accepts more again.
+	// minRate is the rate, in requests per second, to which lower declared limits are raised: only
+	// an answer shows that the target accepts more again.
 	minRate = 0.25
 )
 
--- a/core/forward/silence_timeouts.go
+++ b/core/forward/silence_timeouts.go
@@ -29,8 +29,8 @@
 )
 
 // Shares of the caller's timeout after which a silent target is given up. The timeout of a chat is
-// 2 s. Of that, another engine needs some 0.3 s to resume a stream, and twice that if the call
-// has to wait for a target.
+// 2 s. Of that, another target needs some 0.3 s to resume a stream, and twice that if the call
+// has to wait for one to be free.
 const (
 	firstEventShare    = 0.7
 	betweenEventsShare = 0.85
--- a/core/forward/silence_timeouts_test.go
+++ b/core/forward/silence_timeouts_test.go
@@ -7,14 +7,15 @@
 	"doorstack.dev/core/fault"
 )
 
-// TestTimeoutsEndBeforeCallerTimeout checks that a silent target is given up before its caller, which
-// waits for the longest of 2 s, four goals and eight pauses, but not as soon as it misses the goal.
+// TestTimeoutsEndBeforeCallerTimeout checks that a silent target is given up before its caller gives up,
+// but not as soon as the target misses the goal. The caller waits for the longest of 2 s, four times
+// the goal and eight times the gap goal.
 func TestTimeoutsEndBeforeCallerTimeout(t *testing.T) {
 	for name, c := range map[string]struct{ goal, gap, callerTimeout time.Duration }{
-		"chat":     {300 * time.Millisecond, 250 * time.Millisecond, 2 * time.Second},
-		"prefill":  {1500 * time.Millisecond, 600 * time.Millisecond, 6 * time.Second},
-		"referral": {3 * time.Second, time.Second, 12 * time.Second},
-		"no goals": {0, 0, 2 * time.Second},
+		"chat":                        {300 * time.Millisecond, 250 * time.Millisecond, 2 * time.Second},
+		"prefill":                     {1500 * time.Millisecond, 600 * time.Millisecond, 6 * time.Second},
+		"long prompt (referral file)": {3 * time.Second, time.Second, 12 * time.Second},
+		"no goals":                    {0, 0, 2 * time.Second},
 	} {
 		p := StreamTimeouts(c.goal, c.gap)
 		if p.FirstEvent <= 2*c.goal || p.FirstEvent > c.callerTimeout*3/4 {
@@ -43,7 +44,8 @@
 	}
 }
 
-// TestMayRetryAfterUnknown checks the question that is asked before a send has ended.
+// TestMayRetryAfterUnknown checks that the method answers for a send that is still in progress, and does
+// not record that send as ended.
 func TestMayRetryAfterUnknown(t *testing.T) {
 	for name, c := range map[string]struct {
 		rules Rules
