--- a/core/share/share.go
+++ b/core/share/share.go
@@ -1,20 +1,23 @@
 // Package share divides the limits of a client account among the daemons, without a
 // shared store. One daemon owns an account: the first alive one in the account's
-// rendezvous order. It leases fractions of the limit to the daemons that have demand.
+// rendezvous order. It leases fractions of the limit to the daemons that have demand, which
+// are then holders of a lease.
 //
 // A small fraction of the limit, ReserveFraction, is never leased: each published daemon
-// may always use an equal part of it, so that a daemon without a lease can still serve
-// calls. Of the rest, the owner leases only the share of the published daemons that it
-// believes alive: in a network partition, the owners on both sides together lease no more
-// than the whole. When the sides reconnect, no fraction is raised until the leases of the
-// other side have expired. A fraction is raised only after another holder has lowered its
-// own, or its lease has expired. Until every lease of the previous owner has expired, a new
-// owner grants each holder only the fraction that the holder says it has.
+// (one in the platform's host list) may always use an equal part of it, so that a daemon
+// without a lease can still serve calls. Of the rest, the owner leases at most the fraction
+// that the daemons it believes alive are of the published daemons: in a network partition,
+// the owners on both sides together lease no more than the whole. When the sides reconnect, no
+// fraction is raised until the leases of the other side have expired. What one holder gives up
+// is leased to another only after the first has lowered its fraction or its lease has expired.
+// Until every lease of the previous owner has expired, a new owner grants each holder only
+// the fraction that the holder says it has.
 //
-// The sum stays within the limit when a daemon restarts, although the daemon then uses its
-// part of the reserve while its old lease is still counted. The sum can exceed the limit
-// while a host is added: as long as their host lists lag, daemons take their parts of the
-// reserve to be larger than they are, by one part in the number of daemons.
+// The sum of the fractions in use stays within the limit when a daemon restarts, although the
+// daemon then uses its part of the reserve while its old lease is still counted. The sum can
+// exceed the limit while a host is added: a daemon whose host list still lacks the host
+// divides the reserve by too few daemons, so that its part is too large by one part in the
+// number of daemons.
 package share
 
 import (
@@ -150,7 +153,9 @@
 	return (1 - ReserveFraction) * min(1, float64(alive)/float64(max(1, published)))
 }
 
-// targetFraction returns the fraction that the holder should have by its demand.
+// desiredFraction returns the fraction that the holder should have: the part of the leasable fraction
+// that its demand is of all holders' demands, but not much more than its demand. While leases of a
+// previous owner may be in use, it is the fraction that the holder has.
 func (o *Owner) desiredFraction(r Renewal, h *holderState, alive, published int, now time.Time) float64 {
 	if now.Sub(o.waitFrom) < LeaseTTL {
 		// Leases of a previous owner may still be in use.
@@ -220,10 +225,11 @@
 // Expires returns when the lease expires.
 func (h *Holder) Expires() time.Time { return h.expires }
 
-// NewRenewal returns the renewal of the daemon with this name, with its demand in the last period.
+// NewRenewal returns a renewal for the daemon with this name and demand; see Renewal.Demand.
 func (h *Holder) NewRenewal(name string, demand float64, now time.Time) Renewal {
 	return Renewal{Holder: name, Demand: demand, Fraction: h.LeasedFraction(now), AckedSequence: h.sequence}
 }
 
-// Invalidate ends the lease, for example after a pause of the process.
+// Invalidate ends the lease, for example after the process or its host was suspended: the clock may
+// have stopped meanwhile, so that the lease seems to last longer than it does.
 func (h *Holder) Invalidate() { h.expires = time.Time{} }
--- a/core/share/share_test.go
+++ b/core/share/share_test.go
@@ -101,7 +101,7 @@
 	})
 }
 
-// forgetOwners drops the state of daemons that no longer own the account.
+// dropStaleOwners drops the state of daemons that no longer own the account.
 func (m *fleetModel) dropStaleOwners() {
 	for id := range m.owners {
 		if owner, _ := m.owner(m.side[id]); owner != id {
