--- a/core/fault/fault.go
+++ b/core/fault/fault.go
@@ -15,8 +15,9 @@
 type Execution string
 
 const (
-	// NotRun means that the request is proven not to have run: no byte of it reached
-	// a target, in this attempt or another one with the same idempotency key.
+	// NotRun means that the request is proven not to have run, in this attempt or another
+	// one with the same idempotency key: no byte of it reached a target, or the target
+	// stated that it did not run the request.
 	NotRun Execution = "not_run"
 	// Ran means that the target stated that it executed the request.
 	Ran Execution = "ran"
@@ -141,7 +142,7 @@
 }
 
 // From returns the typed failure that err wraps. Any other error becomes Internal with
-// Unknown execution, since nothing is known about what it left behind.
+// Unknown execution, since the error does not tell whether the request ran.
 func From(err error) *Error {
 	var typed *Error
 	if errors.As(err, &typed) {
