--- a/core/stream/stream.go
+++ b/core/stream/stream.go
@@ -1,8 +1,8 @@
 // Package stream reassembles the chunks of a generated answer and distinguishes a
-// complete answer from a broken one. Each chunk carries an index and the attempt that
-// it belongs to; the end chunk carries the total number of tokens. Chunks may arrive
-// late, repeated or out of order. A stream without an end chunk is never accepted as
-// an answer.
+// complete answer from a broken one. Each chunk carries one token, its index and the
+// attempt that it belongs to; the end chunk carries the total number of tokens instead.
+// Chunks may arrive late, repeated or out of order. A stream without an end chunk is
+// never accepted as an answer.
 package stream
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/go-faster/errors"
 )
 
-// Chunk is one piece of an answer.
+// Chunk is one token of an answer, or the end of the answer.
 type Chunk struct {
 	// Attempt is the id of the daemon's attempt that requested the answer.
 	Attempt string
--- a/core/stream/stream_test.go
+++ b/core/stream/stream_test.go
@@ -51,7 +51,7 @@
 			complete = complete && seen[i]
 		}
 		if (a.Close() == nil) != complete {
-			t.Fatalf("Close() = %v, all chunks were sent: %v", a.Close(), complete)
+			t.Fatalf("Close() = %v, want nil only if all chunks were sent: %v", a.Close(), complete)
 		}
 	})
 }
