--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -7,14 +7,14 @@
 // witness from its grant, so the lease ends at the owner first. A restarted witness
 // grants nothing until every lease that it may have forgotten has expired.
 //
-// Orders carry a fencing token: the time at which the lease was requested, never
-// ahead of the clock. Tokens thus increase from owner to owner without stored state,
-// as long as clocks differ by less than TTL. Targets that check tokens refuse orders
-// of an earlier owner. For other targets, the owner checks its lease immediately
-// before it sends an order, an order is bounded by SendTimeout, and a new owner
-// waits that long before its first one. The remaining race is an order that the
-// target still processes after its connection was closed; the new owner reads back
-// what the target serves and sends the order again.
+// Orders carry a fencing token: the time at which the lease was requested, by the
+// owner's clock and never later than what that clock shows. Tokens thus increase from
+// owner to owner without stored state, as long as clocks differ by less than TTL.
+// Targets that check tokens refuse orders of an earlier owner. For other targets, the
+// owner checks its lease immediately before it sends an order, the sending is bounded
+// by SendTimeout, and a new owner waits that long before its first order. The remaining
+// race is an order that the target still processes after its connection was closed; the
+// new owner reads back what the target serves and sends the order again.
 //
 // model/lease.pml is the specification that is checked exhaustively.
 package lease
@@ -51,8 +51,8 @@
 }
 
 // NewWitness returns a witness that grants nothing for TTL, because it may have
-// forgotten grants. A daemon that is alone on the list competes only with its own
-// previous process, which the same wait covers.
+// forgotten grants. If the host list has only one daemon, that daemon competes only
+// with its own previous process, whose leases have expired after TTL as well.
 func NewWitness(now time.Time) *Witness {
 	return &Witness{refusesUntil: now.Add(TTL), grants: map[string]grant{}}
 }
@@ -127,5 +127,7 @@
 // ExpiresAt returns the time at which the lease expires.
 func (o *Owner) ExpiresAt() time.Time { return o.leaseStart.Add(TTL) }
 
-// Invalidate ends the lease immediately, after a pause of the process.
+// Invalidate ends the lease immediately. It is for use after the process or its host
+// was suspended: the clock may have stopped meanwhile, so that the lease seems to last
+// longer than it does.
 func (o *Owner) Invalidate() { o.leaseStart = time.Time{} }
