--- a/node/cmd/doorstack/standin.go
+++ b/node/cmd/doorstack/standin.go
@@ -83,8 +83,8 @@
 	if pool.Kind.Protocol == settings.ProtocolService {
 		return standin.Listen("", standin.NewService(name).Handler(), nil)
 	}
-	cost := standin.DefaultCost()
-	cost.Memory = pool.Kind.MemoryTokens
+	cost := standin.DefaultCostModel()
+	cost.MemoryTokens = pool.Kind.MemoryTokens
 	engine := standin.NewEngine(name, cost, pool.Model)
 	return standin.Listen("", engine.Handler(), engine.Run)
 }
--- a/node/internal/fleet/answers_test.go
+++ b/node/internal/fleet/answers_test.go
@@ -13,10 +13,10 @@
 	"github.com/openai/openai-go/v3/option"
 )
 
-// TestPublicClientLibrary speaks to a daemon through OpenAI's own client.
-func TestPublicClientLibrary(t *testing.T) {
+// TestOpenAIClientLibrary speaks to a daemon through OpenAI's own client.
+func TestOpenAIClientLibrary(t *testing.T) {
 	t.Parallel()
-	f := start(t, claraOptions(1, 2))
+	f := startFleet(t, claraOptions(1, 2))
 	client := openai.NewClient(option.WithBaseURL(f.Daemons[0].URL()+"/v1"), option.WithAPIKey(deskKey))
 	params := openai.ChatCompletionNewParams{
 		Model:     "assistant",
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestMisbehavingEngines gives the whole answer or a failure whatever an engine
+// TestMisbehavingEngineDoesNotCorruptAnswer gives the whole answer or a failure whatever an engine
 // does to its stream.
-func TestMisbehavingEngines(t *testing.T) {
+func TestMisbehavingEngineDoesNotCorruptAnswer(t *testing.T) {
 	t.Parallel()
 	cases := map[string]struct {
 		faults standin.Faults
@@ -58,43 +58,43 @@
 	}{
 		"reordered":  {standin.Faults{ReorderChunks: true}, true},
 		"duplicated": {standin.Faults{DuplicateChunks: true}, true},
-		"foreign":    {standin.Faults{ForeignChunks: true}, true},
+		"foreign":    {standin.Faults{OtherAttemptChunks: true}, true},
 		"truncated":  {standin.Faults{TruncateAfter: 5}, true}, // the second engine takes over
-		"refusing":   {standin.Faults{Refuse: "busy"}, true},
+		"refusing":   {standin.Faults{RefusalCode: "busy"}, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := start(t, claraOptions(1, 2))
+			f := startFleet(t, claraOptions(1, 2))
 			f.Engines[0].SetFaults(c.faults)
 			for range 6 {
 				r := chat(t, f.Daemons[0], deskKey, "hello "+name, 20)
-				wholeOrFailed(t, r, "hello "+name, 20)
+				checkAnswer(t, r, "hello "+name, 20)
 				if c.whole && r.err != nil {
 					t.Fatalf("failed: %s", r.err.Message)
 				}
 			}
-			nothingHeld(t, f)
-			memoryBack(t, f)
+			awaitIdleDaemons(t, f)
+			awaitMemoryFreed(t, f)
 		})
 	}
 }
 
-// TestEngineFailsInTheMiddle, by dying, or by freezing, which answers nothing and
+// TestAnswerContinuesAfterEngineFailure, by dying, or by freezing, which answers nothing and
 // closes nothing: the answer goes on elsewhere, no token twice, long before its
 // deadline.
-func TestEngineFailsInTheMiddle(t *testing.T) {
+func TestAnswerContinuesAfterEngineFailure(t *testing.T) {
 	t.Parallel()
 	for name, harm := range map[string]func(*Engine){
 		"dies":    func(e *Engine) { e.Server.Close() },
-		"freezes": func(e *Engine) { e.SetFaults(standin.Faults{Frozen: true}) },
+		"freezes": func(e *Engine) { e.SetFaults(standin.Faults{Hanging: true}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			o := claraOptions(1, 3)
 			o.Settings = []byte(strings.ReplaceAll(string(o.Settings), "deadline: 30s", "deadline: 10m"))
-			o.Cost.Base *= 4
-			f := start(t, o)
+			o.Cost.FixedStepTime *= 4
+			f := startFleet(t, o)
 			const tokens = 400
 			var wg sync.WaitGroup
 			replies := make([]reply, 8)
@@ -105,76 +105,76 @@
 			harm(f.Engines[0])
 			wg.Wait()
 			for _, r := range replies {
-				wholeOrFailed(t, r, "long talk", tokens)
+				checkAnswer(t, r, "long talk", tokens)
 				if r.err != nil {
 					t.Errorf("failed though two engines live: %s", r.err.Message)
 				}
 			}
-			nothingHeld(t, f)
+			awaitIdleDaemons(t, f)
 		})
 	}
 }
 
-// TestBadCallers get a clear error, and hold nothing afterwards.
-func TestBadCallers(t *testing.T) {
+// TestInvalidRequestsAreRejected get a clear error, and hold nothing afterwards.
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	t.Parallel()
-	f := start(t, claraOptions(1, 1))
+	f := startFleet(t, claraOptions(1, 1))
 	d := f.Daemons[0]
 	cases := map[string]struct {
 		call   call
 		status int
 		code   string
 	}{
-		"no json":        {call{path: "/v1/chat/completions", key: deskKey, body: []byte("{")}, 400, "bad_request"},
-		"no messages":    {call{path: "/v1/chat/completions", key: deskKey, body: []byte(`{"model":"assistant"}`)}, 400, "bad_request"},
-		"an image":       {call{path: "/v1/chat/completions", key: deskKey, body: []byte(`{"model":"assistant","messages":[{"role":"user","content":[{"type":"image_url"}]}]}`)}, 400, "bad_request"},
-		"no such route":  {call{path: "/v1/chat/completions", key: deskKey, body: []byte(`{"model":"x","messages":[{"role":"user","content":"a"}]}`)}, 404, "no_route"},
-		"service as llm": {call{path: "/v1/completions", key: deskKey, body: []byte(`{"model":"slots","prompt":"a"}`)}, 404, "no_route"},
-		"wrong key":      {call{path: "/v1/completions", key: "x", body: []byte(`{}`)}, 401, "unauthenticated"},
-		"too many asked": {call{path: "/v1/completions", key: deskKey, body: []byte(`{"model":"assistant","prompt":"a","max_tokens":99999}`)}, 400, "bad_request"},
-		"too long":       {call{path: "/v1/chat/completions", key: deskKey, body: chatBody(text(1_200_000), 1, false)}, 413, "too_large"},
-		"huge":           {call{path: "/v1/chat/completions", key: deskKey, body: make([]byte, 17<<20)}, 413, "too_large"},
-		"no endpoint":    {call{path: "/v2/x", key: deskKey}, 404, "no_route"},
+		"no json":        {call{path: "/v1/chat/completions", apiKey: deskKey, body: []byte("{")}, 400, "bad_request"},
+		"no messages":    {call{path: "/v1/chat/completions", apiKey: deskKey, body: []byte(`{"model":"assistant"}`)}, 400, "bad_request"},
+		"an image":       {call{path: "/v1/chat/completions", apiKey: deskKey, body: []byte(`{"model":"assistant","messages":[{"role":"user","content":[{"type":"image_url"}]}]}`)}, 400, "bad_request"},
+		"no such route":  {call{path: "/v1/chat/completions", apiKey: deskKey, body: []byte(`{"model":"x","messages":[{"role":"user","content":"a"}]}`)}, 404, "no_route"},
+		"service as llm": {call{path: "/v1/completions", apiKey: deskKey, body: []byte(`{"model":"slots","prompt":"a"}`)}, 404, "no_route"},
+		"wrong key":      {call{path: "/v1/completions", apiKey: "x", body: []byte(`{}`)}, 401, "unauthenticated"},
+		"too many asked": {call{path: "/v1/completions", apiKey: deskKey, body: []byte(`{"model":"assistant","prompt":"a","max_tokens":99999}`)}, 400, "bad_request"},
+		"too long":       {call{path: "/v1/chat/completions", apiKey: deskKey, body: chatBody(promptText(1_200_000), 1, false)}, 413, "too_large"},
+		"huge":           {call{path: "/v1/chat/completions", apiKey: deskKey, body: make([]byte, 17<<20)}, 413, "too_large"},
+		"no endpoint":    {call{path: "/v2/x", apiKey: deskKey}, 404, "no_route"},
 	}
 	for name, c := range cases {
-		r := do(t, d, c.call)
+		r := doCall(t, d, c.call)
 		if r.status != c.status || r.err == nil || string(r.err.Code) != c.code {
 			t.Errorf("%s: got %s, want %d %s", name, describe(r), c.status, c.code)
 			continue
 		}
-		if r.err.Execution != "not_run" || r.err.Remedy == "" || r.id == "" {
-			t.Errorf("%s: %+v, id %q", name, r.err, r.id)
+		if r.err.Execution != "not_run" || r.err.Remedy == "" || r.requestID == "" {
+			t.Errorf("%s: %+v, id %q", name, r.err, r.requestID)
 		}
 	}
-	if got := do(t, d, call{method: http.MethodGet, path: "/v1/models", key: deskKey}); got.status != 200 {
+	if got := doCall(t, d, call{method: http.MethodGet, path: "/v1/models", apiKey: deskKey}); got.status != 200 {
 		t.Errorf("models: %s", describe(got))
 	}
-	nothingHeld(t, f)
+	awaitIdleDaemons(t, f)
 }
 
-// TestAbandonedCallersFreeTheEngine: a caller that goes away costs nothing more.
-func TestAbandonedCallersFreeTheEngine(t *testing.T) {
+// TestDisconnectFreesEngineMemory: a caller that goes away costs nothing more.
+func TestDisconnectFreesEngineMemory(t *testing.T) {
 	t.Parallel()
 	o := claraOptions(1, 1)
-	o.Cost.Base = patience / 1000 // The answer takes longer than the test waits.
-	f := start(t, o)
+	o.Cost.FixedStepTime = waitTimeout / 1000 // The answer takes longer than the test waits.
+	f := startFleet(t, o)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		for ctx.Err() == nil { // A refusal is not what this test is about.
-			abandon(ctx, f.Daemons[0])
+			readUntilCancelled(ctx, f.Daemons[0])
 		}
 	}()
 	eventually(t, "the engine works on it", func() bool { return f.Engines[0].UsedTokens() > 0 })
 	cancel()
 	<-ended
-	nothingHeld(t, f)
-	memoryBack(t, f)
+	awaitIdleDaemons(t, f)
+	awaitMemoryFreed(t, f)
 }
 
-// abandon asks for a long answer and reads it until ctx ends.
-func abandon(ctx context.Context, n *Node) {
+// readUntilCancelled asks for a long answer and reads it until ctx ends.
+func readUntilCancelled(ctx context.Context, n *Daemon) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, n.URL()+"/v1/chat/completions", strings.NewReader(string(chatBody("x", 2000, true))))
 	if err != nil {
 		return
--- a/node/internal/fleet/bench_test.go
+++ b/node/internal/fleet/bench_test.go
@@ -15,7 +15,7 @@
 	"doorstack.dev/node/internal/standin"
 )
 
-func benchFleet(b *testing.B, cost standin.Cost) *Fleet {
+func startBenchFleet(b *testing.B, cost standin.CostModel) *Fleet {
 	b.Helper()
 	o := claraOptions(1, 1)
 	o.Cost = cost
@@ -29,8 +29,8 @@
 	return f
 }
 
-// firstLine asks and returns the time to the first line of the answer's body.
-func firstLine(b *testing.B, url, key string, body []byte) time.Duration {
+// timeToFirstLine asks and returns the time to the first line of the answer's body.
+func timeToFirstLine(b *testing.B, url, key string, body []byte) time.Duration {
 	b.Helper()
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -56,17 +56,17 @@
 // BenchmarkFirstTokenAdded compares the daemon with the stand-in asked directly,
 // turn by turn in one run, and reports both medians.
 func BenchmarkFirstTokenAdded(b *testing.B) {
-	cost := fast()
-	cost.Base = 0
-	f := benchFleet(b, cost)
+	cost := fastCostModel()
+	cost.FixedStepTime = 0
+	f := startBenchFleet(b, cost)
 	prompt := "is there a slot on Tuesday?"
 	through, direct := []time.Duration{}, []time.Duration{}
 	i := 0
 	for b.Loop() {
 		i++
-		through = append(through, firstLine(b, f.Daemons[0].URL()+"/v1/chat/completions", appKey, chatBody(prompt, 2, true)))
+		through = append(through, timeToFirstLine(b, f.Daemons[0].URL()+"/v1/chat/completions", appKey, chatBody(prompt, 2, true)))
 		g := fmt.Sprintf(`{"attempt":"bench-%d","model":"assistant-7b","prompt":%q,"max_tokens":2}`, i, prompt)
-		direct = append(direct, firstLine(b, "http://"+f.Engines[0].Server.Address+"/v1/generate", "", []byte(g)))
+		direct = append(direct, timeToFirstLine(b, "http://"+f.Engines[0].Server.Address+"/v1/generate", "", []byte(g)))
 	}
 	slices.Sort(through)
 	slices.Sort(direct)
@@ -79,14 +79,14 @@
 // processor for everything: daemon, stand-in and the reading caller.
 func BenchmarkRelay(b *testing.B) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	cost := fast()
-	cost.Base, cost.Decode = 0, 0
-	f := benchFleet(b, cost)
+	cost := fastCostModel()
+	cost.FixedStepTime, cost.PerStream = 0, 0
+	f := startBenchFleet(b, cost)
 	const tokens = 2000
 	start := time.Now()
 	n := 0
 	for b.Loop() {
-		firstLine(b, f.Daemons[0].URL()+"/v1/chat/completions", appKey, chatBody("tell me all", tokens, true))
+		timeToFirstLine(b, f.Daemons[0].URL()+"/v1/chat/completions", appKey, chatBody("tell me all", tokens, true))
 		n += tokens
 	}
 	b.ReportMetric(float64(n)/time.Since(start).Seconds(), "tokens/s")
@@ -97,9 +97,9 @@
 func BenchmarkOpenStreamMemory(b *testing.B) {
 	const streams = 300
 	for b.Loop() {
-		f := benchFleet(b, fast())
+		f := startBenchFleet(b, fastCostModel())
 		f.Engines[0].SetFaults(standin.Faults{Stall: true})
-		before := heap()
+		before := memoryInUse()
 		ctx, cancel := context.WithCancel(context.Background())
 		for range streams {
 			go func() {
@@ -113,22 +113,22 @@
 				}
 			}()
 		}
-		waitFor(func() bool {
+		pollUntil(func() bool {
 			return f.Daemons[0].Board.InFlight() == streams
 		})
-		b.ReportMetric((float64(heap())-float64(before))/streams/1024, "KB/stream-all-sides")
+		b.ReportMetric((float64(memoryInUse())-float64(before))/streams/1024, "KB/stream-all-sides")
 		cancel()
-		waitFor(func() bool { return f.Daemons[0].Board.InFlight() == 0 })
+		pollUntil(func() bool { return f.Daemons[0].Board.InFlight() == 0 })
 	}
 }
 
-func waitFor(condition func() bool) {
-	for end := time.Now().Add(patience); !condition() && time.Now().Before(end); {
+func pollUntil(condition func() bool) {
+	for end := time.Now().Add(waitTimeout); !condition() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond) // A benchmark, not a test.
 	}
 }
 
-func heap() uint64 {
+func memoryInUse() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/node/internal/fleet/fleet.go
+++ b/node/internal/fleet/fleet.go
@@ -28,9 +28,9 @@
 	// EnginePool, ServicePool and Model name what the settings route to.
 	EnginePool, ServicePool, Model string
 	// Cost is the engines' cost model.
-	Cost standin.Cost
+	Cost standin.CostModel
 	// Log receives the daemons' log lines; nil drops them.
-	Log io.Writer
+	LogOutput io.Writer
 	// DataCentres are spread over hosts in turn; by default one.
 	DataCentres []string
 }
@@ -41,7 +41,7 @@
 	PlatformServer *standin.Server
 	Engines        []*Engine
 	Services       []*Service
-	Daemons        []*Node
+	Daemons        []*Daemon
 	options        Options
 }
 
@@ -59,17 +59,17 @@
 	Server *standin.Server
 }
 
-// Node is a running daemon.
-type Node struct {
+// Daemon is a running daemon.
+type Daemon struct {
 	*daemon.Daemon
-	Host   hostlist.Host
-	cancel context.CancelFunc
-	done   chan struct{}
-	once   sync.Once
+	Host     hostlist.Host
+	cancel   context.CancelFunc
+	done     chan struct{}
+	stopOnce sync.Once
 }
 
-// region is the region of all hosts.
-const region = "r1"
+// hostRegion is the region of all hosts.
+const hostRegion = "r1"
 
 // anyPort lets the system choose a port on loopback.
 const anyPort = "127.0.0.1:0"
@@ -111,7 +111,7 @@
 			return err
 		}
 	}
-	f.Publish()
+	f.PublishHosts()
 	for _, d := range f.Daemons {
 		d.start()
 	}
@@ -133,7 +133,7 @@
 	}
 	f.Engines = append(f.Engines, &Engine{Engine: e, Server: server, Host: hostlist.Host{
 		ID: e.Name, Role: hostlist.RoleTarget, Address: server.Address, Pool: f.options.EnginePool,
-		DataCentre: f.dataCentre(i), Region: region, State: hostlist.Live,
+		DataCentre: f.dataCentre(i), Region: hostRegion, State: hostlist.Live,
 	}})
 	return nil
 }
@@ -146,7 +146,7 @@
 	}
 	f.Services = append(f.Services, &Service{Service: s, Server: server, Host: hostlist.Host{
 		ID: s.Name, Role: hostlist.RoleTarget, Address: server.Address, Pool: f.options.ServicePool,
-		DataCentre: f.dataCentre(i), Region: region, State: hostlist.Live,
+		DataCentre: f.dataCentre(i), Region: hostRegion, State: hostlist.Live,
 	}})
 	return nil
 }
@@ -155,12 +155,12 @@
 	file := config.Default()
 	file.Name = fmt.Sprintf("daemon-%d", i+1)
 	file.Listen, file.Admin, file.Peer = anyPort, anyPort, anyPort
-	file.DataCentre, file.Region = f.dataCentre(i), region
+	file.DataCentre, file.Region = f.dataCentre(i), hostRegion
 	file.Platform.Configuration = "http://" + f.PlatformServer.Address
 	file.Platform.Hosts = file.Platform.Configuration
 	file.PeerKeys = []string{peerKey}
 	file.DrainDelay = strictyaml.Duration(0)
-	node, err := f.newNode(&file)
+	node, err := f.newDaemon(&file)
 	if err != nil {
 		return err
 	}
@@ -168,8 +168,8 @@
 	return nil
 }
 
-func (f *Fleet) newNode(file *config.File) (*Node, error) {
-	out := f.options.Log
+func (f *Fleet) newDaemon(file *config.File) (*Daemon, error) {
+	out := f.options.LogOutput
 	if out == nil {
 		out = io.Discard
 	}
@@ -177,13 +177,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Node{Daemon: d, done: make(chan struct{}), Host: hostlist.Host{
+	return &Daemon{Daemon: d, done: make(chan struct{}), Host: hostlist.Host{
 		ID: file.Name, Role: hostlist.RoleDaemon, Address: file.Peer,
 		DataCentre: file.DataCentre, Region: file.Region, State: hostlist.Live,
 	}}, nil
 }
 
-func (n *Node) start() {
+func (n *Daemon) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
 	go func() {
@@ -192,14 +192,14 @@
 	}()
 }
 
-// readyTimeout bounds the start of a daemon; readyPoll is how often it is asked.
+// readyTimeout bounds the start of a daemon; readyPollInterval is how often it is asked.
 const (
-	readyTimeout = 20 * time.Second
-	readyPoll    = 5 * time.Millisecond
+	readyTimeout      = 20 * time.Second
+	readyPollInterval = 5 * time.Millisecond
 )
 
 // WaitReady waits until the daemon serves.
-func (n *Node) WaitReady() error {
+func (n *Daemon) WaitReady() error {
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
@@ -214,14 +214,14 @@
 				return nil
 			}
 		}
-		time.Sleep(readyPoll)
+		time.Sleep(readyPollInterval)
 	}
 	return errors.New(n.Config.Name + " did not get ready")
 }
 
 // Stop ends the daemon at once and waits until it is gone.
-func (n *Node) Stop() {
-	n.once.Do(func() {
+func (n *Daemon) Stop() {
+	n.stopOnce.Do(func() {
 		if n.cancel == nil {
 			return
 		}
@@ -232,36 +232,36 @@
 
 // Kill makes the daemon fall silent at once, as a crash does: what it has begun at
 // targets stays there.
-func (n *Node) Kill() {
+func (n *Daemon) Kill() {
 	n.SimulateCrash()
 	n.Stop()
 }
 
 // Done is closed when the daemon has ended.
-func (n *Node) Done() <-chan struct{} { return n.done }
+func (n *Daemon) Done() <-chan struct{} { return n.done }
 
 // URL is the callers' base URL.
-func (n *Node) URL() string { return "http://" + n.Config.Listen }
+func (n *Daemon) URL() string { return "http://" + n.Config.Listen }
 
 // Join adds a daemon that reads its settings from another address, after prepare.
-func (f *Fleet) Join(configuration string, prepare func(*Node)) (*Node, error) {
+func (f *Fleet) Join(configuration string, prepare func(*Daemon)) (*Daemon, error) {
 	if err := f.addDaemon(len(f.Daemons)); err != nil {
 		return nil, err
 	}
 	n := f.Daemons[len(f.Daemons)-1]
 	n.SetConfigurationURL("http://" + configuration)
 	prepare(n)
-	f.Publish()
+	f.PublishHosts()
 	n.start()
 	return n, nil
 }
 
 // Restart replaces an ended daemon by a new process of the same host, which
 // remembers nothing.
-func (f *Fleet) Restart(i int) (*Node, error) {
+func (f *Fleet) Recreate(i int) (*Daemon, error) {
 	file := *f.Daemons[i].Config
 	file.Listen, file.Admin, file.Peer = anyPort, anyPort, anyPort
-	n, err := f.newNode(&file)
+	n, err := f.newDaemon(&file)
 	if err != nil {
 		return nil, err
 	}
@@ -270,10 +270,10 @@
 }
 
 // Start runs a daemon that Restart made.
-func (n *Node) Start() { n.start() }
+func (n *Daemon) Start() { n.start() }
 
 // Publish puts all hosts on the platform's list.
-func (f *Fleet) Publish() {
+func (f *Fleet) PublishHosts() {
 	var hosts []hostlist.Host
 	for _, d := range f.Daemons {
 		hosts = append(hosts, d.Host)
--- a/node/internal/fleet/helpers_test.go
+++ b/node/internal/fleet/helpers_test.go
@@ -19,13 +19,13 @@
 	"github.com/google/uuid"
 )
 
-// fast is an engine quick enough that tests wait for little.
-func fast() standin.Cost {
-	c := standin.DefaultCost()
-	c.Base = 500 * time.Microsecond
-	c.Prefill = time.Microsecond
-	c.Context = time.Microsecond
-	c.Decode = 5 * time.Microsecond
+// fastCostModel is an engine quick enough that tests wait for little.
+func fastCostModel() standin.CostModel {
+	c := standin.DefaultCostModel()
+	c.FixedStepTime = 500 * time.Microsecond
+	c.PerPromptToken = time.Microsecond
+	c.ContextPerMillion = time.Microsecond
+	c.PerStream = 5 * time.Microsecond
 	return c
 }
 
@@ -34,12 +34,12 @@
 	roomy := strings.ReplaceAll(string(examples.Clara), "requests_per_second: 50", "requests_per_second: 50000")
 	return Options{
 		Settings: []byte(roomy), Daemons: daemons, Engines: engines, Services: 1,
-		EnginePool: "llm", ServicePool: "scheduling", Model: "assistant-7b", Cost: fast(),
+		EnginePool: "llm", ServicePool: "scheduling", Model: "assistant-7b", Cost: fastCostModel(),
 		DataCentres: []string{"dc1", "dc2", "dc3"},
 	}
 }
 
-func start(t *testing.T, o Options) *Fleet {
+func startFleet(t *testing.T, o Options) *Fleet {
 	t.Helper()
 	f, err := Start(o)
 	if err != nil {
@@ -49,14 +49,14 @@
 	return f
 }
 
-// patience bounds every wait of a test; it decides nothing but how long a broken
+// waitTimeout bounds every wait of a test; it decides nothing but how long a broken
 // program is waited for.
-const patience = 60 * time.Second
+const waitTimeout = 60 * time.Second
 
 // eventually waits until a condition holds.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.NewTimer(patience)
+	deadline := time.NewTimer(waitTimeout)
 	defer deadline.Stop()
 	look := time.NewTicker(5 * time.Millisecond)
 	defer look.Stop()
@@ -64,7 +64,7 @@
 		select {
 		case <-look.C:
 		case <-deadline.C:
-			t.Fatalf("waited %v in vain until %s", patience, what)
+			t.Fatalf("waited %v in vain until %s", waitTimeout, what)
 		}
 	}
 }
@@ -78,30 +78,30 @@
 
 // reply is an answer as a caller sees it.
 type reply struct {
-	status int
-	id     string
-	text   string // of a whole answer
-	body   string
-	err    *api.ErrorDetail
+	status    int
+	requestID string
+	text      string // of a whole answer
+	body      string
+	err       *api.ErrorDetail
 }
 
 type call struct {
-	method, path, key, idempotency string
-	body                           []byte
+	method, path, apiKey, idempotencyKey string
+	body                                 []byte
 }
 
-func do(t *testing.T, n *Node, c call) reply {
+func doCall(t *testing.T, n *Daemon, c call) reply {
 	t.Helper()
-	r, err := try(n, c)
+	r, err := tryCall(n, c)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// try makes a call; the error is one of the connection.
-func try(n *Node, c call) (reply, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// tryCall makes a call; the error is one of the connection.
+func tryCall(n *Daemon, c call) (reply, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	if c.method == "" {
 		c.method = http.MethodPost
@@ -110,9 +110,9 @@
 	if err != nil {
 		return reply{}, err
 	}
-	req.Header.Set("Authorization", "Bearer "+c.key)
-	if c.idempotency != "" {
-		req.Header.Set("Idempotency-Key", c.idempotency)
+	req.Header.Set("Authorization", "Bearer "+c.apiKey)
+	if c.idempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", c.idempotencyKey)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -120,7 +120,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(resp.Body)
-	r := reply{status: resp.StatusCode, id: resp.Header.Get(api.HeaderRequestID), body: string(data)}
+	r := reply{status: resp.StatusCode, requestID: resp.Header.Get(api.HeaderRequestID), body: string(data)}
 	if resp.StatusCode >= 400 {
 		var e api.ErrorBody
 		if json.Unmarshal(data, &e) == nil {
@@ -142,17 +142,17 @@
 }
 
 // chat asks for a streamed answer and returns its text, or the error in it.
-func chat(t *testing.T, n *Node, key, prompt string, tokens int) reply {
+func chat(t *testing.T, n *Daemon, key, prompt string, tokens int) reply {
 	t.Helper()
-	r := do(t, n, call{path: "/v1/chat/completions", key: key, body: chatBody(prompt, tokens, true)})
-	r.read(t)
+	r := doCall(t, n, call{path: "/v1/chat/completions", apiKey: key, body: chatBody(prompt, tokens, true)})
+	r.parseEvents(t)
 	return r
 }
 
-// chatAgain asks like chat and, as callers do, once more after each refusal for a limit.
+// chatWithRetry asks like chat and, as callers do, once more after each refusal for a limit.
 // On a busy host an account's owner may be late to lend a daemon its part of the limit;
 // what the tests that use it are about is served all the same.
-func chatAgain(t *testing.T, n *Node, key, prompt string, tokens int) reply {
+func chatWithRetry(t *testing.T, n *Daemon, key, prompt string, tokens int) reply {
 	t.Helper()
 	var r reply
 	eventually(t, "an answer that is no refusal for a limit", func() bool {
@@ -163,7 +163,7 @@
 }
 
 // read parses server-sent events.
-func (r *reply) read(t *testing.T) {
+func (r *reply) parseEvents(t *testing.T) {
 	t.Helper()
 	if r.status != http.StatusOK {
 		return
@@ -202,8 +202,8 @@
 
 // The eight properties of the brief, as checks that the failure tests share.
 
-// wholeOrFailed: a caller has its own whole answer or an error, never a part.
-func wholeOrFailed(t *testing.T, r reply, prompt string, tokens int64) {
+// checkAnswer: a caller has its own whole answer or an error, never a part.
+func checkAnswer(t *testing.T, r reply, prompt string, tokens int64) {
 	t.Helper()
 	want := standin.Answer(prompt, tokens)
 	if r.err == nil && r.text != want {
@@ -214,8 +214,8 @@
 	}
 }
 
-// memoryBack: no engine holds memory when nothing runs.
-func memoryBack(t *testing.T, f *Fleet) {
+// awaitMemoryFreed: no engine holds memory when nothing runs.
+func awaitMemoryFreed(t *testing.T, f *Fleet) {
 	t.Helper()
 	eventually(t, "all engine memory is free", func() bool {
 		for _, e := range f.Engines {
@@ -227,13 +227,13 @@
 	})
 }
 
-// atMostOnce: the service ran a key once at most, and not at all if a caller was
+// checkSingleExecution: the service ran a key once at most, and not at all if a caller was
 // told so.
-func atMostOnce(t *testing.T, f *Fleet, key string, replies ...reply) {
+func checkSingleExecution(t *testing.T, f *Fleet, key string, replies ...reply) {
 	t.Helper()
 	ran := 0
 	for _, s := range f.Services {
-		ran += s.Ran(key)
+		ran += s.Executions(key)
 	}
 	if ran > 1 {
 		t.Fatalf("the call with key %s ran %d times", key, ran)
@@ -245,8 +245,8 @@
 	}
 }
 
-// nothingHeld: no daemon holds a body, a request or a waiting place.
-func nothingHeld(t *testing.T, f *Fleet) {
+// awaitIdleDaemons: no daemon holds a body, a request or a waiting place.
+func awaitIdleDaemons(t *testing.T, f *Fleet) {
 	t.Helper()
 	eventually(t, "no daemon holds anything", func() bool {
 		for _, d := range f.Daemons {
@@ -260,20 +260,20 @@
 
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
 
-// pastYouth waits until keys made from now on are younger than all witnesses. That a key
+// awaitWitnessAge waits until keys made from now on are younger than all witnesses. That a key
 // is granted is not enough: three of five do that, while the others may be young.
-func pastYouth(t *testing.T, f *Fleet) {
+func awaitWitnessAge(t *testing.T, f *Fleet) {
 	t.Helper()
 	running := time.Now() // All daemons have started by now.
 	eventually(t, "all witnesses are older than a key by the skew of clocks", func() bool { return time.Since(running) > claim.MaxClockSkew })
 	for _, d := range f.Daemons {
 		eventually(t, "a fresh key is granted through "+d.Config.Name, func() bool {
-			r, err := try(d, call{path: "/v1/services/confirm/warm-up", key: deskKey, idempotency: newKey()})
+			r, err := tryCall(d, call{path: "/v1/services/confirm/warm-up", apiKey: deskKey, idempotencyKey: newKey()})
 			return err == nil && r.status == http.StatusOK
 		})
 	}
 }
 
-func text(tokens int) string { return strings.Repeat("kiln", tokens) }
+func promptText(tokens int) string { return strings.Repeat("kiln", tokens) }
 
 func describe(r reply) string { return fmt.Sprintf("%d %.200s", r.status, r.body) }
--- a/node/internal/fleet/once_test.go
+++ b/node/internal/fleet/once_test.go
@@ -9,13 +9,13 @@
 	"doorstack.dev/node/internal/standin"
 )
 
-func confirm(t *testing.T, n *Node, key string) reply {
+func confirm(t *testing.T, n *Daemon, key string) reply {
 	t.Helper()
-	return do(t, n, call{path: "/v1/services/confirm/slots/17", key: deskKey, idempotency: key, body: []byte(`{"slot":17}`)})
+	return doCall(t, n, call{path: "/v1/services/confirm/slots/17", apiKey: deskKey, idempotencyKey: key, body: []byte(`{"slot":17}`)})
 }
 
-// confirmAgain asks like confirm and, as callers do, once more after each refusal for a limit.
-func confirmAgain(t *testing.T, n *Node, key string) reply {
+// confirmWithRetry asks like confirm and, as callers do, once more after each refusal for a limit.
+func confirmWithRetry(t *testing.T, n *Daemon, key string) reply {
 	t.Helper()
 	var r reply
 	eventually(t, "an answer that is no refusal for a limit", func() bool {
@@ -25,13 +25,13 @@
 	return r
 }
 
-// TestDuplicatesThroughAllHosts: one run, and everybody gets its answer, also right after a
+// TestDuplicatesAtAllDaemonsRunOnce: one run, and everybody gets its answer, also right after a
 // daemon came back to life, when the owners of limits lend nothing for 8 s and each daemon has
 // one call of the account's 100.
-func TestDuplicatesThroughAllHosts(t *testing.T) {
+func TestDuplicatesAtAllDaemonsRunOnce(t *testing.T) {
 	t.Parallel()
-	f := start(t, claraOptions(5, 1))
-	pastYouth(t, f)
+	f := startFleet(t, claraOptions(5, 1))
+	awaitWitnessAge(t, f)
 	for _, d := range f.Daemons {
 		d.Board.Shares.DaemonJoined(time.Now())
 	}
@@ -39,11 +39,11 @@
 	replies := make([]reply, 20)
 	var wg sync.WaitGroup
 	for i := range replies {
-		wg.Go(func() { replies[i] = confirmAgain(t, f.Daemons[i%5], key) })
+		wg.Go(func() { replies[i] = confirmWithRetry(t, f.Daemons[i%5], key) })
 	}
 	wg.Wait()
-	atMostOnce(t, f, key, replies...)
-	if f.Services[0].Ran(key) != 1 {
+	checkSingleExecution(t, f, key, replies...)
+	if f.Services[0].Executions(key) != 1 {
 		t.Fatalf("nobody got through: %s", describe(replies[0]))
 	}
 	for _, r := range replies {
@@ -57,24 +57,24 @@
 	}
 }
 
-// TestServiceDiesAfterRunning: the outcome is unknown, and it stays at one run
+// TestCallWithUnknownOutcomeIsNotRunAgain: the outcome is unknown, and it stays at one run
 // however often and wherever the caller asks again.
-func TestServiceDiesAfterRunning(t *testing.T) {
+func TestCallWithUnknownOutcomeIsNotRunAgain(t *testing.T) {
 	t.Parallel()
 	for name, faults := range map[string]standin.ServiceFaults{
-		"before its answer": {DieAfterRun: true},
-		"in its answer":     {DieMidAnswer: true},
+		"before its answer": {AbortAfterRun: true},
+		"in its answer":     {AbortMidAnswer: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := start(t, claraOptions(3, 1))
-			pastYouth(t, f)
+			f := startFleet(t, claraOptions(3, 1))
+			awaitWitnessAge(t, f)
 			f.Services[0].SetFaults(faults)
 			key := newKey()
 			first := confirm(t, f.Daemons[0], key)
 			f.Services[0].SetFaults(standin.ServiceFaults{})
 			replies := []reply{first, confirm(t, f.Daemons[0], key), confirm(t, f.Daemons[1], key), confirm(t, f.Daemons[2], key)}
-			atMostOnce(t, f, key, replies...)
+			checkSingleExecution(t, f, key, replies...)
 			for _, r := range replies {
 				if r.err == nil || r.err.Execution != "unknown" {
 					t.Errorf("got %s, want unknown", describe(r))
@@ -84,48 +84,48 @@
 	}
 }
 
-// TestARefusedCallMayBeSentAgain: the service's own word that it did not run
+// TestRefusedCallFreesIdempotencyKey: the service's own word that it did not run
 // frees the key.
-func TestARefusedCallMayBeSentAgain(t *testing.T) {
+func TestRefusedCallFreesIdempotencyKey(t *testing.T) {
 	t.Parallel()
-	f := start(t, claraOptions(3, 1))
-	pastYouth(t, f)
+	f := startFleet(t, claraOptions(3, 1))
+	awaitWitnessAge(t, f)
 	f.Services[0].SetFaults(standin.ServiceFaults{Refuse: true})
 	key := newKey()
 	first := confirm(t, f.Daemons[0], key)
 	if first.err == nil || first.err.Execution != "not_run" {
 		t.Fatalf("got %s, want not_run", describe(first))
 	}
-	atMostOnce(t, f, key, first)
+	checkSingleExecution(t, f, key, first)
 	f.Services[0].SetFaults(standin.ServiceFaults{})
 	eventually(t, "the key is free again", func() bool { return confirm(t, f.Daemons[1], key).status == http.StatusOK })
-	atMostOnce(t, f, key)
+	checkSingleExecution(t, f, key)
 }
 
-// TestDaemonDiesWithTheKey: its duplicate elsewhere hears unknown, never a run.
-func TestDaemonDiesWithTheKey(t *testing.T) {
+// TestDuplicateOfStoppedDaemonsCallIsUnknown: its duplicate elsewhere hears unknown, never a run.
+func TestDuplicateOfStoppedDaemonsCallIsUnknown(t *testing.T) {
 	t.Parallel()
-	f := start(t, claraOptions(3, 1))
-	pastYouth(t, f)
-	f.Services[0].SetFaults(standin.ServiceFaults{DieAfterRun: true})
+	f := startFleet(t, claraOptions(3, 1))
+	awaitWitnessAge(t, f)
+	f.Services[0].SetFaults(standin.ServiceFaults{AbortAfterRun: true})
 	key := newKey()
 	first := confirm(t, f.Daemons[0], key)
 	f.Daemons[0].Stop()
 	f.Services[0].SetFaults(standin.ServiceFaults{})
 	second := confirm(t, f.Daemons[1], key)
-	atMostOnce(t, f, key, first, second)
+	checkSingleExecution(t, f, key, first, second)
 	if second.err == nil || second.err.Execution != "unknown" {
 		t.Errorf("got %s, want unknown", describe(second))
 	}
 }
 
-// TestSplit: each side serves what is safe there. The side without a majority of
+// TestPartitionedDaemonsRunCallAtMostOnce: each side serves what is safe there. The side without a majority of
 // a key's witnesses refuses, and never says not_run of a call that ran.
-func TestSplit(t *testing.T) {
+func TestPartitionedDaemonsRunCallAtMostOnce(t *testing.T) {
 	t.Parallel()
-	f := start(t, claraOptions(5, 1))
-	pastYouth(t, f)
-	split(f, 2, true)
+	f := startFleet(t, claraOptions(5, 1))
+	awaitWitnessAge(t, f)
+	setPartition(f, 2, true)
 	for range 10 {
 		key := newKey()
 		replies := make([]reply, 5)
@@ -134,24 +134,24 @@
 			wg.Go(func() { replies[i] = confirm(t, f.Daemons[i], key) })
 		}
 		wg.Wait()
-		atMostOnce(t, f, key, replies...)
+		checkSingleExecution(t, f, key, replies...)
 		for i, r := range replies[:2] {
 			if r.status == http.StatusOK {
 				t.Errorf("daemon %d of the smaller side ran a claimed call", i)
 			}
 		}
-		if f.Services[0].Ran(key) != 1 {
+		if f.Services[0].Executions(key) != 1 {
 			t.Errorf("the larger side did not serve: %s", describe(replies[4]))
 		}
 	}
-	split(f, 2, false)
+	setPartition(f, 2, false)
 	eventually(t, "the smaller side serves again", func() bool {
 		return confirm(t, f.Daemons[0], newKey()).status == http.StatusOK
 	})
 }
 
-// split cuts the first n daemons off from the others, or joins them again.
-func split(f *Fleet, n int, cut bool) {
+// setPartition cuts the first n daemons off from the others, or joins them again.
+func setPartition(f *Fleet, n int, cut bool) {
 	for i, a := range f.Daemons {
 		for j, b := range f.Daemons {
 			if (i < n) != (j < n) {
--- a/node/internal/fleet/operations_test.go
+++ b/node/internal/fleet/operations_test.go
@@ -15,7 +15,7 @@
 )
 
 // revisions lists the settings revision in force at each daemon.
-func (f *Fleet) revisions() []int64 {
+func (f *Fleet) settingsRevisions() []int64 {
 	var list []int64
 	for _, d := range f.Daemons {
 		list = append(list, d.Board.Settings.Current().Revision)
@@ -23,9 +23,9 @@
 	return list
 }
 
-func allAt(f *Fleet, revision int64) func() bool {
+func allAtRevision(f *Fleet, revision int64) func() bool {
 	return func() bool {
-		for _, r := range f.revisions() {
+		for _, r := range f.settingsRevisions() {
 			if r != revision {
 				return false
 			}
@@ -34,41 +34,41 @@
 	}
 }
 
-// TestSettingsReachAllAndNeverGoBack: through a stale, a broken and a dead
+// TestSettingsReachAllDaemonsAndNeverGoBack: through a stale, a broken and a dead
 // configuration service, and with a revision that does not pass the check.
-func TestSettingsReachAllAndNeverGoBack(t *testing.T) {
+func TestSettingsReachAllDaemonsAndNeverGoBack(t *testing.T) {
 	t.Parallel()
-	f := start(t, claraOptions(6, 1))
+	f := startFleet(t, claraOptions(6, 1))
 	put := func(old, with string) int64 {
 		return f.Platform.Put(map[string]string{"doorstack/settings": strings.Replace(string(examples.Clara), old, with, 1)})
 	}
 	second := put("deadline: 30s", "deadline: 31s")
-	eventually(t, "all have the second revision", allAt(f, second))
+	eventually(t, "all have the second revision", allAtRevision(f, second))
 	broken := put("deadline: 30s", "deadlime: 31s")
 	eventually(t, "the broken revision is seen", func() bool {
 		return f.Daemons[0].Board.Settings.Rejected().Revision == broken || f.Daemons[1].Board.Settings.Rejected().Revision == broken
 	})
 	f.Platform.SetFaults(standin.PlatformFaults{Stale: true})
 	third := put("deadline: 30s", "deadline: 32s")
-	f.Platform.SetFaults(standin.PlatformFaults{Garbage: true})
-	if !allAt(f, second)() {
-		t.Fatalf("revisions are %v, want all %d: broken, stale and garbled answers change nothing", f.revisions(), second)
+	f.Platform.SetFaults(standin.PlatformFaults{InvalidJSON: true})
+	if !allAtRevision(f, second)() {
+		t.Fatalf("revisions are %v, want all %d: broken, stale and garbled answers change nothing", f.settingsRevisions(), second)
 	}
 	f.Platform.SetFaults(standin.PlatformFaults{Down: true})
-	r := chatAgain(t, f.Daemons[0], deskKey, "the service is down", 5)
-	wholeOrFailed(t, r, "the service is down", 5)
+	r := chatWithRetry(t, f.Daemons[0], deskKey, "the service is down", 5)
+	checkAnswer(t, r, "the service is down", 5)
 	if r.err != nil {
 		t.Errorf("a dead configuration service stops callers: %s", r.err.Message)
 	}
 	f.Platform.SetFaults(standin.PlatformFaults{})
-	eventually(t, "all have the third revision", allAt(f, third))
+	eventually(t, "all have the third revision", allAtRevision(f, third))
 }
 
-// TestAFreshDaemonComparesBeforeItServes: the configuration service gives it a
+// TestNewDaemonComparesSettingsBeforeServing: the configuration service gives it a
 // stale copy, its peers know better.
-func TestAFreshDaemonComparesBeforeItServes(t *testing.T) {
+func TestNewDaemonComparesSettingsBeforeServing(t *testing.T) {
 	t.Parallel()
-	f := start(t, claraOptions(3, 1))
+	f := startFleet(t, claraOptions(3, 1))
 	f.Platform.SetFaults(standin.PlatformFaults{Stale: true})
 	stale, err := Start(Options{Settings: examples.Clara})
 	if err != nil {
@@ -77,11 +77,11 @@
 	defer stale.Close()
 	f.Platform.SetFaults(standin.PlatformFaults{})
 	second := f.Platform.Put(map[string]string{"doorstack/settings": strings.Replace(string(examples.Clara), "30s", "33s", 1)})
-	eventually(t, "all have the second revision", allAt(f, second))
+	eventually(t, "all have the second revision", allAtRevision(f, second))
 	// The fresh daemon reads its settings from a service that stands still at the
 	// first revision, and its hosts from the fleet's platform.
 	// It cannot reach its peers until it has read.
-	fresh, err := f.Join(stale.PlatformServer.Address, func(n *Node) {
+	fresh, err := f.Join(stale.PlatformServer.Address, func(n *Daemon) {
 		for _, d := range f.Daemons[:3] {
 			n.Hub().Block(d.Config.Name, true)
 		}
@@ -101,17 +101,17 @@
 	}
 }
 
-// TestLeavingTargetsGetNothingNew: by the host list's word or by their own.
-func TestLeavingTargetsGetNothingNew(t *testing.T) {
+// TestDrainingTargetsGetNoNewRequests: by the host list's word or by their own.
+func TestDrainingTargetsGetNoNewRequests(t *testing.T) {
 	t.Parallel()
-	f := start(t, claraOptions(2, 3))
+	f := startFleet(t, claraOptions(2, 3))
 	f.Engines[0].Host.State = hostlist.Leaving
-	f.Publish()
-	f.Engines[1].SetFaults(standin.Faults{Leaving: true})
+	f.PublishHosts()
+	f.Engines[1].SetFaults(standin.Faults{Draining: true})
 	for _, d := range f.Daemons {
 		eventually(t, "both are seen to leave", func() bool {
 			live := 0
-			for _, s := range d.Board.Targets.Status(nowFor(d)) {
+			for _, s := range d.Board.Targets.Status(currentTime(d)) {
 				if s.Pool == "llm" && s.View.State == 0 {
 					live++
 				}
@@ -131,13 +131,13 @@
 	}
 }
 
-// TestDrainCutsNothing: what is in flight ends whole, what is new is turned away
+// TestDrainFinishesRequestsInFlight: what is in flight ends whole, what is new is turned away
 // honestly, and then the daemon leaves by itself.
-func TestDrainCutsNothing(t *testing.T) {
+func TestDrainFinishesRequestsInFlight(t *testing.T) {
 	t.Parallel()
 	o := claraOptions(2, 2)
-	o.Cost.Base *= 10
-	f := start(t, o)
+	o.Cost.FixedStepTime *= 10
+	f := startFleet(t, o)
 	d := f.Daemons[0]
 	const tokens = 300
 	replies := make([]reply, 6)
@@ -147,13 +147,13 @@
 	}
 	eventually(t, "all run", func() bool { return d.Board.InFlight() == int64(len(replies)) })
 	d.Drain()
-	late, err := try(d, call{path: "/v1/chat/completions", key: appKey, body: chatBody("late", 5, false)})
+	late, err := tryCall(d, call{path: "/v1/chat/completions", apiKey: appKey, body: chatBody("late", 5, false)})
 	if err == nil && (late.status != http.StatusServiceUnavailable || late.err.Execution != "not_run" || !late.err.Retry) {
 		t.Errorf("a new request got %s", describe(late))
 	}
 	wg.Wait()
 	for _, r := range replies {
-		wholeOrFailed(t, r, "going on", tokens)
+		checkAnswer(t, r, "going on", tokens)
 		if r.err != nil {
 			t.Errorf("cut: %s", r.err.Message)
 		}
@@ -164,7 +164,7 @@
 	}
 }
 
-func explanation(t *testing.T, n *Node, id string) (admin.Explanation, int) {
+func getExplanation(t *testing.T, n *Daemon, id string) (admin.Explanation, int) {
 	t.Helper()
 	r, err := http.Get("http://" + n.Config.Admin + "/v1/explain/" + id + "?replay=1")
 	if err != nil {
@@ -178,18 +178,18 @@
 	return e, r.StatusCode
 }
 
-// TestExplainFromAnyHost: and each decision replays to the same outcome.
-func TestExplainFromAnyHost(t *testing.T) {
+// TestExplainWorksFromEveryDaemon: and each decision replays to the same outcome.
+func TestExplainWorksFromEveryDaemon(t *testing.T) {
 	t.Parallel()
 	var logs testlog.Buffer
 	o := claraOptions(3, 2)
-	o.Log = &logs
-	f := start(t, o)
+	o.LogOutput = &logs
+	f := startFleet(t, o)
 	r := chat(t, f.Daemons[0], deskKey, "why", 5)
 	for _, d := range f.Daemons {
-		e, status := explanation(t, d, r.id)
+		e, status := getExplanation(t, d, r.requestID)
 		if status != http.StatusOK || len(e.Records) < 3 || e.Daemon != f.Daemons[0].Config.Name {
-			t.Fatalf("%s knows %d records (%d) of %s: %s", d.Config.Name, len(e.Records), status, r.id, e.Note)
+			t.Fatalf("%s knows %d records (%d) of %s: %s", d.Config.Name, len(e.Records), status, r.requestID, e.Note)
 		}
 		for i, replay := range e.Replays {
 			if replay.Possible && !replay.Same {
@@ -197,30 +197,30 @@
 			}
 		}
 	}
-	if e, status := explanation(t, f.Daemons[1], "unknown-id"); status != http.StatusNotFound || e.Note == "" {
+	if e, status := getExplanation(t, f.Daemons[1], "unknown-id"); status != http.StatusNotFound || e.Note == "" {
 		t.Errorf("an unknown id: %d %+v", status, e)
 	}
-	if got := strings.Count(logs.String(), r.id); got < 3 {
+	if got := strings.Count(logs.String(), r.requestID); got < 3 {
 		t.Errorf("%d log lines for the request, want one for each decision", got)
 	}
 	if strings.Contains(logs.String(), deskKey) {
 		t.Error("an API key is in the log")
 	}
 	f.Daemons[0].Stop()
-	if e, _ := explanation(t, f.Daemons[1], r.id); !strings.Contains(e.Note, "did not answer") {
+	if e, _ := getExplanation(t, f.Daemons[1], r.requestID); !strings.Contains(e.Note, "did not answer") {
 		t.Errorf("of a dead daemon's request: %q", e.Note)
 	}
 }
 
-// TestLimitsHoldOverTheFleet: however requests are spread, no more of an account
+// TestConcurrencyLimitHoldsAcrossFleet: however requests are spread, no more of an account
 // run at one time than its limit allows.
-func TestLimitsHoldOverTheFleet(t *testing.T) {
+func TestConcurrencyLimitHoldsAcrossFleet(t *testing.T) {
 	t.Parallel()
 	const limit = 12
 	o := claraOptions(3, 2)
 	o.Settings = []byte(strings.Replace(string(o.Settings), "concurrent: 100", "concurrent: 12", 1))
-	o.Cost.Base *= 4
-	f := start(t, o)
+	o.Cost.FixedStepTime *= 4
+	f := startFleet(t, o)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	admitted, refused, most := 0, 0, 0
--- a/node/internal/fleet/recovery_test.go
+++ b/node/internal/fleet/recovery_test.go
@@ -8,17 +8,17 @@
 	"doorstack.dev/node/internal/standin"
 )
 
-// TestADataCentreDies, twice: its daemons and engines go at once. What the others
+// TestDataCentreFailure, twice: its daemons and engines go at once. What the others
 // have in flight ends whole, and they go on serving, claims included.
-func TestADataCentreDies(t *testing.T) {
+func TestDataCentreFailure(t *testing.T) {
 	t.Parallel()
-	f := start(t, claraOptions(6, 6))
-	pastYouth(t, f)
+	f := startFleet(t, claraOptions(6, 6))
+	awaitWitnessAge(t, f)
 	const tokens = 300
 	var wg sync.WaitGroup
 	replies := make([]reply, 8)
 	for i := range replies {
-		wg.Go(func() { replies[i] = chatAgain(t, f.Daemons[1+3*(i%2)], appKey, "through a death", tokens) })
+		wg.Go(func() { replies[i] = chatWithRetry(t, f.Daemons[1+3*(i%2)], appKey, "through a death", tokens) })
 	}
 	eventually(t, "all run", func() bool { return f.Daemons[1].Board.InFlight()+f.Daemons[4].Board.InFlight() == 8 })
 	for _, i := range []int{0, 3} { // the hosts of the first data centre
@@ -27,7 +27,7 @@
 	}
 	wg.Wait()
 	for _, r := range replies {
-		wholeOrFailed(t, r, "through a death", tokens)
+		checkAnswer(t, r, "through a death", tokens)
 		if r.err != nil {
 			t.Errorf("failed: %s", r.err.Message)
 		}
@@ -37,26 +37,26 @@
 	if first.status != http.StatusOK {
 		t.Errorf("a claim with two of six hosts gone: %s", describe(first))
 	}
-	atMostOnce(t, f, key, first, confirm(t, f.Daemons[2], key))
+	checkSingleExecution(t, f, key, first, confirm(t, f.Daemons[2], key))
 	// The second death leaves two of six: chats go on, claims are refused.
 	for _, i := range []int{1, 4} {
 		f.Engines[i].Server.Close()
 		f.Daemons[i].Kill()
 	}
-	if r := chatAgain(t, f.Daemons[2], appKey, "after two deaths", 5); r.err != nil {
+	if r := chatWithRetry(t, f.Daemons[2], appKey, "after two deaths", 5); r.err != nil {
 		t.Errorf("failed: %s", r.err.Message)
 	}
 	key = newKey()
-	atMostOnce(t, f, key, confirm(t, f.Daemons[2], key), confirm(t, f.Daemons[5], key))
+	checkSingleExecution(t, f, key, confirm(t, f.Daemons[2], key), confirm(t, f.Daemons[5], key))
 }
 
-// TestAllDaemonsRestartAtOnce, twice: what ran before does not run again, though
+// TestCallIsNotRunAgainAfterAllDaemonsRestart, twice: what ran before does not run again, though
 // nobody remembers it, and fresh keys are served at once.
-func TestAllDaemonsRestartAtOnce(t *testing.T) {
+func TestCallIsNotRunAgainAfterAllDaemonsRestart(t *testing.T) {
 	t.Parallel()
-	f := start(t, claraOptions(3, 1))
-	pastYouth(t, f)
-	f.Services[0].SetFaults(standin.ServiceFaults{DieAfterRun: true})
+	f := startFleet(t, claraOptions(3, 1))
+	awaitWitnessAge(t, f)
+	f.Services[0].SetFaults(standin.ServiceFaults{AbortAfterRun: true})
 	key := newKey()
 	replies := []reply{confirm(t, f.Daemons[0], key)}
 	f.Services[0].SetFaults(standin.ServiceFaults{})
@@ -65,11 +65,11 @@
 			d.Kill()
 		}
 		for i := range f.Daemons {
-			if _, err := f.Restart(i); err != nil {
+			if _, err := f.Recreate(i); err != nil {
 				t.Fatal(err)
 			}
 		}
-		f.Publish()
+		f.PublishHosts()
 		for _, d := range f.Daemons {
 			d.Start()
 		}
@@ -82,10 +82,10 @@
 		if r := chat(t, f.Daemons[0], deskKey, "good morning", 5); r.err != nil {
 			t.Fatalf("a cold start does not serve: %s", r.err.Message)
 		}
-		pastYouth(t, f)
+		awaitWitnessAge(t, f)
 	}
-	atMostOnce(t, f, key, replies...)
-	if f.Services[0].Ran(key) != 1 {
+	checkSingleExecution(t, f, key, replies...)
+	if f.Services[0].Executions(key) != 1 {
 		t.Fatal("the first call did not run")
 	}
 }
--- a/node/internal/policybench/run.go
+++ b/node/internal/policybench/run.go
@@ -73,7 +73,7 @@
 
 type job struct {
 	r       *request
-	running *standin.Running
+	running *standin.RunningJob
 }
 
 // The pace of the daemons in a run.
@@ -89,7 +89,7 @@
 // Run measures. It must be called inside a synctest bubble.
 func Run(s Setup) *Result {
 	r := &run{setup: s, start: time.Now(), all: map[int]*request{}}
-	cost := standin.DefaultCost()
+	cost := standin.DefaultCostModel()
 	for i := range engineCount {
 		e := standin.NewEngine(fmt.Sprint("e", i), cost, s.Tree.Pool("llm").Model)
 		e.SetFaults(standin.Faults{ReportLag: s.ReportLag})
@@ -100,7 +100,7 @@
 		r.policies = append(r.policies, policyNamed(s.Policy)(d, engineCount, s.Tree, s.Seed))
 		r.seen = append(r.seen, make([]int64, engineCount))
 	}
-	perToken := cost.Prefill + cost.Base/time.Duration(cost.Budget)
+	perToken := cost.PerPromptToken + cost.FixedStepTime/time.Duration(cost.StepTokenBudget)
 	rate := s.Load * engineCount / (s.Mix.ratePrompt() * perToken.Seconds())
 	r.schedule(s.Mix.requests(rate, s.Length, s.Seed))
 	r.loop()
@@ -226,7 +226,7 @@
 	now := time.Now()
 	wake := map[int]bool{}
 	r.jobs[engine] = slices.DeleteFunc(r.jobs[engine], func(j *job) bool {
-		if j.r.first == 0 && j.running.Started() {
+		if j.r.first == 0 && j.running.HasFirstToken() {
 			j.r.first = r.now() - j.r.at
 			r.policies[j.r.daemon].started(j.r, now)
 			wake[j.r.daemon] = true
@@ -256,7 +256,7 @@
 			continue
 		}
 		r.policies[d].report(i, e.Report(), now)
-		events := e.EventsAfter(r.seen[d][i])
+		events := e.CacheEventsAfter(r.seen[d][i])
 		if len(events) > 0 {
 			r.seen[d][i] = events[len(events)-1].Sequence
 		}
--- a/node/internal/standin/batch.go
+++ b/node/internal/standin/batch.go
@@ -12,77 +12,77 @@
 func (e *Engine) step() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.faults.Stall || e.faults.Frozen {
-		return e.cost.Base, len(e.queue) > 0
+	if e.faults.Stall || e.faults.Hanging {
+		return e.cost.FixedStepTime, len(e.queue) > 0
 	}
-	e.admit()
+	e.admitWaiting()
 	if len(e.queue) == 0 {
 		return 0, false
 	}
 	e.steps++
-	duration := e.cost.Base
-	read, weighted := e.readPrompts()
-	duration += time.Duration(read)*e.cost.Prefill + time.Duration(weighted*float64(e.cost.Context))
-	duration += time.Duration(e.emitTokens()) * e.cost.Decode
-	if e.faults.Slow > 0 {
-		duration = time.Duration(float64(duration) * e.faults.Slow)
+	duration := e.cost.FixedStepTime
+	read, weighted := e.prefillPrompts()
+	duration += time.Duration(read)*e.cost.PerPromptToken + time.Duration(weighted*float64(e.cost.ContextPerMillion))
+	duration += time.Duration(e.emitTokens()) * e.cost.PerStream
+	if e.faults.Slowdown > 0 {
+		duration = time.Duration(float64(duration) * e.faults.Slowdown)
 	}
 	e.queue = slices.DeleteFunc(e.queue, func(s *sequence) bool { return s.ended })
-	e.remember()
+	e.recordReport()
 	return duration, true
 }
 
 // admit gives memory to waiting sequences in order of urgency.
-func (e *Engine) admit() {
+func (e *Engine) admitWaiting() {
 	slices.SortStableFunc(e.queue, func(a, b *sequence) int {
-		return cmp.Or(cmp.Compare(a.level, b.level), cmp.Compare(a.order, b.order))
+		return cmp.Or(cmp.Compare(a.level, b.level), cmp.Compare(a.arrival, b.arrival))
 	})
 	for _, s := range e.queue {
-		if !s.waiting || s.ended {
+		if !s.awaitingMemory || s.ended {
 			continue
 		}
-		need := s.prompt + s.max
-		if e.used+need > e.cost.Memory {
+		need := s.promptTokens + s.max
+		if e.usedTokens+need > e.cost.MemoryTokens {
 			continue
 		}
-		e.used += need
-		s.held = need
-		s.waiting = false
-		s.read = min(s.prompt-1, e.cache.match(s.prefixes))
-		s.read = max(0, s.read)
+		e.usedTokens += need
+		s.memoryTokens = need
+		s.awaitingMemory = false
+		s.prefilled = min(s.promptTokens-1, e.cache.matchedTokens(s.prefixHashes))
+		s.prefilled = max(0, s.prefilled)
 	}
 }
 
 // readPrompts spends the step's token budget. The second result is the tokens
 // read times the millions of tokens that stand before them.
-func (e *Engine) readPrompts() (read int64, weighted float64) {
+func (e *Engine) prefillPrompts() (read int64, weighted float64) {
 	const million = 1e6
-	budget := e.cost.Budget
+	budget := e.cost.StepTokenBudget
 	for _, s := range e.queue {
-		if s.waiting || s.read >= s.prompt || budget == 0 {
+		if s.awaitingMemory || s.prefilled >= s.promptTokens || budget == 0 {
 			continue
 		}
-		n := min(budget, s.prompt-s.read)
-		weighted += float64(n) * float64(s.before+s.read) / million
-		s.read += n
+		n := min(budget, s.promptTokens-s.prefilled)
+		weighted += float64(n) * float64(s.contextTokens+s.prefilled) / million
+		s.prefilled += n
 		budget -= n
 		read += n
-		if s.read == s.prompt {
-			e.promptRead(s)
+		if s.prefilled == s.promptTokens {
+			e.finishPrefill(s)
 		}
 	}
 	return read, weighted
 }
 
-func (e *Engine) promptRead(s *sequence) {
-	stored, evicted := e.cache.store(s.prefixes)
+func (e *Engine) finishPrefill(s *sequence) {
+	stored, evicted := e.cache.add(s.prefixHashes)
 	if len(stored)+len(evicted) > 0 {
 		e.counter++
-		if e.faults.DropEvents == 0 || e.counter%int64(e.faults.DropEvents) != 0 {
-			e.events = append(e.events, target.CacheEvent{Sequence: int64(len(e.events) + 1), Stored: stored, Evicted: evicted})
+		if e.faults.DropEveryNthEvent == 0 || e.counter%int64(e.faults.DropEveryNthEvent) != 0 {
+			e.cacheEvents = append(e.cacheEvents, target.CacheEvent{Sequence: int64(len(e.cacheEvents) + 1), Stored: stored, Evicted: evicted})
 		}
 	}
-	if s.prefill {
+	if s.prefillOnly {
 		e.end(s, "")
 	}
 }
@@ -91,15 +91,15 @@
 func (e *Engine) emitTokens() int {
 	n := 0
 	for _, s := range e.queue {
-		if s.waiting || s.ended || s.read < s.prompt {
+		if s.awaitingMemory || s.ended || s.prefilled < s.promptTokens {
 			continue
 		}
 		n++
-		if s.next < s.max {
-			s.tokens = append(s.tokens, TokenText(s.seed, s.next))
-			s.next++
+		if s.nextIndex < s.max {
+			s.emitted = append(s.emitted, TokenText(s.seed, s.nextIndex))
+			s.nextIndex++
 		}
-		if s.next >= s.max {
+		if s.nextIndex >= s.max {
 			e.end(s, "")
 		}
 		s.notify()
@@ -113,15 +113,15 @@
 		return
 	}
 	s.ended = true
-	s.failed = failure
-	e.used -= s.held
-	s.held = 0
+	s.failure = failure
+	e.usedTokens -= s.memoryTokens
+	s.memoryTokens = 0
 	s.notify()
-	time.AfterFunc(e.resumable, func() {
+	time.AfterFunc(e.resumeWindow, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if e.sequences[s.attempt] == s {
-			delete(e.sequences, s.attempt)
+		if e.byAttempt[s.attempt] == s {
+			delete(e.byAttempt, s.attempt)
 		}
 	})
 }
--- a/node/internal/standin/enginehttp.go
+++ b/node/internal/standin/enginehttp.go
@@ -15,24 +15,24 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/generate", e.serveGenerate)
 	mux.HandleFunc("POST /v1/resume", e.serveResume)
-	mux.HandleFunc("POST /v1/cancel", handle(func(r target.CancelRequest) *target.ErrorAnswer {
+	mux.HandleFunc("POST /v1/cancel", jsonHandler(func(r target.CancelRequest) *target.ErrorAnswer {
 		e.cancel(r.Attempt)
 		return nil
 	}))
-	mux.HandleFunc("POST /v1/reserve", handle(e.reserve))
-	mux.HandleFunc("POST /v1/release", handle(func(r target.ReleaseRequest) *target.ErrorAnswer {
+	mux.HandleFunc("POST /v1/reserve", jsonHandler(e.reserve))
+	mux.HandleFunc("POST /v1/release", jsonHandler(func(r target.ReleaseRequest) *target.ErrorAnswer {
 		e.release(r.ID)
 		return nil
 	}))
 	mux.HandleFunc("POST /v1/prefill", e.servePrefill)
-	mux.HandleFunc("POST /v1/order", handle(e.order))
+	mux.HandleFunc("POST /v1/order", jsonHandler(e.applyOrder))
 	mux.HandleFunc("GET /v1/load", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, e.Report()) })
 	mux.HandleFunc("GET /v1/events", func(w http.ResponseWriter, r *http.Request) {
 		after, _ := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
-		writeJSON(w, http.StatusOK, e.eventsAfter(after))
+		writeJSON(w, http.StatusOK, e.cacheEventsAfter(after))
 	})
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if e.frozen() {
+		if e.hanging() {
 			<-r.Context().Done()
 			return
 		}
@@ -40,13 +40,13 @@
 	})
 }
 
-func (e *Engine) frozen() bool {
+func (e *Engine) hanging() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.faults.Frozen
+	return e.faults.Hanging
 }
 
-func handle[T any](do func(T) *target.ErrorAnswer) http.HandlerFunc {
+func jsonHandler[T any](do func(T) *target.ErrorAnswer) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in T
 		if !readJSON(w, r, &in) {
@@ -79,12 +79,12 @@
 	if !readJSON(w, r, &g) {
 		return
 	}
-	s, answer := e.start(&g)
+	s, answer := e.startGenerate(&g)
 	if answer != nil {
 		writeJSON(w, http.StatusServiceUnavailable, answer)
 		return
 	}
-	e.relay(w, r, s, g.FirstIndex)
+	e.streamTokens(w, r, s, g.FirstIndex)
 }
 
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
@@ -93,13 +93,13 @@
 		return
 	}
 	e.mu.Lock()
-	s := e.sequences[q.Attempt]
+	s := e.byAttempt[q.Attempt]
 	e.mu.Unlock()
-	if s == nil || q.From < s.first {
+	if s == nil || q.From < s.firstIndex {
 		writeJSON(w, http.StatusNotFound, target.ErrorAnswer{Code: target.CodeUnknownID, Message: "there is no such stream"})
 		return
 	}
-	e.relay(w, r, s, q.From)
+	e.streamTokens(w, r, s, q.From)
 }
 
 func (e *Engine) servePrefill(w http.ResponseWriter, r *http.Request) {
@@ -112,20 +112,20 @@
 		writeJSON(w, http.StatusServiceUnavailable, answer)
 		return
 	}
-	if !e.waitEnd(r.Context(), s) {
+	if !e.awaitEnd(r.Context(), s) {
 		e.mu.Lock()
 		e.end(s, "the caller went away")
 		e.mu.Unlock()
 		return
 	}
-	if s.failed != "" {
-		writeJSON(w, http.StatusConflict, target.ErrorAnswer{Code: target.CodeUnknownID, Message: s.failed, Ran: true})
+	if s.failure != "" {
+		writeJSON(w, http.StatusConflict, target.ErrorAnswer{Code: target.CodeUnknownID, Message: s.failure, Ran: true})
 		return
 	}
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-func (e *Engine) waitEnd(ctx context.Context, s *sequence) bool {
+func (e *Engine) awaitEnd(ctx context.Context, s *sequence) bool {
 	for {
 		e.mu.Lock()
 		ended, changed := s.ended, s.changed
@@ -143,7 +143,7 @@
 
 // relay writes the tokens of a sequence from an index on until it ends. A caller
 // that goes away does not stop the sequence: it may resume or cancel it.
-func (e *Engine) relay(w http.ResponseWriter, r *http.Request, s *sequence, from int64) {
+func (e *Engine) streamTokens(w http.ResponseWriter, r *http.Request, s *sequence, from int64) {
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	w.WriteHeader(http.StatusOK)
 	flush := http.NewResponseController(w).Flush
@@ -151,8 +151,8 @@
 	lines := json.NewEncoder(w)
 	for {
 		e.mu.Lock()
-		tokens := s.tokens[min(from-s.first, int64(len(s.tokens))):]
-		faults, changed, ended, failed := e.faults, s.changed, s.ended, s.failed
+		tokens := s.emitted[min(from-s.firstIndex, int64(len(s.emitted))):]
+		faults, changed, ended, failed := e.faults, s.changed, s.ended, s.failure
 		e.mu.Unlock()
 		if len(tokens) > 0 {
 			if cut := faults.TruncateAfter; cut > 0 && from+int64(len(tokens)) >= cut {
@@ -166,7 +166,7 @@
 				return
 			}
 		}
-		if ended && from >= s.first+int64(len(s.tokens)) {
+		if ended && from >= s.firstIndex+int64(len(s.emitted)) {
 			writeEnd(lines, s, from, failed)
 			return
 		}
@@ -186,7 +186,7 @@
 	for i, text := range tokens {
 		chunks = append(chunks, target.Chunk{Attempt: s.attempt, Index: from + int64(i), Text: text})
 	}
-	if f.ForeignChunks {
+	if f.OtherAttemptChunks {
 		chunks = append([]target.Chunk{{Attempt: "another", Index: from, Text: " WRONG"}}, chunks...)
 	}
 	if f.DuplicateChunks {
--- a/node/internal/standin/inprocess.go
+++ b/node/internal/standin/inprocess.go
@@ -16,26 +16,26 @@
 	Prefixes     []uint64
 }
 
-// Running is a job inside an engine.
-type Running struct {
+// RunningJob is a job inside an engine.
+type RunningJob struct {
 	engine *Engine
-	s      *sequence
+	seq    *sequence
 }
 
 // Submit gives an engine a job. It returns nil when the job can never fit.
-func (e *Engine) Submit(j Job) *Running {
+func (e *Engine) Submit(j Job) *RunningJob {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if j.PromptTokens+j.OutputTokens > e.cost.Memory {
+	if j.PromptTokens+j.OutputTokens > e.cost.MemoryTokens {
 		return nil
 	}
 	e.counter++
 	s := &sequence{
-		attempt: j.Attempt, level: j.Level, order: e.counter, prompt: j.PromptTokens, max: j.OutputTokens,
-		prefixes: j.Prefixes, changed: make(chan struct{}), waiting: true,
+		attempt: j.Attempt, level: j.Level, arrival: e.counter, promptTokens: j.PromptTokens, max: j.OutputTokens,
+		prefixHashes: j.Prefixes, changed: make(chan struct{}), awaitingMemory: true,
 	}
 	e.queue = append(e.queue, s)
-	return &Running{e, s}
+	return &RunningJob{e, s}
 }
 
 // Step does one step of the batch. It returns how long the step takes, and false
@@ -43,10 +43,10 @@
 func (e *Engine) Step() (time.Duration, bool) { return e.step() }
 
 // Started tells whether the job has its first token.
-func (r *Running) Started() bool { return r.s.next > 0 }
+func (r *RunningJob) HasFirstToken() bool { return r.seq.nextIndex > 0 }
 
 // Ended tells whether the job is done.
-func (r *Running) Ended() bool { return r.s.ended }
+func (r *RunningJob) Ended() bool { return r.seq.ended }
 
 // EventsAfter lists the cache events after a sequence number.
-func (e *Engine) EventsAfter(after int64) []target.CacheEvent { return e.eventsAfter(after) }
+func (e *Engine) CacheEventsAfter(after int64) []target.CacheEvent { return e.cacheEventsAfter(after) }
--- a/node/internal/standin/platform.go
+++ b/node/internal/standin/platform.go
@@ -14,17 +14,17 @@
 // Platform is a stand-in for the configuration service and the host list. Each
 // server has its own; several servers of one Platform can be frozen apart.
 type Platform struct {
-	mu       sync.Mutex
-	revision int64
-	values   map[string]settings.Part
-	deleted  map[string]int64
-	hosts    hostlist.List
-	hostAt   map[string]int64 // the revision at which a host last changed
-	goneAt   map[string]int64 // and at which it went
-	changed  chan struct{}
-	calls    int64
-	faults   PlatformFaults
-	frozen   *settings.Changes
+	mu            sync.Mutex
+	revision      int64
+	values        map[string]settings.Part
+	deletedAt     map[string]int64
+	hosts         hostlist.List
+	hostChangedAt map[string]int64 // the revision at which a host last changed
+	hostRemovedAt map[string]int64 // and at which it went
+	changed       chan struct{}
+	calls         int64
+	faults        PlatformFaults
+	staleChanges  *settings.Changes
 }
 
 // PlatformFaults are the ways in which the platform misbehaves.
@@ -32,7 +32,7 @@
 	// Down refuses every call.
 	Down bool
 	// Garbage answers with what is not JSON.
-	Garbage bool
+	InvalidJSON bool
 	// Stale answers from the state at the time the fault was set.
 	Stale bool
 }
@@ -40,11 +40,11 @@
 // NewPlatform returns a platform without values or hosts.
 func NewPlatform() *Platform {
 	return &Platform{
-		values:  map[string]settings.Part{},
-		deleted: map[string]int64{},
-		changed: make(chan struct{}),
-		hostAt:  map[string]int64{},
-		goneAt:  map[string]int64{},
+		values:        map[string]settings.Part{},
+		deletedAt:     map[string]int64{},
+		changed:       make(chan struct{}),
+		hostChangedAt: map[string]int64{},
+		hostRemovedAt: map[string]int64{},
 	}
 }
 
@@ -55,7 +55,7 @@
 	p.revision++
 	for key, data := range values {
 		p.values[key] = settings.Part{Revision: p.revision, Data: []byte(data)}
-		delete(p.deleted, key)
+		delete(p.deletedAt, key)
 	}
 	p.notify()
 	return p.revision
@@ -67,7 +67,7 @@
 	defer p.mu.Unlock()
 	p.revision++
 	delete(p.values, key)
-	p.deleted[key] = p.revision
+	p.deletedAt[key] = p.revision
 	p.notify()
 	return p.revision
 }
@@ -89,19 +89,19 @@
 	}
 	for _, h := range hosts {
 		if before[h.ID] != h {
-			p.hostAt[h.ID] = p.hosts.Revision
+			p.hostChangedAt[h.ID] = p.hosts.Revision
 		}
 		delete(before, h.ID)
-		delete(p.goneAt, h.ID)
+		delete(p.hostRemovedAt, h.ID)
 	}
 	for id := range before {
-		p.goneAt[id] = p.hosts.Revision
+		p.hostRemovedAt[id] = p.hosts.Revision
 	}
 	p.hosts.Hosts = append([]hostlist.Host(nil), hosts...)
 }
 
 // hostsSince lists the hosts that differ from a revision; the lock is held.
-func (p *Platform) hostsSince(since int64) hostlist.List {
+func (p *Platform) hostsChangedAfter(since int64) hostlist.List {
 	list := p.hosts
 	list.AsOf = time.Now()
 	if since <= 0 || since > p.hosts.Revision {
@@ -110,11 +110,11 @@
 	list.Since = since
 	list.Hosts = nil
 	for _, h := range p.hosts.Hosts {
-		if p.hostAt[h.ID] > since {
+		if p.hostChangedAt[h.ID] > since {
 			list.Hosts = append(list.Hosts, h)
 		}
 	}
-	for id, at := range p.goneAt {
+	for id, at := range p.hostRemovedAt {
 		if at > since {
 			list.Removed = append(list.Removed, id)
 		}
@@ -126,12 +126,12 @@
 func (p *Platform) SetFaults(f PlatformFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if f.Stale && p.frozen == nil {
-		changes := p.since(0)
-		p.frozen = &changes
+	if f.Stale && p.staleChanges == nil {
+		changes := p.changesAfter(0)
+		p.staleChanges = &changes
 	}
 	if !f.Stale {
-		p.frozen = nil
+		p.staleChanges = nil
 	}
 	p.faults = f
 }
@@ -144,14 +144,14 @@
 }
 
 // since lists the values that changed after a revision; the lock is held.
-func (p *Platform) since(revision int64) settings.Changes {
+func (p *Platform) changesAfter(revision int64) settings.Changes {
 	changes := settings.Changes{Since: revision, Revision: p.revision, Parts: map[string]settings.Part{}}
 	for key, v := range p.values {
 		if v.Revision > revision {
 			changes.Parts[key] = v
 		}
 	}
-	for key, at := range p.deleted {
+	for key, at := range p.deletedAt {
 		if at > revision {
 			changes.Deleted = append(changes.Deleted, key)
 		}
@@ -174,7 +174,7 @@
 	case p.faults.Down:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return true
-	case p.faults.Garbage:
+	case p.faults.InvalidJSON:
 		_, _ = w.Write([]byte("<html>it works</html>"))
 		return true
 	}
@@ -188,7 +188,7 @@
 	if p.serveFault(w) {
 		return
 	}
-	writeJSON(w, http.StatusOK, p.hostsSince(since))
+	writeJSON(w, http.StatusOK, p.hostsChangedAfter(since))
 }
 
 func (p *Platform) serveConfig(w http.ResponseWriter, r *http.Request) {
@@ -202,7 +202,7 @@
 		p.mu.Unlock()
 		return
 	}
-	for wait > 0 && p.revision <= since && p.frozen == nil {
+	for wait > 0 && p.revision <= since && p.staleChanges == nil {
 		changed := p.changed
 		p.mu.Unlock()
 		select {
@@ -214,16 +214,16 @@
 		}
 		p.mu.Lock()
 	}
-	changes := p.since(since)
-	if p.frozen != nil {
-		changes = *p.frozen
+	changes := p.changesAfter(since)
+	if p.staleChanges != nil {
+		changes = *p.staleChanges
 	}
 	p.mu.Unlock()
-	writeJSON(w, http.StatusOK, withPrefix(changes, query.Get("prefix")))
+	writeJSON(w, http.StatusOK, filterByPrefix(changes, query.Get("prefix")))
 }
 
-// withPrefix keeps the values below a prefix.
-func withPrefix(changes settings.Changes, prefix string) settings.Changes {
+// filterByPrefix keeps the values below a prefix.
+func filterByPrefix(changes settings.Changes, prefix string) settings.Changes {
 	kept := changes
 	kept.Parts = map[string]settings.Part{}
 	for key, v := range changes.Parts {
--- a/node/internal/standin/report.go
+++ b/node/internal/standin/report.go
@@ -8,22 +8,22 @@
 )
 
 // report makes a load report of this moment.
-func (e *Engine) report() target.LoadReport {
+func (e *Engine) currentReport() target.LoadReport {
 	r := target.LoadReport{
 		CreatedAt:    time.Now(),
-		MemoryTokens: e.cost.Memory,
-		UsedTokens:   e.used,
-		Draining:     e.faults.Leaving,
+		MemoryTokens: e.cost.MemoryTokens,
+		UsedTokens:   e.usedTokens,
+		Draining:     e.faults.Draining,
 		Models:       slices.Clone(e.models),
-		FencingToken: e.fence,
+		FencingToken: e.fencingToken,
 	}
 	for _, s := range e.queue {
-		left := s.prompt - s.read
+		left := s.promptTokens - s.prefilled
 		r.BacklogTokens += left
 		if left >= target.LongPrefillTokens {
 			r.LongPrefills++
 		}
-		if s.waiting {
+		if s.awaitingMemory {
 			r.Waiting++
 		} else {
 			r.Running++
@@ -36,15 +36,15 @@
 }
 
 // remember keeps reports while they are young enough to be served with the lag.
-func (e *Engine) remember() {
+func (e *Engine) recordReport() {
 	if e.faults.ReportLag == 0 {
-		e.history = nil
+		e.reportHistory = nil
 		return
 	}
-	e.history = append(e.history, e.report())
+	e.reportHistory = append(e.reportHistory, e.currentReport())
 	oldest := time.Now().Add(-2 * e.faults.ReportLag)
-	for len(e.history) > 1 && e.history[1].CreatedAt.Before(oldest) {
-		e.history = e.history[1:]
+	for len(e.reportHistory) > 1 && e.reportHistory[1].CreatedAt.Before(oldest) {
+		e.reportHistory = e.reportHistory[1:]
 	}
 }
 
@@ -53,29 +53,29 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	if e.faults.ReportLag == 0 || len(e.history) == 0 {
-		return e.report()
+	if e.faults.ReportLag == 0 || len(e.reportHistory) == 0 {
+		return e.currentReport()
 	}
 	wanted := now.Add(-e.faults.ReportLag)
-	found := e.history[0]
-	for _, r := range e.history {
+	found := e.reportHistory[0]
+	for _, r := range e.reportHistory {
 		if r.CreatedAt.After(wanted) {
 			break
 		}
 		found = r
 	}
 	found.Age = now.Sub(found.CreatedAt)
-	found.Draining = e.faults.Leaving
+	found.Draining = e.faults.Draining
 	return found
 }
 
 // eventsAfter lists cache events after a sequence number.
-func (e *Engine) eventsAfter(after int64) []target.CacheEvent {
+func (e *Engine) cacheEventsAfter(after int64) []target.CacheEvent {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	at := len(e.events)
-	for at > 0 && e.events[at-1].Sequence > after {
+	at := len(e.cacheEvents)
+	for at > 0 && e.cacheEvents[at-1].Sequence > after {
 		at--
 	}
-	return slices.Clone(e.events[at:])
+	return slices.Clone(e.cacheEvents[at:])
 }
--- a/node/internal/standin/service.go
+++ b/node/internal/standin/service.go
@@ -16,11 +16,11 @@
 	// Name appears in answers.
 	Name string
 
-	mu     sync.Mutex
-	ran    map[string]int
-	total  int
-	faults ServiceFaults
-	open   int
+	mu              sync.Mutex
+	executions      map[string]int
+	totalExecutions int
+	faults          ServiceFaults
+	inFlight        int
 }
 
 // ServiceFaults are the ways in which a service misbehaves.
@@ -28,18 +28,18 @@
 	// Delay is the time a call takes.
 	Delay time.Duration
 	// DieAfterRun carries the call out and cuts the connection.
-	DieAfterRun bool
+	AbortAfterRun bool
 	// DieMidAnswer carries it out and sends half of the answer.
-	DieMidAnswer bool
+	AbortMidAnswer bool
 	// Refuse turns every call away without running it.
 	Refuse bool
 	// Leaving is what the load report says.
-	Leaving bool
+	Draining bool
 }
 
 // NewService returns a healthy service.
 func NewService(name string) *Service {
-	return &Service{Name: name, ran: map[string]int{}}
+	return &Service{Name: name, executions: map[string]int{}}
 }
 
 // SetFaults changes how the service misbehaves from now on.
@@ -50,17 +50,17 @@
 }
 
 // Ran is how often the call with a key was carried out.
-func (s *Service) Ran(key string) int {
+func (s *Service) Executions(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ran[key]
+	return s.executions[key]
 }
 
 // Total is the number of calls carried out.
-func (s *Service) Total() int {
+func (s *Service) TotalExecutions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.total
+	return s.totalExecutions
 }
 
 // Handler serves /v1/load and takes every other path as a call.
@@ -69,42 +69,42 @@
 	mux.HandleFunc("GET /v1/load", func(w http.ResponseWriter, _ *http.Request) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		writeJSON(w, http.StatusOK, target.LoadReport{CreatedAt: time.Now(), Running: s.open, Draining: s.faults.Leaving})
+		writeJSON(w, http.StatusOK, target.LoadReport{CreatedAt: time.Now(), Running: s.inFlight, Draining: s.faults.Draining})
 	})
-	mux.HandleFunc("/", s.call)
+	mux.HandleFunc("/", s.serveCall)
 	return mux
 }
 
-func (s *Service) call(w http.ResponseWriter, r *http.Request) {
+func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
 	s.mu.Lock()
 	f := s.faults
-	s.open++
+	s.inFlight++
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
-		s.open--
+		s.inFlight--
 		s.mu.Unlock()
 	}()
 	if f.Refuse {
 		writeJSON(w, http.StatusServiceUnavailable, target.ErrorAnswer{Code: target.CodeBusy, Message: "told to refuse"})
 		return
 	}
-	s.run(r.Header.Get("Idempotency-Key"))
+	s.recordExecution(r.Header.Get("Idempotency-Key"))
 	if f.Delay > 0 {
 		time.Sleep(f.Delay)
 	}
-	if f.DieAfterRun {
+	if f.AbortAfterRun {
 		panic(http.ErrAbortHandler)
 	}
 	answer, err := json.Marshal(ServiceAnswer{Service: s.Name, Path: r.URL.Path, Echo: string(body)})
 	if err != nil {
 		return
 	}
-	if f.DieMidAnswer {
+	if f.AbortMidAnswer {
 		w.Header().Set("Content-Length", "1000")
 		_, _ = w.Write(answer[:len(answer)/2])
 		panic(http.ErrAbortHandler)
@@ -113,11 +113,11 @@
 	_, _ = w.Write(answer)
 }
 
-func (s *Service) run(key string) {
+func (s *Service) recordExecution(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ran[key]++
-	s.total++
+	s.executions[key]++
+	s.totalExecutions++
 }
 
 // ServiceAnswer is the body of each answer.
--- a/node/internal/tryout/tryout.go
+++ b/node/internal/tryout/tryout.go
@@ -21,40 +21,40 @@
 	"github.com/google/uuid"
 )
 
-// cost is an engine twenty times as fast as a real one, so that a try is short.
-func cost() standin.Cost {
-	c := standin.DefaultCost()
-	c.Base /= 10
-	c.Prefill /= 20
-	c.Context /= 20
-	c.Decode /= 10
+// fastCostModel is an engine twenty times as fast as a real one, so that a try is short.
+func fastCostModel() standin.CostModel {
+	c := standin.DefaultCostModel()
+	c.FixedStepTime /= 10
+	c.PerPromptToken /= 20
+	c.ContextPerMillion /= 20
+	c.PerStream /= 10
 	return c
 }
 
-// question is a request of the try.
-type question struct {
-	name   string
-	key    string
-	prompt string
-	tokens int
+// sampleRequest is a request of the try.
+type sampleRequest struct {
+	name      string
+	apiKey    string
+	prompt    string
+	maxTokens int
 }
 
 const (
 	bytesPerToken = 4
-	shortAnswer   = 24
+	answerTokens  = 24
 )
 
-func record(tokens int) string {
+func patientRecord(tokens int) string {
 	line := "2026-01-01 08:00 referral entry, blood pressure 120/80, nothing unusual.\n"
 	return strings.Repeat(line, tokens*bytesPerToken/len(line)+1)
 }
 
-func questions() []question {
-	return []question{
-		{"a slot question", "clara-santa-maria", "Is there a free slot on Tuesday?", shortAnswer},
-		{"a patient file", "clara-patients", record(8_000), shortAnswer},
-		{"a referral file", "clara-cardiology", record(120_000), shortAnswer},
-		{"a year of records", "clara-oncology", record(1_000_000), shortAnswer},
+func sampleRequests() []sampleRequest {
+	return []sampleRequest{
+		{"a slot question", "clara-santa-maria", "Is there a free slot on Tuesday?", answerTokens},
+		{"a patient file", "clara-patients", patientRecord(8_000), answerTokens},
+		{"a referral file", "clara-cardiology", patientRecord(120_000), answerTokens},
+		{"a year of records", "clara-oncology", patientRecord(1_000_000), answerTokens},
 	}
 }
 
@@ -62,63 +62,63 @@
 func Run(ctx context.Context, out, logs io.Writer, withLogs bool) error {
 	o := fleet.Options{
 		Settings: examples.Clara, Daemons: 2, Engines: 4, Services: 1,
-		EnginePool: "llm", ServicePool: "scheduling", Model: "assistant-7b", Cost: cost(),
+		EnginePool: "llm", ServicePool: "scheduling", Model: "assistant-7b", Cost: fastCostModel(),
 	}
 	if withLogs {
-		o.Log = logs
+		o.LogOutput = logs
 	}
-	say(out, "starting a platform, 4 engines, 1 service and 2 daemons on loopback")
+	printLine(out, "starting a platform, 4 engines, 1 service and 2 daemons on loopback")
 	f, err := fleet.Start(o)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	for i, q := range questions() {
+	for i, q := range sampleRequests() {
 		node := f.Daemons[i%len(f.Daemons)]
-		if err := ask(ctx, out, node, q); err != nil {
+		if err := sendChat(ctx, out, node, q); err != nil {
 			return errors.Wrap(err, q.name)
 		}
 	}
-	if err := book(ctx, out, f); err != nil {
+	if err := confirmBooking(ctx, out, f); err != nil {
 		return errors.Wrap(err, "a booking confirmation")
 	}
-	return checkMemory(out, f)
+	return printMemoryInUse(out, f)
 }
 
-func say(out io.Writer, format string, args ...any) {
+func printLine(out io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(out, format+"\n", args...)
 }
 
-// chatBody is an OpenAI chat request.
-type chatBody struct {
-	Model     string    `json:"model"`
-	Messages  []message `json:"messages"`
-	Stream    bool      `json:"stream"`
-	MaxTokens int       `json:"max_tokens"`
+// chatRequest is an OpenAI chat request.
+type chatRequest struct {
+	Model     string        `json:"model"`
+	Messages  []chatMessage `json:"messages"`
+	Stream    bool          `json:"stream"`
+	MaxTokens int           `json:"max_tokens"`
 }
 
-type message struct {
+type chatMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// event is the part of a streamed chunk that is looked at.
-type event struct {
+// streamEvent is the part of a streamed chunk that is looked at.
+type streamEvent struct {
 	Choices []struct {
-		Delta message `json:"delta"`
+		Delta chatMessage `json:"delta"`
 	} `json:"choices"`
 	Error *struct {
 		Message string `json:"message"`
 	} `json:"error"`
 }
 
-func ask(ctx context.Context, out io.Writer, node *fleet.Node, q question) error {
-	body, err := json.Marshal(chatBody{Model: "assistant", Messages: []message{{"user", q.prompt}}, Stream: true, MaxTokens: q.tokens})
+func sendChat(ctx context.Context, out io.Writer, node *fleet.Daemon, q sampleRequest) error {
+	body, err := json.Marshal(chatRequest{Model: "assistant", Messages: []chatMessage{{"user", q.prompt}}, Stream: true, MaxTokens: q.maxTokens})
 	if err != nil {
 		return err
 	}
 	start := time.Now()
-	resp, err := postAgain(ctx, node.URL()+"/v1/chat/completions", q.key, body)
+	resp, err := postWithRetry(ctx, node.URL()+"/v1/chat/completions", q.apiKey, body)
 	if err != nil {
 		return err
 	}
@@ -127,31 +127,31 @@
 	if err != nil {
 		return err
 	}
-	say(out, "\n%s: %d tokens, asked %s", q.name, len(q.prompt)/bytesPerToken, node.Config.Name)
-	say(out, "  first token after %v, all after %v", first.Round(time.Millisecond), time.Since(start).Round(time.Millisecond))
-	say(out, "  answer: %.60s...", strings.TrimSpace(text))
-	return explain(ctx, out, node, resp.Header.Get("X-Request-Id"))
+	printLine(out, "\n%s: %d tokens, asked %s", q.name, len(q.prompt)/bytesPerToken, node.Config.Name)
+	printLine(out, "  first token after %v, all after %v", first.Round(time.Millisecond), time.Since(start).Round(time.Millisecond))
+	printLine(out, "  answer: %.60s...", strings.TrimSpace(text))
+	return printExplanation(ctx, out, node, resp.Header.Get("X-Request-Id"))
 }
 
 // How often a refusal for a limit is followed by another try, and the wait before it: on a
 // busy host an account's owner may be late to lend a daemon its part of the limit.
 const (
-	mostTries = 20
-	tryAgain  = 250 * time.Millisecond
+	maxAttempts = 20
+	retryDelay  = 250 * time.Millisecond
 )
 
-// postAgain posts, and posts again after refusals for a limit.
-func postAgain(ctx context.Context, url, key string, body []byte) (*http.Response, error) {
+// postWithRetry posts, and posts again after refusals for a limit.
+func postWithRetry(ctx context.Context, url, key string, body []byte) (*http.Response, error) {
 	for try := 1; ; try++ {
 		resp, err := post(ctx, url, key, "", body)
-		if err != nil || resp.StatusCode != http.StatusTooManyRequests || try == mostTries {
+		if err != nil || resp.StatusCode != http.StatusTooManyRequests || try == maxAttempts {
 			return resp, err
 		}
 		_ = resp.Body.Close()
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-time.After(tryAgain):
+		case <-time.After(retryDelay):
 		}
 	}
 }
@@ -184,7 +184,7 @@
 		if data == "[DONE]" {
 			return first, answer.String(), nil
 		}
-		var e event
+		var e streamEvent
 		if err := json.Unmarshal([]byte(data), &e); err != nil {
 			return 0, "", err
 		}
@@ -201,9 +201,9 @@
 	return 0, "", errors.New("the stream ended without its end mark")
 }
 
-// explain asks the other daemon why the request went where it went, so that the
+// printExplanation asks the other daemon why the request went where it went, so that the
 // way between the daemons is shown too.
-func explain(ctx context.Context, out io.Writer, node *fleet.Node, id string) error {
+func printExplanation(ctx context.Context, out io.Writer, node *fleet.Daemon, id string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+node.Config.Admin+"/v1/explain/"+id+"?replay=1", nil)
 	if err != nil {
 		return err
@@ -223,13 +223,13 @@
 		if e.Replays[i].Possible {
 			replay = fmt.Sprintf(", replays the same: %v", e.Replays[i].Same)
 		}
-		say(out, "  %-8s %s %s %s%s", r.Kind, r.Outcome, r.Target, r.Reason, replay)
+		printLine(out, "  %-8s %s %s %s%s", r.Kind, r.Outcome, r.Target, r.Reason, replay)
 	}
 	return nil
 }
 
-// book confirms a slot twice with one key, through both daemons.
-func book(ctx context.Context, out io.Writer, f *fleet.Fleet) error {
+// confirmBooking confirms a slot twice with one key, through both daemons.
+func confirmBooking(ctx context.Context, out io.Writer, f *fleet.Fleet) error {
 	const key = "clara-santa-maria"
 	confirmation := uuid.Must(uuid.NewV7()).String()
 	for _, node := range f.Daemons {
@@ -242,17 +242,17 @@
 		if err != nil {
 			return err
 		}
-		say(out, "\na booking confirmation through %s: %s %.80s", node.Config.Name, resp.Status, strings.TrimSpace(string(body)))
+		printLine(out, "\na booking confirmation through %s: %s %.80s", node.Config.Name, resp.Status, strings.TrimSpace(string(body)))
 	}
-	say(out, "  the service ran it %d time(s)", f.Services[0].Ran(confirmation))
+	printLine(out, "  the service ran it %d time(s)", f.Services[0].Executions(confirmation))
 	return nil
 }
 
-func checkMemory(out io.Writer, f *fleet.Fleet) error {
+func printMemoryInUse(out io.Writer, f *fleet.Fleet) error {
 	used := int64(0)
 	for _, e := range f.Engines {
 		used += e.UsedTokens()
 	}
-	say(out, "\nengine memory in use at the end: %d tokens", used)
+	printLine(out, "\nengine memory in use at the end: %d tokens", used)
 	return nil
 }
