--- a/node/internal/standin/batch.go
+++ b/node/internal/standin/batch.go
@@ -8,7 +8,8 @@
 	"doorstack.dev/node/target"
 )
 
-// step does one step of the batch and returns how long it takes.
+// step performs one step of the batch and returns its duration. It reports false if no
+// request is left to process.
 func (e *Engine) step() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -32,7 +33,8 @@
 	return duration, true
 }
 
-// admit gives memory to waiting sequences in order of urgency.
+// admitWaiting allocates memory to waiting sequences, by priority level and then by
+// arrival. A sequence that does not fit does not block those after it.
 func (e *Engine) admitWaiting() {
 	slices.SortStableFunc(e.queue, func(a, b *sequence) int {
 		return cmp.Or(cmp.Compare(a.level, b.level), cmp.Compare(a.arrival, b.arrival))
@@ -53,8 +55,8 @@
 	}
 }
 
-// readPrompts spends the step's token budget. The second result is the tokens
-// read times the millions of tokens that stand before them.
+// prefillPrompts prefills prompts up to the step's token budget. It returns the number
+// of prompt tokens read, and the sum over them of their preceding tokens in millions.
 func (e *Engine) prefillPrompts() (read int64, weighted float64) {
 	const million = 1e6
 	budget := e.cost.StepTokenBudget
@@ -74,6 +76,8 @@
 	return read, weighted
 }
 
+// finishPrefill stores the prompt's prefixes in the cache, records the cache event and
+// ends a sequence that is only prefilled.
 func (e *Engine) finishPrefill(s *sequence) {
 	stored, evicted := e.cache.add(s.prefixHashes)
 	if len(stored)+len(evicted) > 0 {
@@ -87,7 +91,8 @@
 	}
 }
 
-// emitTokens gives each running stream one token and returns their number.
+// emitTokens generates one token for each running stream and returns the number of
+// those streams.
 func (e *Engine) emitTokens() int {
 	n := 0
 	for _, s := range e.queue {
@@ -107,7 +112,8 @@
 	return n
 }
 
-// end finishes a sequence and gives back its memory. A reservation stays.
+// end finishes a sequence and frees the memory allocated to it, but not its reservation.
+// The sequence can be resumed for the resume window.
 func (e *Engine) end(s *sequence, failure string) {
 	if s.ended {
 		return
@@ -126,6 +132,7 @@
 	})
 }
 
+// notify wakes all goroutines that wait for a change of the sequence.
 func (s *sequence) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/node/internal/standin/engine.go
+++ b/node/internal/standin/engine.go
@@ -1,7 +1,8 @@
-// Package standin holds small stand-ins for what doorstack talks to: a model
-// engine with a stated cost model, a plain service, and the platform with its
-// configuration service and host list. They exist for tests, measurements and
-// "doorstack try"; they can lag, drop, truncate, refuse, die and lie.
+// Package standin simulates the systems that doorstack talks to: a model engine with an
+// explicit cost model, a plain service, and the platform with its configuration service
+// and host list. Tests, measurements and "doorstack try" use them. Each can inject
+// faults, such as late load reports, lost cache events, truncated streams, refusals,
+// aborted connections and stale settings.
 package standin
 
 import (
@@ -15,30 +16,32 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// CostModel is the cost model of an engine that batches continuously. A step takes
+// CostModel determines how long each step of an engine with continuous batching takes:
 //
-//	Base + Prefill*(prompt tokens read) + Decode*(streams) + Context*(prompt
-//	tokens read)*(tokens before them, in millions)
+//	FixedStepTime + PerPromptToken*(prompt tokens read) + PerStream*(streams) +
+//	ContextPerMillion*(prompt tokens read)*(tokens before them, in millions)
 //
-// and reads at most Budget prompt tokens, those of urgent requests first.
+// A step reads at most StepTokenBudget prompt tokens, in order of priority level.
 type CostModel struct {
-	// Base is the fixed time of a step.
+	// FixedStepTime is the part of a step's time that does not depend on its work.
 	FixedStepTime time.Duration
-	// Prefill is the time for each prompt token read.
+	// PerPromptToken is the time for each prompt token read.
 	PerPromptToken time.Duration
-	// Decode is the time for each stream that gets a token in the step.
+	// PerStream is the time for each stream that gets a token in the step.
 	PerStream time.Duration
-	// Context is the extra time for each prompt token read behind a million
-	// others, for attention over what stands before.
+	// ContextPerMillion is the extra time for each prompt token that follows a million
+	// others, for attention over those.
 	ContextPerMillion time.Duration
-	// Budget is the most prompt tokens in a step.
+	// StepTokenBudget is the maximum number of prompt tokens read in a step.
 	StepTokenBudget int64
-	// Memory is the KV cache in tokens, Cache the part for idle prefixes.
+	// MemoryTokens is the size of the KV cache in tokens, CacheTokens the maximum
+	// size of the prefix cache.
 	MemoryTokens int64
 	CacheTokens  int64
 }
 
-// DefaultCostModel is an engine that reads about 20,000 tokens a second.
+// DefaultCostModel returns the costs of an engine that prefills about 20,000 tokens per
+// second.
 func DefaultCostModel() CostModel {
 	return CostModel{
 		FixedStepTime:     5 * time.Millisecond,
@@ -51,58 +54,58 @@
 	}
 }
 
-// Faults are the ways in which an engine misbehaves. The zero value is healthy.
+// Faults are the faults that an engine injects. The zero value injects none.
 type Faults struct {
 	// ReportLag is the age of each load report.
 	ReportLag time.Duration
-	// DropEvents leaves out every Nth cache event.
+	// DropEveryNthEvent drops every Nth cache event; zero drops none.
 	DropEveryNthEvent int
-	// TruncateAfter ends each stream without its end mark after so many tokens.
+	// TruncateAfter ends each stream without an end chunk after this many tokens.
 	TruncateAfter int64
-	// ReorderChunks swaps neighbours, DuplicateChunks sends each twice.
+	// ReorderChunks swaps adjacent chunks, DuplicateChunks sends each chunk twice.
 	ReorderChunks, DuplicateChunks bool
-	// ForeignChunks mixes in chunks of another attempt.
+	// OtherAttemptChunks inserts chunks of another attempt into each stream.
 	OtherAttemptChunks bool
-	// Refuse turns every call away with this code.
+	// RefusalCode refuses every call with this error code, unless it is empty.
 	RefusalCode string
-	// RefuseAfterRun does the work and then claims a refusal that says so.
+	// Stall accepts calls but makes no progress on them.
 	Stall bool
-	// Slow multiplies the time of a step.
+	// Slowdown multiplies the time of a step; zero leaves it unchanged.
 	Slowdown float64
-	// IgnoreFence carries out orders with an old fencing number.
+	// IgnoreFencingToken applies orders with a stale fencing token.
 	IgnoreFencingToken bool
-	// Leaving is what the load report says.
+	// Draining makes the load report say that the engine is draining.
 	Draining bool
-	// Frozen answers nothing and keeps every connection open.
+	// Hanging answers no call, makes no progress and keeps every connection open.
 	Hanging bool
 }
 
-// sequence is a request inside the engine.
+// sequence is a generate or prefill request in the engine's batch.
 type sequence struct {
 	attempt        string
 	seed           uint64
 	level          int
 	arrival        int64
-	promptTokens   int64 // tokens to read
-	prefilled      int64 // tokens read
-	contextTokens  int64 // tokens of earlier parts, held by other engines
-	memoryTokens   int64 // memory taken
-	reservation    string
-	nextIndex      int64 // index of the next token to emit
-	max            int64
+	promptTokens   int64  // prompt tokens to prefill
+	prefilled      int64  // prompt tokens prefilled or found in the cache
+	contextTokens  int64  // tokens of earlier parts of the prompt, stored in other engines
+	memoryTokens   int64  // memory allocated without a reservation
+	reservation    string // ID, or empty
+	nextIndex      int64  // index of the next token to emit
+	max            int64  // number of tokens of the answer
 	prefixHashes   []uint64
 	ended          bool
 	failure        string
-	emitted        []string // emitted, from index first on
+	emitted        []string // texts of the generated tokens, from index firstIndex on
 	firstIndex     int64
 	changed        chan struct{} // closed and replaced at each change
-	prefillOnly    bool          // a part of a group: nothing is emitted
-	awaitingMemory bool          // not yet admitted to memory
+	prefillOnly    bool          // a part of a group's prompt: no token is generated
+	awaitingMemory bool          // no memory has been allocated yet
 }
 
 // Engine is a stand-in for a model engine.
 type Engine struct {
-	// Name appears in reports; Models are what it serves.
+	// Name identifies the engine. The engine itself does not use the name.
 	Name string
 
 	mu            sync.Mutex
@@ -125,10 +128,11 @@
 	steps         int64
 }
 
-// resumeWindow is how long an ended stream can still be resumed.
+// resumeWindow is how long a stream can still be resumed after its end.
 const resumeWindow = 30 * time.Second
 
-// NewEngine returns an idle engine; Run makes it work.
+// NewEngine returns an idle engine that serves the given models. The engine makes steps
+// while Run runs, or when Step is called.
 func NewEngine(name string, cost CostModel, models ...string) *Engine {
 	return &Engine{
 		Name:         name,
@@ -143,7 +147,7 @@
 	}
 }
 
-// SetFaults changes how the engine misbehaves from now on.
+// SetFaults replaces the faults that the engine injects.
 func (e *Engine) SetFaults(f Faults) {
 	e.mu.Lock()
 	e.faults = f
@@ -151,14 +155,14 @@
 	e.signalWork()
 }
 
-// UsedTokens is the memory in use now, without lag.
+// UsedTokens returns the memory in use in tokens, without the lag of load reports.
 func (e *Engine) UsedTokens() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.usedTokens
 }
 
-// Executed counts how often each attempt was started.
+// Executed returns how often each attempt was started.
 func (e *Engine) Executed() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -169,13 +173,14 @@
 	return counts
 }
 
-// Orders lists the orders carried out.
+// Orders returns the orders that the engine has applied, the oldest first.
 func (e *Engine) Orders() []target.Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.orders)
 }
 
+// signalWork wakes Run.
 func (e *Engine) signalWork() {
 	select {
 	case e.wake <- struct{}{}:
@@ -183,7 +188,7 @@
 	}
 }
 
-// Run makes steps until ctx ends.
+// Run makes steps in real time until ctx ends.
 func (e *Engine) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause, work := e.step()
@@ -203,16 +208,16 @@
 	}
 }
 
-// TokenText is the text of a token of the answer to a prompt with this seed. It
-// depends on nothing else, so that tests can tell a whole answer from a wrong one.
+// TokenText returns the text of the token at an index of the answer to a prompt with the
+// given seed. It depends on nothing else, so that tests can check whole answers.
 func TokenText(seed uint64, index int64) string {
 	return fmt.Sprintf(" w%x.%d", seed&0xfff, index)
 }
 
-// AnswerSeed is the seed of a prompt's answer.
+// AnswerSeed returns the seed that determines the answer to a prompt.
 func AnswerSeed(prompt string) uint64 { return xxhash.Sum64String(prompt) }
 
-// Answer is the whole answer to a prompt.
+// Answer returns the complete answer to a prompt, with the given number of tokens.
 func Answer(prompt string, tokens int64) string {
 	var text []byte
 	for i := range tokens {
@@ -221,15 +226,15 @@
 	return string(text)
 }
 
-// refuse checks the faults and limits that turn a call away.
+// injectedRefusal returns the refusal set by SetFaults, or nil; the lock is held.
 func (e *Engine) injectedRefusal() *target.ErrorAnswer {
 	if e.faults.RefusalCode != "" {
-		return &target.ErrorAnswer{Code: e.faults.RefusalCode, Message: "told to refuse"}
+		return &target.ErrorAnswer{Code: e.faults.RefusalCode, Message: "the stand-in is set to refuse calls"}
 	}
 	return nil
 }
 
-// start puts a generate request into the batch.
+// startGenerate adds a generate request to the batch, or returns the refusal.
 func (e *Engine) startGenerate(g *target.GenerateRequest) (*sequence, *target.ErrorAnswer) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -237,7 +242,7 @@
 		return nil, r
 	}
 	if e.byAttempt[g.Attempt] != nil {
-		return nil, &target.ErrorAnswer{Code: target.CodeDuplicateAttempt, Message: "this attempt is known already", Ran: true}
+		return nil, &target.ErrorAnswer{Code: target.CodeDuplicateAttempt, Message: "the attempt has already been started", Ran: true}
 	}
 	if !slices.Contains(e.models, g.Model) {
 		return nil, &target.ErrorAnswer{Code: target.CodeModelNotLoaded, Message: "model " + g.Model + " is not loaded"}
@@ -255,6 +260,7 @@
 	return s, nil
 }
 
+// newSequence returns a sequence for a prompt, not yet in the batch; the lock is held.
 func (e *Engine) newSequence(attempt, prompt string, level int) *sequence {
 	e.counter++
 	return &sequence{
@@ -269,20 +275,21 @@
 	}
 }
 
-// takeMemory uses a reservation, or refuses what can never fit.
+// checkMemory assigns a reservation to the sequence. Without a reservation it only
+// refuses a sequence that can never fit into the engine's memory.
 func (e *Engine) checkMemory(s *sequence, reservation string, context []target.KVRef) *target.ErrorAnswer {
 	if reservation == "" {
 		if s.promptTokens+s.max > e.cost.MemoryTokens {
-			return &target.ErrorAnswer{Code: target.CodeNoMemory, Message: "the prompt is larger than the engine's memory"}
+			return &target.ErrorAnswer{Code: target.CodeNoMemory, Message: "the prompt and its answer need more memory than the engine has"}
 		}
 		return nil
 	}
 	r, ok := e.reservations[reservation]
 	if !ok {
-		return &target.ErrorAnswer{Code: target.CodeUnknownID, Message: "there is no such reservation"}
+		return &target.ErrorAnswer{Code: target.CodeUnknownID, Message: "unknown reservation"}
 	}
 	if s.promptTokens+s.max > r.Tokens {
-		return &target.ErrorAnswer{Code: target.CodeNoMemory, Message: "the part is larger than its reservation"}
+		return &target.ErrorAnswer{Code: target.CodeNoMemory, Message: "the part needs more memory than its reservation"}
 	}
 	s.awaitingMemory = false
 	s.reservation = reservation
@@ -292,6 +299,7 @@
 	return nil
 }
 
+// startPrefill adds a prefill request to the batch, or returns the refusal.
 func (e *Engine) startPrefill(p *target.PrefillRequest) (*sequence, *target.ErrorAnswer) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -308,6 +316,7 @@
 	return s, nil
 }
 
+// cancel ends and removes an attempt, if it exists.
 func (e *Engine) cancel(attempt string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -318,6 +327,7 @@
 	e.signalWork()
 }
 
+// reserve reserves memory. Repeating a request with the same ID has no effect.
 func (e *Engine) reserve(r target.Reservation) *target.ErrorAnswer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -328,13 +338,14 @@
 		return nil
 	}
 	if e.usedTokens+r.Tokens > e.cost.MemoryTokens {
-		return &target.ErrorAnswer{Code: target.CodeNoMemory, Message: "there is not so much free memory"}
+		return &target.ErrorAnswer{Code: target.CodeNoMemory, Message: "not enough free memory for the reservation"}
 	}
 	e.usedTokens += r.Tokens
 	e.reservations[r.ID] = r
 	return nil
 }
 
+// release frees a reservation and ends the sequences that use it.
 func (e *Engine) release(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -352,11 +363,12 @@
 	e.signalWork()
 }
 
+// applyOrder replaces the loaded models, unless the order's fencing token is stale.
 func (e *Engine) applyOrder(o target.Order) *target.ErrorAnswer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if o.FencingToken < e.fencingToken && !e.faults.IgnoreFencingToken {
-		return &target.ErrorAnswer{Code: target.CodeStaleFencingToken, Message: fmt.Sprintf("the number %d is older than %d", o.FencingToken, e.fencingToken)}
+		return &target.ErrorAnswer{Code: target.CodeStaleFencingToken, Message: fmt.Sprintf("fencing token %d is older than %d", o.FencingToken, e.fencingToken)}
 	}
 	e.fencingToken = max(e.fencingToken, o.FencingToken)
 	e.models = slices.Clone(o.Models)
--- a/node/internal/standin/enginehttp.go
+++ b/node/internal/standin/enginehttp.go
@@ -10,7 +10,7 @@
 	"doorstack.dev/node/target"
 )
 
-// Handler serves the engine's published interface.
+// Handler returns the handler of the engine's HTTP protocol.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/generate", e.serveGenerate)
@@ -40,12 +40,14 @@
 	})
 }
 
+// hanging reports whether the engine answers no calls.
 func (e *Engine) hanging() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.faults.Hanging
 }
 
+// jsonHandler decodes a request, passes it to do and answers with the refusal, if any.
 func jsonHandler[T any](do func(T) *target.ErrorAnswer) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in T
@@ -60,6 +62,8 @@
 	}
 }
 
+// readJSON decodes the request body. If that fails, it answers bad_json and reports
+// false.
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	if err := json.NewDecoder(r.Body).Decode(into); err != nil {
 		writeJSON(w, http.StatusBadRequest, target.ErrorAnswer{Code: "bad_json", Message: err.Error()})
@@ -96,7 +100,7 @@
 	s := e.byAttempt[q.Attempt]
 	e.mu.Unlock()
 	if s == nil || q.From < s.firstIndex {
-		writeJSON(w, http.StatusNotFound, target.ErrorAnswer{Code: target.CodeUnknownID, Message: "there is no such stream"})
+		writeJSON(w, http.StatusNotFound, target.ErrorAnswer{Code: target.CodeUnknownID, Message: "unknown stream"})
 		return
 	}
 	e.streamTokens(w, r, s, q.From)
@@ -114,7 +118,7 @@
 	}
 	if !e.awaitEnd(r.Context(), s) {
 		e.mu.Lock()
-		e.end(s, "the caller went away")
+		e.end(s, "the caller disconnected")
 		e.mu.Unlock()
 		return
 	}
@@ -125,6 +129,7 @@
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
+// awaitEnd waits until the sequence ends, and reports false if ctx ends first.
 func (e *Engine) awaitEnd(ctx context.Context, s *sequence) bool {
 	for {
 		e.mu.Lock()
@@ -141,33 +146,33 @@
 	}
 }
 
-// relay writes the tokens of a sequence from an index on until it ends. A caller
-// that goes away does not stop the sequence: it may resume or cancel it.
+// streamTokens writes the tokens of a sequence, starting at index from, until the sequence
+// ends. A caller that disconnects does not end the sequence: it may resume or cancel it.
 func (e *Engine) streamTokens(w http.ResponseWriter, r *http.Request, s *sequence, from int64) {
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	w.WriteHeader(http.StatusOK)
 	flush := http.NewResponseController(w).Flush
 	_ = flush()
-	lines := json.NewEncoder(w)
+	encoder := json.NewEncoder(w)
 	for {
 		e.mu.Lock()
 		tokens := s.emitted[min(from-s.firstIndex, int64(len(s.emitted))):]
 		faults, changed, ended, failed := e.faults, s.changed, s.ended, s.failure
 		e.mu.Unlock()
 		if len(tokens) > 0 {
-			if cut := faults.TruncateAfter; cut > 0 && from+int64(len(tokens)) >= cut {
-				tokens = tokens[:max(0, cut-from)]
-				writeTokens(lines, s, from, tokens, faults)
+			if limit := faults.TruncateAfter; limit > 0 && from+int64(len(tokens)) >= limit {
+				tokens = tokens[:max(0, limit-from)]
+				writeTokens(encoder, s, from, tokens, faults)
 				return
 			}
-			writeTokens(lines, s, from, tokens, faults)
+			writeTokens(encoder, s, from, tokens, faults)
 			from += int64(len(tokens))
 			if flush() != nil {
 				return
 			}
 		}
 		if ended && from >= s.firstIndex+int64(len(s.emitted)) {
-			writeEnd(lines, s, from, failed)
+			writeEnd(encoder, s, from, failed)
 			return
 		}
 		if len(tokens) > 0 {
@@ -181,7 +186,8 @@
 	}
 }
 
-func writeTokens(lines *json.Encoder, s *sequence, from int64, tokens []string, f Faults) {
+// writeTokens writes tokens as chunks and applies the faults of chunks.
+func writeTokens(encoder *json.Encoder, s *sequence, from int64, tokens []string, f Faults) {
 	chunks := make([]target.Chunk, 0, len(tokens))
 	for i, text := range tokens {
 		chunks = append(chunks, target.Chunk{Attempt: s.attempt, Index: from + int64(i), Text: text})
@@ -198,19 +204,20 @@
 		}
 	}
 	for _, c := range chunks {
-		_ = lines.Encode(c)
+		_ = encoder.Encode(c)
 	}
 }
 
-func writeEnd(lines *json.Encoder, s *sequence, total int64, failed string) {
+// writeEnd writes the end chunk, or an error chunk if the sequence failed.
+func writeEnd(encoder *json.Encoder, s *sequence, total int64, failed string) {
 	if failed != "" {
-		_ = lines.Encode(target.Chunk{Attempt: s.attempt, Error: failed})
+		_ = encoder.Encode(target.Chunk{Attempt: s.attempt, Error: failed})
 		return
 	}
-	_ = lines.Encode(target.Chunk{Attempt: s.attempt, End: true, Total: total, FinishReason: "length"})
+	_ = encoder.Encode(target.Chunk{Attempt: s.attempt, End: true, Total: total, FinishReason: "length"})
 }
 
-// Server is a stand-in listening on loopback.
+// Server is the HTTP server of a stand-in.
 type Server struct {
 	// Address is its host:port.
 	Address string
@@ -218,8 +225,8 @@
 	cancel  context.CancelFunc
 }
 
-// Listen serves a handler on loopback, on a free port if address is "". run is
-// kept going until the server is closed; it may be nil.
+// Listen serves a handler on address, or on a free loopback port if address is empty. The
+// server runs run, if not nil, and cancels its context when the server is closed.
 func Listen(address string, handler http.Handler, run func(context.Context)) (*Server, error) {
 	if address == "" {
 		address = "127.0.0.1:0"
@@ -237,7 +244,7 @@
 	return s, nil
 }
 
-// Close ends the server at once, cutting what is open, as a crash would.
+// Close stops the server immediately and closes its open connections, as a crash would.
 func (s *Server) Close() {
 	s.cancel()
 	_ = s.http.Close()
--- a/node/internal/standin/inprocess.go
+++ b/node/internal/standin/inprocess.go
@@ -6,8 +6,8 @@
 	"doorstack.dev/node/target"
 )
 
-// Job is a request given to an engine in the same process, by its lengths alone,
-// so that a measurement of many long prompts needs no long texts.
+// Job is a request to an engine in the same process. It has lengths instead of texts, so
+// that a measurement with many long prompts needs little memory.
 type Job struct {
 	Attempt      string
 	PromptTokens int64
@@ -16,13 +16,15 @@
 	Prefixes     []uint64
 }
 
-// RunningJob is a job inside an engine.
+// RunningJob is a job submitted to an engine. Its methods take no lock: they are for a
+// caller that also makes the engine's steps.
 type RunningJob struct {
 	engine *Engine
 	seq    *sequence
 }
 
-// Submit gives an engine a job. It returns nil when the job can never fit.
+// Submit adds a job to the batch. It returns nil if the job can never fit into the
+// engine's memory.
 func (e *Engine) Submit(j Job) *RunningJob {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -38,15 +40,15 @@
 	return &RunningJob{e, s}
 }
 
-// Step does one step of the batch. It returns how long the step takes, and false
-// when there is nothing to do.
+// Step performs one step of the batch without waiting. It returns the step's duration,
+// and false if no request is left to process.
 func (e *Engine) Step() (time.Duration, bool) { return e.step() }
 
-// Started tells whether the job has its first token.
+// HasFirstToken reports whether the job's first token has been generated.
 func (r *RunningJob) HasFirstToken() bool { return r.seq.nextIndex > 0 }
 
-// Ended tells whether the job is done.
+// Ended reports whether the job has ended.
 func (r *RunningJob) Ended() bool { return r.seq.ended }
 
-// EventsAfter lists the cache events after a sequence number.
+// CacheEventsAfter returns the cache events after a sequence number.
 func (e *Engine) CacheEventsAfter(after int64) []target.CacheEvent { return e.cacheEventsAfter(after) }
--- a/node/internal/standin/platform.go
+++ b/node/internal/standin/platform.go
@@ -11,29 +11,28 @@
 	"doorstack.dev/core/settings"
 )
 
-// Platform is a stand-in for the configuration service and the host list. Each
-// server has its own; several servers of one Platform can be frozen apart.
+// Platform simulates the platform's configuration service and host list.
 type Platform struct {
 	mu            sync.Mutex
 	revision      int64
 	values        map[string]settings.Part
 	deletedAt     map[string]int64
 	hosts         hostlist.List
-	hostChangedAt map[string]int64 // the revision at which a host last changed
-	hostRemovedAt map[string]int64 // and at which it went
+	hostChangedAt map[string]int64 // host list revision of each host's last change
+	hostRemovedAt map[string]int64 // host list revision of each host's removal
 	changed       chan struct{}
 	calls         int64
 	faults        PlatformFaults
 	staleChanges  *settings.Changes
 }
 
-// PlatformFaults are the ways in which the platform misbehaves.
+// PlatformFaults are the faults that the platform injects. The zero value injects none.
 type PlatformFaults struct {
-	// Down refuses every call.
+	// Down answers every call with status 503.
 	Down bool
-	// Garbage answers with what is not JSON.
+	// InvalidJSON answers every call with a body that is not JSON.
 	InvalidJSON bool
-	// Stale answers from the state at the time the fault was set.
+	// Stale answers with the settings at the time when the fault was set.
 	Stale bool
 }
 
@@ -48,7 +47,7 @@
 	}
 }
 
-// Put writes values, all in one revision, and returns it.
+// Put writes values in one new revision and returns that revision.
 func (p *Platform) Put(values map[string]string) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,7 +60,7 @@
 	return p.revision
 }
 
-// Delete removes a value.
+// Delete removes a value and returns the new revision.
 func (p *Platform) Delete(key string) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,12 +71,13 @@
 	return p.revision
 }
 
+// notify wakes the calls that wait for new settings; the lock is held.
 func (p *Platform) notify() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// SetHosts replaces the host list.
+// SetHosts replaces the host list and records which hosts changed or were removed.
 func (p *Platform) SetHosts(hosts []hostlist.Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,7 +100,8 @@
 	p.hosts.Hosts = append([]hostlist.Host(nil), hosts...)
 }
 
-// hostsSince lists the hosts that differ from a revision; the lock is held.
+// hostsChangedAfter returns the hosts changed or removed after a revision, or the full list
+// for a revision that is zero, negative or unknown; the lock is held.
 func (p *Platform) hostsChangedAfter(since int64) hostlist.List {
 	list := p.hosts
 	list.AsOf = time.Now()
@@ -122,7 +123,7 @@
 	return list
 }
 
-// SetFaults changes how the platform misbehaves from now on.
+// SetFaults replaces the faults that the platform injects.
 func (p *Platform) SetFaults(f PlatformFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,14 +137,14 @@
 	p.faults = f
 }
 
-// Calls is the number of calls that the platform has counted.
+// Calls returns the number of calls received.
 func (p *Platform) Calls() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
 }
 
-// since lists the values that changed after a revision; the lock is held.
+// changesAfter returns the values changed or deleted after a revision; the lock is held.
 func (p *Platform) changesAfter(revision int64) settings.Changes {
 	changes := settings.Changes{Since: revision, Revision: p.revision, Parts: map[string]settings.Part{}}
 	for key, v := range p.values {
@@ -159,7 +160,7 @@
 	return changes
 }
 
-// Handler serves the platform's published interface.
+// Handler returns the handler of the platform's HTTP interface.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/config", p.serveConfig)
@@ -167,7 +168,8 @@
 	return mux
 }
 
-// serveFault answers for a fault that stops the call; the lock is held.
+// serveFault counts the call. It reports whether it answered the call with an injected
+// fault; the lock is held.
 func (p *Platform) serveFault(w http.ResponseWriter) bool {
 	p.calls++
 	switch {
@@ -222,7 +224,8 @@
 	writeJSON(w, http.StatusOK, filterByPrefix(changes, query.Get("prefix")))
 }
 
-// filterByPrefix keeps the values below a prefix.
+// filterByPrefix returns the changes with only those values whose key has the prefix.
+// Deleted keys are not filtered.
 func filterByPrefix(changes settings.Changes, prefix string) settings.Changes {
 	kept := changes
 	kept.Parts = map[string]settings.Part{}
--- a/node/internal/standin/prefixcache.go
+++ b/node/internal/standin/prefixcache.go
@@ -6,8 +6,8 @@
 	"doorstack.dev/node/target"
 )
 
-// prefixCache holds prefixes of finished prompts, the least recently used going
-// first. An entry stands for the tokens between it and the prefix before it.
+// prefixCache is a cache of prefixes of prefilled prompts that evicts the least recently
+// used. An entry counts the tokens between its prefix and the next shorter one.
 type prefixCache struct {
 	maxTokens   int64
 	totalTokens int64
@@ -15,25 +15,29 @@
 	byRecency   []uint64
 }
 
-// match returns how many tokens of a prompt are held.
+// matchedTokens returns the number of a prompt's first tokens that are cached, and marks
+// their prefixes as used.
 func (c *prefixCache) matchedTokens(prefixes []uint64) int64 {
-	held := int64(0)
+	matched := int64(0)
 	for i, p := range prefixes {
 		if _, ok := c.tokens[p]; !ok {
 			break
 		}
-		held = target.PrefixTokens(i)
+		matched = target.PrefixTokens(i)
 		c.markUsed(p)
 	}
-	return held
+	return matched
 }
 
+// markUsed makes a prefix the most recently used.
 func (c *prefixCache) markUsed(p uint64) {
 	if at := slices.Index(c.byRecency, p); at >= 0 {
 		c.byRecency = append(slices.Delete(c.byRecency, at, at+1), p)
 	}
 }
 
+// add adds the prefixes of a prompt that fit within the size limit, and returns the
+// hashes added and those evicted.
 func (c *prefixCache) add(prefixes []uint64) (stored, evicted []uint64) {
 	before := int64(0)
 	for i, p := range prefixes {
--- a/node/internal/standin/report.go
+++ b/node/internal/standin/report.go
@@ -7,7 +7,7 @@
 	"doorstack.dev/node/target"
 )
 
-// report makes a load report of this moment.
+// currentReport returns a load report of the current state; the lock is held.
 func (e *Engine) currentReport() target.LoadReport {
 	r := target.LoadReport{
 		CreatedAt:    time.Now(),
@@ -35,7 +35,8 @@
 	return r
 }
 
-// remember keeps reports while they are young enough to be served with the lag.
+// recordReport adds a report to the history from which Report answers with the lag. Of
+// the reports older than twice the lag it keeps only the newest; the lock is held.
 func (e *Engine) recordReport() {
 	if e.faults.ReportLag == 0 {
 		e.reportHistory = nil
@@ -48,7 +49,7 @@
 	}
 }
 
-// Report is the load report as published, with its lag.
+// Report returns the load report that the engine publishes, with the injected lag.
 func (e *Engine) Report() target.LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -69,7 +70,7 @@
 	return found
 }
 
-// eventsAfter lists cache events after a sequence number.
+// cacheEventsAfter returns the cache events after a sequence number.
 func (e *Engine) cacheEventsAfter(after int64) []target.CacheEvent {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/node/internal/standin/service.go
+++ b/node/internal/standin/service.go
@@ -10,10 +10,10 @@
 	"doorstack.dev/node/target"
 )
 
-// Service is a stand-in for a plain service. It counts each call by its
-// idempotency key, so that a test can see whether one ran twice.
+// Service simulates a plain service. It counts executions by idempotency key, so that a
+// test can check that no call was executed twice.
 type Service struct {
-	// Name appears in answers.
+	// Name identifies the service in its answers.
 	Name string
 
 	mu              sync.Mutex
@@ -23,47 +23,49 @@
 	inFlight        int
 }
 
-// ServiceFaults are the ways in which a service misbehaves.
+// ServiceFaults are the faults that a service injects. The zero value injects none.
 type ServiceFaults struct {
-	// Delay is the time a call takes.
+	// Delay is how long an executed call waits for its answer.
 	Delay time.Duration
-	// DieAfterRun carries the call out and cuts the connection.
+	// AbortAfterRun executes the call and aborts the connection without an answer.
 	AbortAfterRun bool
-	// DieMidAnswer carries it out and sends half of the answer.
+	// AbortMidAnswer executes the call, sends half of the answer and aborts the
+	// connection.
 	AbortMidAnswer bool
-	// Refuse turns every call away without running it.
+	// Refuse refuses every call without executing it.
 	Refuse bool
-	// Leaving is what the load report says.
+	// Draining makes the load report say that the service is draining.
 	Draining bool
 }
 
-// NewService returns a healthy service.
+// NewService returns a service that injects no faults.
 func NewService(name string) *Service {
 	return &Service{Name: name, executions: map[string]int{}}
 }
 
-// SetFaults changes how the service misbehaves from now on.
+// SetFaults replaces the faults that the service injects.
 func (s *Service) SetFaults(f ServiceFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Ran is how often the call with a key was carried out.
+// Executions returns how often the call with an idempotency key was executed.
 func (s *Service) Executions(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.executions[key]
 }
 
-// Total is the number of calls carried out.
+// TotalExecutions returns the number of executed calls.
 func (s *Service) TotalExecutions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.totalExecutions
 }
 
-// Handler serves /v1/load and takes every other path as a call.
+// Handler returns a handler that serves the load report at /v1/load and treats a request
+// to any other path as a call.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/load", func(w http.ResponseWriter, _ *http.Request) {
@@ -75,6 +77,7 @@
 	return mux
 }
 
+// serveCall executes and answers a call, subject to the injected faults.
 func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -90,7 +93,7 @@
 		s.mu.Unlock()
 	}()
 	if f.Refuse {
-		writeJSON(w, http.StatusServiceUnavailable, target.ErrorAnswer{Code: target.CodeBusy, Message: "told to refuse"})
+		writeJSON(w, http.StatusServiceUnavailable, target.ErrorAnswer{Code: target.CodeBusy, Message: "the stand-in is set to refuse calls"})
 		return
 	}
 	s.recordExecution(r.Header.Get("Idempotency-Key"))
@@ -113,6 +116,7 @@
 	_, _ = w.Write(answer)
 }
 
+// recordExecution counts an execution of the call with an idempotency key.
 func (s *Service) recordExecution(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +124,7 @@
 	s.totalExecutions++
 }
 
-// ServiceAnswer is the body of each answer.
+// ServiceAnswer is the body of a service's answer. Echo is the body of the call.
 type ServiceAnswer struct {
 	Service string `json:"service"`
 	Path    string `json:"path"`
