--- a/node/internal/fleet/answers_test.go
+++ b/node/internal/fleet/answers_test.go
@@ -13,7 +13,7 @@
 	"github.com/openai/openai-go/v3/option"
 )
 
-// TestOpenAIClientLibrary speaks to a daemon through OpenAI's own client.
+// TestOpenAIClientLibrary checks that OpenAI's Go client works with a daemon.
 func TestOpenAIClientLibrary(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, claraOptions(1, 2))
@@ -24,9 +24,9 @@
 		Messages:  []openai.ChatCompletionMessageParamUnion{openai.UserMessage("is there a slot?")},
 	}
 	want := standin.Answer("is there a slot?", 12)
-	whole, err := client.Chat.Completions.New(context.Background(), params)
-	if err != nil || whole.Choices[0].Message.Content != want {
-		t.Fatalf("%v: %+v", err, whole)
+	completion, err := client.Chat.Completions.New(context.Background(), params)
+	if err != nil || completion.Choices[0].Message.Content != want {
+		t.Fatalf("Completions.New: %v, %+v; want content %q", err, completion, want)
 	}
 	stream := client.Chat.Completions.NewStreaming(context.Background(), params)
 	var text strings.Builder
@@ -36,30 +36,30 @@
 		}
 	}
 	if stream.Err() != nil || text.String() != want {
-		t.Fatalf("%v: %q, want %q", stream.Err(), text.String(), want)
+		t.Fatalf("Completions.NewStreaming: %v, text %q; want %q", stream.Err(), text.String(), want)
 	}
 	models, err := client.Models.List(context.Background())
 	if err != nil || len(models.Data) != 3 {
-		t.Fatalf("%v: %+v", err, models)
+		t.Fatalf("Models.List: %v, %+v; want three models", err, models)
 	}
 	wrong := openai.NewClient(option.WithBaseURL(f.Daemons[0].URL()+"/v1"), option.WithAPIKey("no"), option.WithMaxRetries(0))
 	if _, err := wrong.Chat.Completions.New(context.Background(), params); err == nil {
-		t.Fatal("a wrong key is taken")
+		t.Fatal("Completions.New with an unknown API key succeeded")
 	}
 }
 
-// TestMisbehavingEngineDoesNotCorruptAnswer gives the whole answer or a failure whatever an engine
-// does to its stream.
+// TestMisbehavingEngineDoesNotCorruptAnswer checks that callers get a complete and correct
+// answer or an error when an engine reorders, repeats, mixes, truncates or refuses streams.
 func TestMisbehavingEngineDoesNotCorruptAnswer(t *testing.T) {
 	t.Parallel()
 	cases := map[string]struct {
-		faults standin.Faults
-		whole  bool
+		faults   standin.Faults
+		complete bool
 	}{
 		"reordered":  {standin.Faults{ReorderChunks: true}, true},
 		"duplicated": {standin.Faults{DuplicateChunks: true}, true},
 		"foreign":    {standin.Faults{OtherAttemptChunks: true}, true},
-		"truncated":  {standin.Faults{TruncateAfter: 5}, true}, // the second engine takes over
+		"truncated":  {standin.Faults{TruncateAfter: 5}, true}, // continued by the second engine
 		"refusing":   {standin.Faults{RefusalCode: "busy"}, true},
 	}
 	for name, c := range cases {
@@ -70,8 +70,8 @@
 			for range 6 {
 				r := chat(t, f.Daemons[0], deskKey, "hello "+name, 20)
 				checkAnswer(t, r, "hello "+name, 20)
-				if c.whole && r.err != nil {
-					t.Fatalf("failed: %s", r.err.Message)
+				if c.complete && r.err != nil {
+					t.Fatalf("chat with engine fault %q: error %q, want a complete answer", name, r.err.Message)
 				}
 			}
 			awaitIdleDaemons(t, f)
@@ -80,14 +80,14 @@
 	}
 }
 
-// TestAnswerContinuesAfterEngineFailure, by dying, or by freezing, which answers nothing and
-// closes nothing: the answer goes on elsewhere, no token twice, long before its
-// deadline.
+// TestAnswerContinuesAfterEngineFailure checks that another engine continues an answer,
+// without repeated tokens and long before the deadline, after its engine has failed. The
+// engine closes its connections, or keeps them open without answering.
 func TestAnswerContinuesAfterEngineFailure(t *testing.T) {
 	t.Parallel()
-	for name, harm := range map[string]func(*Engine){
-		"dies":    func(e *Engine) { e.Server.Close() },
-		"freezes": func(e *Engine) { e.SetFaults(standin.Faults{Hanging: true}) },
+	for name, injectFault := range map[string]func(*Engine){
+		"closes its connections": func(e *Engine) { e.Server.Close() },
+		"does not answer":        func(e *Engine) { e.SetFaults(standin.Faults{Hanging: true}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -101,13 +101,13 @@
 			for i := range replies {
 				wg.Go(func() { replies[i] = chat(t, f.Daemons[0], appKey, "long talk", tokens) })
 			}
-			eventually(t, "an engine generates", func() bool { return f.Engines[0].UsedTokens() > 0 })
-			harm(f.Engines[0])
+			eventually(t, "the first engine uses memory", func() bool { return f.Engines[0].UsedTokens() > 0 })
+			injectFault(f.Engines[0])
 			wg.Wait()
 			for _, r := range replies {
 				checkAnswer(t, r, "long talk", tokens)
 				if r.err != nil {
-					t.Errorf("failed though two engines live: %s", r.err.Message)
+					t.Errorf("error %q, want a complete answer from the two remaining engines", r.err.Message)
 				}
 			}
 			awaitIdleDaemons(t, f)
@@ -115,7 +115,8 @@
 	}
 }
 
-// TestInvalidRequestsAreRejected get a clear error, and hold nothing afterwards.
+// TestInvalidRequestsAreRejected checks the error that an invalid request gets, and that it
+// is neither in flight nor queued afterwards.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, claraOptions(1, 1))
@@ -143,39 +144,40 @@
 			continue
 		}
 		if r.err.Execution != "not_run" || r.err.Remedy == "" || r.requestID == "" {
-			t.Errorf("%s: %+v, id %q", name, r.err, r.requestID)
+			t.Errorf("%s: error %+v, request ID %q; want not_run, a remedy and a request ID", name, r.err, r.requestID)
 		}
 	}
 	if got := doCall(t, d, call{method: http.MethodGet, path: "/v1/models", apiKey: deskKey}); got.status != 200 {
-		t.Errorf("models: %s", describe(got))
+		t.Errorf("GET /v1/models: got %s, want 200", describe(got))
 	}
 	awaitIdleDaemons(t, f)
 }
 
-// TestDisconnectFreesEngineMemory: a caller that goes away costs nothing more.
+// TestDisconnectFreesEngineMemory checks that a request is ended, and its engine memory is
+// freed, after its caller has disconnected.
 func TestDisconnectFreesEngineMemory(t *testing.T) {
 	t.Parallel()
 	o := claraOptions(1, 1)
-	o.Cost.FixedStepTime = waitTimeout / 1000 // The answer takes longer than the test waits.
+	o.Cost.FixedStepTime = waitTimeout / 1000 // The answer takes longer than waitTimeout.
 	f := startFleet(t, o)
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
-		for ctx.Err() == nil { // A refusal is not what this test is about.
+		defer close(done)
+		for ctx.Err() == nil { // A refused request is sent again.
 			readUntilCancelled(ctx, f.Daemons[0])
 		}
 	}()
-	eventually(t, "the engine works on it", func() bool { return f.Engines[0].UsedTokens() > 0 })
+	eventually(t, "the engine uses memory", func() bool { return f.Engines[0].UsedTokens() > 0 })
 	cancel()
-	<-ended
+	<-done
 	awaitIdleDaemons(t, f)
 	awaitMemoryFreed(t, f)
 }
 
-// readUntilCancelled asks for a long answer and reads it until ctx ends.
-func readUntilCancelled(ctx context.Context, n *Daemon) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, n.URL()+"/v1/chat/completions", strings.NewReader(string(chatBody("x", 2000, true))))
+// readUntilCancelled requests a long answer and reads it until ctx ends.
+func readUntilCancelled(ctx context.Context, d *Daemon) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, d.URL()+"/v1/chat/completions", strings.NewReader(string(chatBody("x", 2000, true))))
 	if err != nil {
 		return
 	}
--- a/node/internal/fleet/bench_test.go
+++ b/node/internal/fleet/bench_test.go
@@ -15,12 +15,13 @@
 	"doorstack.dev/node/internal/standin"
 )
 
+// startBenchFleet starts one daemon and one engine, with limits above what benchmarks use.
 func startBenchFleet(b *testing.B, cost standin.CostModel) *Fleet {
 	b.Helper()
 	o := claraOptions(1, 1)
 	o.Cost = cost
-	roomy := strings.NewReplacer("requests_per_second: 200", "requests_per_second: 100000", "max_concurrent: 64", "max_concurrent: 1000")
-	o.Settings = []byte(roomy.Replace(string(o.Settings)))
+	raiseLimits := strings.NewReplacer("requests_per_second: 200", "requests_per_second: 100000", "max_concurrent: 64", "max_concurrent: 1000")
+	o.Settings = []byte(raiseLimits.Replace(string(o.Settings)))
 	f, err := Start(o)
 	if err != nil {
 		b.Fatal(err)
@@ -29,7 +30,8 @@
 	return f
 }
 
-// timeToFirstLine asks and returns the time to the first line of the answer's body.
+// timeToFirstLine makes a request and reads the whole answer. It returns the time to the
+// first line of the body.
 func timeToFirstLine(b *testing.B, url, key string, body []byte) time.Duration {
 	b.Helper()
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, url, bytes.NewReader(body))
@@ -43,18 +45,18 @@
 		b.Fatal(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	lines := bufio.NewScanner(resp.Body)
-	if !lines.Scan() || resp.StatusCode != http.StatusOK {
-		b.Fatal(resp.Status, lines.Text())
+	scanner := bufio.NewScanner(resp.Body)
+	if !scanner.Scan() || resp.StatusCode != http.StatusOK {
+		b.Fatal(resp.Status, scanner.Text())
 	}
 	first := time.Since(start)
-	for lines.Scan() {
+	for scanner.Scan() {
 	}
 	return first
 }
 
-// BenchmarkFirstTokenAdded compares the daemon with the stand-in asked directly,
-// turn by turn in one run, and reports both medians.
+// BenchmarkFirstTokenAdded measures the median time to the first token through the daemon and
+// directly from the engine, with alternating requests, and reports both and their difference.
 func BenchmarkFirstTokenAdded(b *testing.B) {
 	cost := fastCostModel()
 	cost.FixedStepTime = 0
@@ -75,8 +77,8 @@
 	b.ReportMetric(float64((through[len(through)/2] - direct[len(direct)/2]).Microseconds()), "us-added-p50")
 }
 
-// BenchmarkRelay measures relayed tokens a second, each its own event, with one
-// processor for everything: daemon, stand-in and the reading caller.
+// BenchmarkRelay measures relayed tokens per second, with one token per event. The daemon,
+// the engine and the caller share one processor.
 func BenchmarkRelay(b *testing.B) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	cost := fastCostModel()
@@ -92,8 +94,8 @@
 	b.ReportMetric(float64(n)/time.Since(start).Seconds(), "tokens/s")
 }
 
-// BenchmarkOpenStreamMemory reports the memory of the process for each open
-// stream, with the caller's and the stand-in's side of it in the same process.
+// BenchmarkOpenStreamMemory reports the memory of the process per open stream. This includes
+// the memory of the caller and of the engine, which run in the same process.
 func BenchmarkOpenStreamMemory(b *testing.B) {
 	const streams = 300
 	for b.Loop() {
@@ -122,12 +124,14 @@
 	}
 }
 
+// pollUntil waits until a condition holds, for at most waitTimeout.
 func pollUntil(condition func() bool) {
 	for end := time.Now().Add(waitTimeout); !condition() && time.Now().Before(end); {
-		time.Sleep(time.Millisecond) // A benchmark, not a test.
+		time.Sleep(time.Millisecond) // Nothing in a benchmark depends on this interval.
 	}
 }
 
+// memoryInUse returns the bytes of heap and stacks in use after a garbage collection.
 func memoryInUse() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/node/internal/fleet/fleet.go
+++ b/node/internal/fleet/fleet.go
@@ -1,5 +1,7 @@
-// Package fleet starts stand-ins and daemons in one process on loopback, for
-// tests and for "doorstack try". It holds no logic of doorstack itself.
+// Package fleet runs a platform stand-in, target stand-ins and daemons on loopback in one
+// process, for the tests of this package and for "doorstack try". A fleet is started from a
+// settings document and the number of hosts of each type; its hosts can then be stopped,
+// crashed and added one by one. The package contains no logic of doorstack itself.
 package fleet
 
 import (
@@ -19,23 +21,24 @@
 	"github.com/go-faster/errors"
 )
 
-// Options describe a fleet.
+// Options are the parameters of a fleet.
 type Options struct {
 	// Settings is the settings document.
 	Settings []byte
-	// Daemons, Engines and Services are numbers of each.
+	// Daemons, Engines and Services are the numbers of hosts of each type.
 	Daemons, Engines, Services int
-	// EnginePool, ServicePool and Model name what the settings route to.
+	// EnginePool and ServicePool are the targets' pools, Model is the engines' model. The
+	// settings must route to them.
 	EnginePool, ServicePool, Model string
 	// Cost is the engines' cost model.
 	Cost standin.CostModel
-	// Log receives the daemons' log lines; nil drops them.
+	// LogOutput receives the daemons' log lines; if nil, they are discarded.
 	LogOutput io.Writer
-	// DataCentres are spread over hosts in turn; by default one.
+	// DataCentres are assigned to hosts in rotation; the default is a single one.
 	DataCentres []string
 }
 
-// Fleet is a running fleet.
+// Fleet is a set of running daemons and targets with their platform.
 type Fleet struct {
 	Platform       *standin.Platform
 	PlatformServer *standin.Server
@@ -45,14 +48,14 @@
 	options        Options
 }
 
-// Engine is a stand-in engine with its listener.
+// Engine is a stand-in engine with its server and its entry in the host list.
 type Engine struct {
 	*standin.Engine
 	Host   hostlist.Host
 	Server *standin.Server
 }
 
-// Service is a stand-in service with its listener.
+// Service is a stand-in service with its server and its entry in the host list.
 type Service struct {
 	*standin.Service
 	Host   hostlist.Host
@@ -71,13 +74,14 @@
 // hostRegion is the region of all hosts.
 const hostRegion = "r1"
 
-// anyPort lets the system choose a port on loopback.
+// anyPort is a loopback address on which the operating system chooses the port.
 const anyPort = "127.0.0.1:0"
 
-// peerKey is the daemons' shared secret.
+// peerKey is the secret with which daemons authenticate each other.
 const peerKey = "a-shared-secret-of-the-fleet"
 
-// Start starts everything and waits until the daemons serve.
+// Start starts the platform, the targets and the daemons, and waits until all daemons are
+// ready. After an error nothing is left running.
 func Start(o Options) (*Fleet, error) {
 	if len(o.DataCentres) == 0 {
 		o.DataCentres = []string{"dc1"}
@@ -91,6 +95,7 @@
 	return f, nil
 }
 
+// start does the work of Start. After an error some hosts may be running.
 func (f *Fleet) start() error {
 	var err error
 	if f.PlatformServer, err = standin.Listen("", f.Platform.Handler(), nil); err != nil {
@@ -123,8 +128,10 @@
 	return nil
 }
 
+// dataCentre returns the data centre of the host with index i of its type.
 func (f *Fleet) dataCentre(i int) string { return f.options.DataCentres[i%len(f.options.DataCentres)] }
 
+// addEngine starts an engine. The host list is published later.
 func (f *Fleet) addEngine(i int) error {
 	e := standin.NewEngine(fmt.Sprintf("engine-%d", i+1), f.options.Cost, f.options.Model)
 	server, err := standin.Listen("", e.Handler(), e.Run)
@@ -138,6 +145,7 @@
 	return nil
 }
 
+// addService starts a service. The host list is published later.
 func (f *Fleet) addService(i int) error {
 	s := standin.NewService(fmt.Sprintf("service-%d", i+1))
 	server, err := standin.Listen("", s.Handler(), nil)
@@ -151,6 +159,7 @@
 	return nil
 }
 
+// addDaemon creates a daemon, but does not start it.
 func (f *Fleet) addDaemon(i int) error {
 	file := config.Default()
 	file.Name = fmt.Sprintf("daemon-%d", i+1)
@@ -160,14 +169,15 @@
 	file.Platform.Hosts = file.Platform.Configuration
 	file.PeerKeys = []string{peerKey}
 	file.DrainDelay = strictyaml.Duration(0)
-	node, err := f.newDaemon(&file)
+	d, err := f.newDaemon(&file)
 	if err != nil {
 		return err
 	}
-	f.Daemons = append(f.Daemons, node)
+	f.Daemons = append(f.Daemons, d)
 	return nil
 }
 
+// newDaemon creates a daemon from a configuration file.
 func (f *Fleet) newDaemon(file *config.File) (*Daemon, error) {
 	out := f.options.LogOutput
 	if out == nil {
@@ -183,27 +193,30 @@
 	}}, nil
 }
 
-func (n *Daemon) start() {
+// start runs the daemon in the background.
+func (d *Daemon) start() {
 	ctx, cancel := context.WithCancel(context.Background())
-	n.cancel = cancel
+	d.cancel = cancel
 	go func() {
-		_ = n.Run(ctx)
-		close(n.done)
+		_ = d.Run(ctx)
+		close(d.done)
 	}()
 }
 
-// readyTimeout bounds the start of a daemon; readyPollInterval is how often it is asked.
+// readyTimeout is how long WaitReady waits for a daemon, and readyPollInterval the pause
+// between its requests.
 const (
 	readyTimeout      = 20 * time.Second
 	readyPollInterval = 5 * time.Millisecond
 )
 
-// WaitReady waits until the daemon serves.
-func (n *Daemon) WaitReady() error {
+// WaitReady waits until the daemon reports that it is ready, and returns an error after
+// readyTimeout.
+func (d *Daemon) WaitReady() error {
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.Config.Admin+"/readyz", nil)
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.Config.Admin+"/readyz", nil)
 		if err != nil {
 			return err
 		}
@@ -216,63 +229,64 @@
 		}
 		time.Sleep(readyPollInterval)
 	}
-	return errors.New(n.Config.Name + " did not get ready")
+	return errors.New(d.Config.Name + " was not ready in time")
 }
 
-// Stop ends the daemon at once and waits until it is gone.
-func (n *Daemon) Stop() {
-	n.stopOnce.Do(func() {
-		if n.cancel == nil {
+// Stop cancels the daemon's context and waits until the daemon has ended.
+func (d *Daemon) Stop() {
+	d.stopOnce.Do(func() {
+		if d.cancel == nil {
 			return
 		}
-		n.cancel()
-		<-n.done
+		d.cancel()
+		<-d.done
 	})
 }
 
-// Kill makes the daemon fall silent at once, as a crash does: what it has begun at
-// targets stays there.
-func (n *Daemon) Kill() {
-	n.SimulateCrash()
-	n.Stop()
+// Kill ends the daemon without any further message, as a crash would. Its requests and
+// reservations at targets are left as they are.
+func (d *Daemon) Kill() {
+	d.SimulateCrash()
+	d.Stop()
 }
 
-// Done is closed when the daemon has ended.
-func (n *Daemon) Done() <-chan struct{} { return n.done }
+// Done returns a channel that is closed when the daemon has ended.
+func (d *Daemon) Done() <-chan struct{} { return d.done }
 
-// URL is the callers' base URL.
-func (n *Daemon) URL() string { return "http://" + n.Config.Listen }
+// URL returns the base URL for callers.
+func (d *Daemon) URL() string { return "http://" + d.Config.Listen }
 
-// Join adds a daemon that reads its settings from another address, after prepare.
+// Join adds a daemon that reads its settings from another address. It calls prepare before
+// it starts the daemon, and does not wait until the daemon is ready.
 func (f *Fleet) Join(configuration string, prepare func(*Daemon)) (*Daemon, error) {
 	if err := f.addDaemon(len(f.Daemons)); err != nil {
 		return nil, err
 	}
-	n := f.Daemons[len(f.Daemons)-1]
-	n.SetConfigurationURL("http://" + configuration)
-	prepare(n)
+	d := f.Daemons[len(f.Daemons)-1]
+	d.SetConfigurationURL("http://" + configuration)
+	prepare(d)
 	f.PublishHosts()
-	n.start()
-	return n, nil
+	d.start()
+	return d, nil
 }
 
-// Restart replaces an ended daemon by a new process of the same host, which
-// remembers nothing.
+// Recreate replaces an ended daemon with a new one of the same name, on new ports and
+// without state. Call Start on the result to start it.
 func (f *Fleet) Recreate(i int) (*Daemon, error) {
 	file := *f.Daemons[i].Config
 	file.Listen, file.Admin, file.Peer = anyPort, anyPort, anyPort
-	n, err := f.newDaemon(&file)
+	d, err := f.newDaemon(&file)
 	if err != nil {
 		return nil, err
 	}
-	f.Daemons[i] = n
-	return n, nil
+	f.Daemons[i] = d
+	return d, nil
 }
 
-// Start runs a daemon that Restart made.
-func (n *Daemon) Start() { n.start() }
+// Start starts a daemon that Recreate returned.
+func (d *Daemon) Start() { d.start() }
 
-// Publish puts all hosts on the platform's list.
+// PublishHosts replaces the platform's host list with all hosts of the fleet.
 func (f *Fleet) PublishHosts() {
 	var hosts []hostlist.Host
 	for _, d := range f.Daemons {
@@ -287,7 +301,7 @@
 	f.Platform.SetHosts(hosts)
 }
 
-// Close ends everything.
+// Close stops the daemons, the targets and the platform.
 func (f *Fleet) Close() {
 	for _, d := range f.Daemons {
 		d.Stop()
--- a/node/internal/fleet/group_test.go
+++ b/node/internal/fleet/group_test.go
@@ -11,26 +11,29 @@
 	"doorstack.dev/node/internal/standin"
 )
 
+// currentTime returns the current time of a daemon's clock.
 func currentTime(*Daemon) time.Time { return time.Now() }
 
-// groupPrompt is a prompt of more than twice an engine's memory.
+// groupPrompt returns a prompt of more than twice an engine's memory, which needs a group.
 func groupPrompt() string { return promptText(1_000_000) }
 
-// TestGroupServesLongPrompt is served by a group, and everything is given back.
+// TestGroupServesLongPrompt checks that a group of engines answers a prompt beyond the memory
+// of one engine, and that the group frees its memory.
 func TestGroupServesLongPrompt(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, claraOptions(1, 4))
 	r := chat(t, f.Daemons[0], triageKey, groupPrompt(), 20)
 	if r.err != nil || strings.Count(r.text, " w") != 20 {
-		t.Fatalf("%+v %q", r.err, r.text)
+		t.Fatalf("chat: error %+v, text %q; want 20 tokens", r.err, r.text)
 	}
 	awaitMemoryFreed(t, f)
 	if got := chat(t, f.Daemons[0], deskKey, "and now a short one", 5); got.err != nil {
-		t.Fatal(got.err.Message)
+		t.Fatal("chat after the group's answer: ", got.err.Message)
 	}
 }
 
-// TestGroupFreesMemoryAfterDisconnect give everything back.
+// TestGroupFreesMemoryAfterDisconnect checks that a group frees its memory when the caller
+// disconnects during the prefill.
 func TestGroupFreesMemoryAfterDisconnect(t *testing.T) {
 	t.Parallel()
 	o := claraOptions(1, 3)
@@ -45,13 +48,14 @@
 	awaitIdleDaemons(t, f)
 }
 
-// TestGroupAnswersAfterEngineFailure at each part, by dying or by freezing: the caller still gets a whole answer
-// from the engines that live, and those hold nothing afterwards.
+// TestGroupAnswersAfterEngineFailure checks that the caller of a group gets a complete answer
+// when the engine of any part fails, by closing its connections or by not answering, and that
+// the other engines free their memory afterwards.
 func TestGroupAnswersAfterEngineFailure(t *testing.T) {
 	t.Parallel()
 	for i := range 6 {
-		victim, freezes := i/2, i%2 == 1
-		t.Run(fmt.Sprintf("part %d freezes %v", victim+1, freezes), func(t *testing.T) {
+		victim, hangs := i/2, i%2 == 1
+		t.Run(fmt.Sprintf("part %d hangs %v", victim+1, hangs), func(t *testing.T) {
 			t.Parallel()
 			o := claraOptions(1, 6)
 			o.Cost.PerPromptToken *= 4
@@ -71,7 +75,7 @@
 				}
 				return len(holders) == 3
 			})
-			if freezes {
+			if hangs {
 				holders[victim].SetFaults(standin.Faults{Hanging: true})
 			} else {
 				holders[victim].Server.Close()
@@ -79,13 +83,13 @@
 			r := <-answer
 			r.parseEvents(t)
 			if r.err != nil || strings.Count(r.text, " w") != 20 {
-				t.Errorf("got %+v %q", r.err, r.text)
+				t.Errorf("chat: error %+v, text %q; want 20 tokens", r.err, r.text)
 			}
-			if freezes {
+			if hangs {
 				holders[victim].SetFaults(standin.Faults{})
-				awaitMemoryFreed(t, f) // The thawed engine's part included.
+				awaitMemoryFreed(t, f) // This includes the engine that answers again.
 			}
-			eventually(t, "the living engines hold nothing", func() bool {
+			eventually(t, "the other engines use no memory", func() bool {
 				for _, e := range f.Engines {
 					if e != holders[victim] && e.UsedTokens() != 0 {
 						return false
@@ -98,8 +102,9 @@
 	}
 }
 
-func sendGroupPrompt(ctx context.Context, n *Daemon) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, n.URL()+"/v1/chat/completions", strings.NewReader(string(chatBody(groupPrompt(), 20, true))))
+// sendGroupPrompt sends a prompt that needs a group and discards the answer.
+func sendGroupPrompt(ctx context.Context, d *Daemon) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, d.URL()+"/v1/chat/completions", strings.NewReader(string(chatBody(groupPrompt(), 20, true))))
 	if err != nil {
 		return
 	}
@@ -109,6 +114,7 @@
 	}
 }
 
+// totalUsedTokens returns the memory that all engines use, in tokens.
 func totalUsedTokens(f *Fleet) int64 {
 	sum := int64(0)
 	for _, e := range f.Engines {
@@ -117,8 +123,8 @@
 	return sum
 }
 
-// TestMemoryReservedByKilledDaemonIsReleased, twice: the others find what it reserved and
-// release it.
+// TestMemoryReservedByKilledDaemonIsReleased checks that the remaining daemons release the
+// reservations of a killed daemon, for two daemons one after the other.
 func TestMemoryReservedByKilledDaemonIsReleased(t *testing.T) {
 	t.Parallel()
 	o := claraOptions(4, 3)
@@ -127,7 +133,7 @@
 	for _, victim := range f.Daemons[:2] {
 		go sendGroupPrompt(context.Background(), victim)
 		eventually(t, "parts are reserved", func() bool { return totalUsedTokens(f) > 450_000 })
-		// The death is a cut: nothing of the daemon reaches an engine any more.
+		// After Kill no message of the daemon reaches an engine.
 		victim.Kill()
 		awaitMemoryFreed(t, f)
 	}
--- a/node/internal/fleet/helpers_test.go
+++ b/node/internal/fleet/helpers_test.go
@@ -19,7 +19,7 @@
 	"github.com/google/uuid"
 )
 
-// fastCostModel is an engine quick enough that tests wait for little.
+// fastCostModel returns the costs of an engine fast enough for short tests.
 func fastCostModel() standin.CostModel {
 	c := standin.DefaultCostModel()
 	c.FixedStepTime = 500 * time.Microsecond
@@ -29,16 +29,19 @@
 	return c
 }
 
+// claraOptions returns the options of a fleet with the example settings and one service in
+// three data centres.
 func claraOptions(daemons, engines int) Options {
-	// Limits are tested where they are the subject; elsewhere they are out of the way.
-	roomy := strings.ReplaceAll(string(examples.Clara), "requests_per_second: 50", "requests_per_second: 50000")
+	// The rate limit is raised so that it affects only the tests about limits.
+	settings := strings.ReplaceAll(string(examples.Clara), "requests_per_second: 50", "requests_per_second: 50000")
 	return Options{
-		Settings: []byte(roomy), Daemons: daemons, Engines: engines, Services: 1,
+		Settings: []byte(settings), Daemons: daemons, Engines: engines, Services: 1,
 		EnginePool: "llm", ServicePool: "scheduling", Model: "assistant-7b", Cost: fastCostModel(),
 		DataCentres: []string{"dc1", "dc2", "dc3"},
 	}
 }
 
+// startFleet starts a fleet that is closed at the end of the test.
 func startFleet(t *testing.T, o Options) *Fleet {
 	t.Helper()
 	f, err := Start(o)
@@ -49,64 +52,68 @@
 	return f
 }
 
-// waitTimeout bounds every wait of a test; it decides nothing but how long a broken
-// program is waited for.
+// waitTimeout bounds each wait of a test. No result depends on it, except how long a test
+// waits before it fails.
 const waitTimeout = 60 * time.Second
 
-// eventually waits until a condition holds.
+// eventually waits until a condition holds and fails the test after waitTimeout. The
+// argument what states the condition.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.NewTimer(waitTimeout)
 	defer deadline.Stop()
-	look := time.NewTicker(5 * time.Millisecond)
-	defer look.Stop()
+	ticker := time.NewTicker(5 * time.Millisecond)
+	defer ticker.Stop()
 	for !condition() {
 		select {
-		case <-look.C:
+		case <-ticker.C:
 		case <-deadline.C:
-			t.Fatalf("waited %v in vain until %s", waitTimeout, what)
+			t.Fatalf("condition not met within %v: %s", waitTimeout, what)
 		}
 	}
 }
 
-// Keys of accounts in the example settings.
+// API keys of client accounts in the example settings.
 const (
 	deskKey   = "clara-santa-maria"
 	triageKey = "clara-oncology"
 	appKey    = "clara-patients"
 )
 
-// reply is an answer as a caller sees it.
+// reply is an answer as received by the caller. parseEvents sets the text.
 type reply struct {
 	status    int
 	requestID string
-	text      string // of a whole answer
+	text      string // of a streamed answer
 	body      string
 	err       *api.ErrorDetail
 }
 
+// call is a request of a caller; the method is POST if it is empty.
 type call struct {
 	method, path, apiKey, idempotencyKey string
 	body                                 []byte
 }
 
-func doCall(t *testing.T, n *Daemon, c call) reply {
+// doCall makes a call and fails the test if no answer can be read.
+func doCall(t *testing.T, d *Daemon, c call) reply {
 	t.Helper()
-	r, err := tryCall(n, c)
+	r, err := tryCall(d, c)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// tryCall makes a call; the error is one of the connection.
-func tryCall(n *Daemon, c call) (reply, error) {
+// tryCall makes a call. An error means that the connection failed; an error answer is part
+// of the reply.
+func tryCall(d *Daemon, c call) (reply, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	if c.method == "" {
 		c.method = http.MethodPost
 	}
-	req, err := http.NewRequestWithContext(ctx, c.method, n.URL()+c.path, bytes.NewReader(c.body))
+	req, err := http.NewRequestWithContext(ctx, c.method, d.URL()+c.path, bytes.NewReader(c.body))
 	if err != nil {
 		return reply{}, err
 	}
@@ -130,6 +137,7 @@
 	return r, err
 }
 
+// chatBody returns the body of a chat completion request.
 func chatBody(prompt string, tokens int, stream bool) []byte {
 	body, err := json.Marshal(map[string]any{
 		"model": "assistant", "stream": stream, "max_tokens": tokens,
@@ -141,37 +149,38 @@
 	return body
 }
 
-// chat asks for a streamed answer and returns its text, or the error in it.
-func chat(t *testing.T, n *Daemon, key, prompt string, tokens int) reply {
+// chat requests a streamed answer and returns its text, or the error sent in it.
+func chat(t *testing.T, d *Daemon, key, prompt string, tokens int) reply {
 	t.Helper()
-	r := doCall(t, n, call{path: "/v1/chat/completions", apiKey: key, body: chatBody(prompt, tokens, true)})
+	r := doCall(t, d, call{path: "/v1/chat/completions", apiKey: key, body: chatBody(prompt, tokens, true)})
 	r.parseEvents(t)
 	return r
 }
 
-// chatWithRetry asks like chat and, as callers do, once more after each refusal for a limit.
-// On a busy host an account's owner may be late to lend a daemon its part of the limit;
-// what the tests that use it are about is served all the same.
-func chatWithRetry(t *testing.T, n *Daemon, key, prompt string, tokens int) reply {
+// chatWithRetry is like chat, but repeats the request while it is refused with status 429, as
+// callers do. On a busy host the owner of an account's limit may be late in granting a daemon
+// its share, which is not what the tests that use chatWithRetry check.
+func chatWithRetry(t *testing.T, d *Daemon, key, prompt string, tokens int) reply {
 	t.Helper()
 	var r reply
-	eventually(t, "an answer that is no refusal for a limit", func() bool {
-		r = chat(t, n, key, prompt, tokens)
+	eventually(t, "the answer is not a refusal with status 429", func() bool {
+		r = chat(t, d, key, prompt, tokens)
 		return r.status != http.StatusTooManyRequests
 	})
 	return r
 }
 
-// read parses server-sent events.
+// parseEvents reads the text or the error from the server-sent events of an answer with
+// status 200.
 func (r *reply) parseEvents(t *testing.T) {
 	t.Helper()
 	if r.status != http.StatusOK {
 		return
 	}
 	done := false
-	lines := bufio.NewScanner(strings.NewReader(r.body))
-	for lines.Scan() {
-		data, found := strings.CutPrefix(lines.Text(), "data: ")
+	scanner := bufio.NewScanner(strings.NewReader(r.body))
+	for scanner.Scan() {
+		data, found := strings.CutPrefix(scanner.Text(), "data: ")
 		if !found {
 			continue
 		}
@@ -186,7 +195,7 @@
 			Error *api.ErrorDetail
 		}
 		if err := json.Unmarshal([]byte(data), &e); err != nil {
-			t.Fatalf("a garbled event %q: %v", data, err)
+			t.Fatalf("Unmarshal of event %q: %v", data, err)
 		}
 		if e.Error != nil {
 			r.err = e.Error
@@ -196,25 +205,26 @@
 		}
 	}
 	if done == (r.err != nil) {
-		t.Fatalf("end mark %v, error %v: an answer must have one of the two", done, r.err)
+		t.Fatalf("stream has [DONE]: %v, error: %v; want exactly one of them", done, r.err)
 	}
 }
 
-// The eight properties of the brief, as checks that the failure tests share.
+// Checks that the failure tests share.
 
-// checkAnswer: a caller has its own whole answer or an error, never a part.
+// checkAnswer checks that the caller got its complete answer, or an error after a correct
+// beginning of the answer.
 func checkAnswer(t *testing.T, r reply, prompt string, tokens int64) {
 	t.Helper()
 	want := standin.Answer(prompt, tokens)
 	if r.err == nil && r.text != want {
-		t.Fatalf("a wrong answer was given as whole: %.80q, want %.80q", r.text, want)
+		t.Fatalf("answer without an error is %.80q, want %.80q", r.text, want)
 	}
 	if r.err != nil && !strings.HasPrefix(want, r.text) {
-		t.Fatalf("the part before a failure is wrong: %.80q", r.text)
+		t.Fatalf("text before the error is %.80q, want a prefix of %.80q", r.text, want)
 	}
 }
 
-// awaitMemoryFreed: no engine holds memory when nothing runs.
+// awaitMemoryFreed waits until no engine uses memory. No request may be running.
 func awaitMemoryFreed(t *testing.T, f *Fleet) {
 	t.Helper()
 	eventually(t, "all engine memory is free", func() bool {
@@ -227,8 +237,8 @@
 	})
 }
 
-// checkSingleExecution: the service ran a key once at most, and not at all if a caller was
-// told so.
+// checkSingleExecution checks that the services executed the call with an idempotency key at
+// most once, and not at all if one of the replies says not_run.
 func checkSingleExecution(t *testing.T, f *Fleet, key string, replies ...reply) {
 	t.Helper()
 	ran := 0
@@ -236,19 +246,19 @@
 		ran += s.Executions(key)
 	}
 	if ran > 1 {
-		t.Fatalf("the call with key %s ran %d times", key, ran)
+		t.Fatalf("the call with key %s was executed %d times, want at most once", key, ran)
 	}
 	for _, r := range replies {
 		if r.err != nil && r.err.Execution == "not_run" && ran > 0 {
-			t.Fatalf("a caller was told not_run (%s), but the call ran", r.err.Message)
+			t.Fatalf("a reply says not_run (%s), but the call was executed", r.err.Message)
 		}
 	}
 }
 
-// awaitIdleDaemons: no daemon holds a body, a request or a waiting place.
+// awaitIdleDaemons waits until no daemon has a request in flight or queued for an engine.
 func awaitIdleDaemons(t *testing.T, f *Fleet) {
 	t.Helper()
-	eventually(t, "no daemon holds anything", func() bool {
+	eventually(t, "no daemon has a request in flight or queued", func() bool {
 		for _, d := range f.Daemons {
 			if d.Board.InFlight() != 0 || d.Board.Queues.Len("llm") != 0 {
 				return false
@@ -258,22 +268,26 @@
 	})
 }
 
+// newKey returns a new idempotency key that carries its creation time.
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
 
-// awaitWitnessAge waits until keys made from now on are younger than all witnesses. That a key
-// is granted is not enough: three of five do that, while the others may be young.
+// awaitWitnessAge waits until every witness has run long enough to grant a new key. A granted
+// key alone does not show this: three of five witnesses suffice for it, while the others may
+// still be too new.
 func awaitWitnessAge(t *testing.T, f *Fleet) {
 	t.Helper()
 	running := time.Now() // All daemons have started by now.
-	eventually(t, "all witnesses are older than a key by the skew of clocks", func() bool { return time.Since(running) > claim.MaxClockSkew })
+	eventually(t, "all witnesses have run for longer than MaxClockSkew", func() bool { return time.Since(running) > claim.MaxClockSkew })
 	for _, d := range f.Daemons {
-		eventually(t, "a fresh key is granted through "+d.Config.Name, func() bool {
+		eventually(t, "a new key is granted through "+d.Config.Name, func() bool {
 			r, err := tryCall(d, call{path: "/v1/services/confirm/warm-up", apiKey: deskKey, idempotencyKey: newKey()})
 			return err == nil && r.status == http.StatusOK
 		})
 	}
 }
 
+// promptText returns a prompt of the given number of tokens, at four bytes per token.
 func promptText(tokens int) string { return strings.Repeat("kiln", tokens) }
 
+// describe formats a reply for test failures.
 func describe(r reply) string { return fmt.Sprintf("%d %.200s", r.status, r.body) }
--- a/node/internal/fleet/once_test.go
+++ b/node/internal/fleet/once_test.go
@@ -9,25 +9,27 @@
 	"doorstack.dev/node/internal/standin"
 )
 
-func confirm(t *testing.T, n *Daemon, key string) reply {
+// confirm calls the service with an idempotency key.
+func confirm(t *testing.T, d *Daemon, key string) reply {
 	t.Helper()
-	return doCall(t, n, call{path: "/v1/services/confirm/slots/17", apiKey: deskKey, idempotencyKey: key, body: []byte(`{"slot":17}`)})
+	return doCall(t, d, call{path: "/v1/services/confirm/slots/17", apiKey: deskKey, idempotencyKey: key, body: []byte(`{"slot":17}`)})
 }
 
-// confirmWithRetry asks like confirm and, as callers do, once more after each refusal for a limit.
-func confirmWithRetry(t *testing.T, n *Daemon, key string) reply {
+// confirmWithRetry is like confirm, but repeats the call while it is refused with status 429,
+// as callers do.
+func confirmWithRetry(t *testing.T, d *Daemon, key string) reply {
 	t.Helper()
 	var r reply
-	eventually(t, "an answer that is no refusal for a limit", func() bool {
-		r = confirm(t, n, key)
+	eventually(t, "the answer is not a refusal with status 429", func() bool {
+		r = confirm(t, d, key)
 		return r.status != http.StatusTooManyRequests
 	})
 	return r
 }
 
-// TestDuplicatesAtAllDaemonsRunOnce: one run, and everybody gets its answer, also right after a
-// daemon came back to life, when the owners of limits lend nothing for 8 s and each daemon has
-// one call of the account's 100.
+// TestDuplicatesAtAllDaemonsRunOnce checks that duplicates sent to all daemons run once and all
+// get the same answer. It runs in the state right after a daemon has joined: the owners of
+// limits raise no share for 8 s, and each daemon may run one of the account's 100 calls.
 func TestDuplicatesAtAllDaemonsRunOnce(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, claraOptions(5, 1))
@@ -44,21 +46,22 @@
 	wg.Wait()
 	checkSingleExecution(t, f, key, replies...)
 	if f.Services[0].Executions(key) != 1 {
-		t.Fatalf("nobody got through: %s", describe(replies[0]))
+		t.Fatalf("the service executed the call %d times, want once; first reply: %s", f.Services[0].Executions(key), describe(replies[0]))
 	}
 	for _, r := range replies {
 		if r.status != http.StatusOK || r.body != replies[0].body {
-			t.Errorf("a duplicate got %s", describe(r))
+			t.Errorf("duplicate: got %s, want 200 and the same body as %s", describe(r), describe(replies[0]))
 		}
 	}
 	late := confirm(t, f.Daemons[3], key)
 	if late.status != http.StatusOK {
-		t.Errorf("a late duplicate got %s", describe(late))
+		t.Errorf("late duplicate: got %s, want 200", describe(late))
 	}
 }
 
-// TestCallWithUnknownOutcomeIsNotRunAgain: the outcome is unknown, and it stays at one run
-// however often and wherever the caller asks again.
+// TestCallWithUnknownOutcomeIsNotRunAgain checks that a call stays at one execution with an
+// unknown outcome, whichever daemon gets its retries, after the service executed the call and
+// closed the connection before or within its answer.
 func TestCallWithUnknownOutcomeIsNotRunAgain(t *testing.T) {
 	t.Parallel()
 	for name, faults := range map[string]standin.ServiceFaults{
@@ -84,8 +87,8 @@
 	}
 }
 
-// TestRefusedCallFreesIdempotencyKey: the service's own word that it did not run
-// frees the key.
+// TestRefusedCallFreesIdempotencyKey checks that a call can be sent again with its key after
+// the service has refused it without running it.
 func TestRefusedCallFreesIdempotencyKey(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, claraOptions(3, 1))
@@ -98,11 +101,12 @@
 	}
 	checkSingleExecution(t, f, key, first)
 	f.Services[0].SetFaults(standin.ServiceFaults{})
-	eventually(t, "the key is free again", func() bool { return confirm(t, f.Daemons[1], key).status == http.StatusOK })
+	eventually(t, "a call with the same key succeeds", func() bool { return confirm(t, f.Daemons[1], key).status == http.StatusOK })
 	checkSingleExecution(t, f, key)
 }
 
-// TestDuplicateOfStoppedDaemonsCallIsUnknown: its duplicate elsewhere hears unknown, never a run.
+// TestDuplicateOfStoppedDaemonsCallIsUnknown checks that another daemon answers a duplicate
+// with an unknown outcome, and does not run it, after the daemon that sent the call stopped.
 func TestDuplicateOfStoppedDaemonsCallIsUnknown(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, claraOptions(3, 1))
@@ -119,8 +123,9 @@
 	}
 }
 
-// TestPartitionedDaemonsRunCallAtMostOnce: each side serves what is safe there. The side without a majority of
-// a key's witnesses refuses, and never says not_run of a call that ran.
+// TestPartitionedDaemonsRunCallAtMostOnce checks that during a network partition of two and
+// three daemons only the larger side runs calls with an idempotency key. The side without a
+// majority of a key's witnesses refuses, and must not say not_run of a call that ran.
 func TestPartitionedDaemonsRunCallAtMostOnce(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, claraOptions(5, 1))
@@ -137,25 +142,25 @@
 		checkSingleExecution(t, f, key, replies...)
 		for i, r := range replies[:2] {
 			if r.status == http.StatusOK {
-				t.Errorf("daemon %d of the smaller side ran a claimed call", i)
+				t.Errorf("daemon %d of the smaller side: got status 200, want a refusal", i)
 			}
 		}
 		if f.Services[0].Executions(key) != 1 {
-			t.Errorf("the larger side did not serve: %s", describe(replies[4]))
+			t.Errorf("the service executed the call %d times, want once; a reply of the larger side: %s", f.Services[0].Executions(key), describe(replies[4]))
 		}
 	}
 	setPartition(f, 2, false)
-	eventually(t, "the smaller side serves again", func() bool {
+	eventually(t, "the smaller side answers with status 200", func() bool {
 		return confirm(t, f.Daemons[0], newKey()).status == http.StatusOK
 	})
 }
 
-// setPartition cuts the first n daemons off from the others, or joins them again.
-func setPartition(f *Fleet, n int, cut bool) {
+// setPartition blocks or restores the links between the first n daemons and the others.
+func setPartition(f *Fleet, n int, block bool) {
 	for i, a := range f.Daemons {
 		for j, b := range f.Daemons {
 			if (i < n) != (j < n) {
-				a.Hub().Block(b.Config.Name, cut)
+				a.Hub().Block(b.Config.Name, block)
 			}
 		}
 	}
--- a/node/internal/fleet/operations_test.go
+++ b/node/internal/fleet/operations_test.go
@@ -14,7 +14,7 @@
 	"doorstack.dev/node/internal/testlog"
 )
 
-// revisions lists the settings revision in force at each daemon.
+// revisions returns the settings revision in force at each daemon.
 func (f *Fleet) settingsRevisions() []int64 {
 	var list []int64
 	for _, d := range f.Daemons {
@@ -23,6 +23,7 @@
 	return list
 }
 
+// allAtRevision returns a condition that holds when all daemons use a revision.
 func allAtRevision(f *Fleet, revision int64) func() bool {
 	return func() bool {
 		for _, r := range f.settingsRevisions() {
@@ -34,8 +35,9 @@
 	}
 }
 
-// TestSettingsReachAllDaemonsAndNeverGoBack: through a stale, a broken and a dead
-// configuration service, and with a revision that does not pass the check.
+// TestSettingsReachAllDaemonsAndNeverGoBack checks that daemons keep their settings when a
+// revision is invalid and when the configuration service answers with old settings, with
+// invalid JSON or not at all, and that they adopt the next valid revision.
 func TestSettingsReachAllDaemonsAndNeverGoBack(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, claraOptions(6, 1))
@@ -43,29 +45,30 @@
 		return f.Platform.Put(map[string]string{"doorstack/settings": strings.Replace(string(examples.Clara), old, with, 1)})
 	}
 	second := put("deadline: 30s", "deadline: 31s")
-	eventually(t, "all have the second revision", allAtRevision(f, second))
-	broken := put("deadline: 30s", "deadlime: 31s")
-	eventually(t, "the broken revision is seen", func() bool {
-		return f.Daemons[0].Board.Settings.Rejected().Revision == broken || f.Daemons[1].Board.Settings.Rejected().Revision == broken
+	eventually(t, "all daemons use the second revision", allAtRevision(f, second))
+	invalid := put("deadline: 30s", "deadlime: 31s")
+	eventually(t, "one of the first two daemons has rejected the invalid revision", func() bool {
+		return f.Daemons[0].Board.Settings.Rejected().Revision == invalid || f.Daemons[1].Board.Settings.Rejected().Revision == invalid
 	})
 	f.Platform.SetFaults(standin.PlatformFaults{Stale: true})
 	third := put("deadline: 30s", "deadline: 32s")
 	f.Platform.SetFaults(standin.PlatformFaults{InvalidJSON: true})
 	if !allAtRevision(f, second)() {
-		t.Fatalf("revisions are %v, want all %d: broken, stale and garbled answers change nothing", f.settingsRevisions(), second)
+		t.Fatalf("revisions after an invalid revision and faults of the configuration service are %v, want all %d", f.settingsRevisions(), second)
 	}
 	f.Platform.SetFaults(standin.PlatformFaults{Down: true})
 	r := chatWithRetry(t, f.Daemons[0], deskKey, "the service is down", 5)
 	checkAnswer(t, r, "the service is down", 5)
 	if r.err != nil {
-		t.Errorf("a dead configuration service stops callers: %s", r.err.Message)
+		t.Errorf("chat while the configuration service is down: %s", r.err.Message)
 	}
 	f.Platform.SetFaults(standin.PlatformFaults{})
-	eventually(t, "all have the third revision", allAtRevision(f, third))
+	eventually(t, "all daemons use the third revision", allAtRevision(f, third))
 }
 
-// TestNewDaemonComparesSettingsBeforeServing: the configuration service gives it a
-// stale copy, its peers know better.
+// TestNewDaemonComparesSettingsBeforeServing checks that a new daemon compares its settings
+// with its peers before it is ready, so that it does not serve with an old revision that the
+// configuration service gave it.
 func TestNewDaemonComparesSettingsBeforeServing(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, claraOptions(3, 1))
@@ -77,19 +80,19 @@
 	defer stale.Close()
 	f.Platform.SetFaults(standin.PlatformFaults{})
 	second := f.Platform.Put(map[string]string{"doorstack/settings": strings.Replace(string(examples.Clara), "30s", "33s", 1)})
-	eventually(t, "all have the second revision", allAtRevision(f, second))
-	// The fresh daemon reads its settings from a service that stands still at the
-	// first revision, and its hosts from the fleet's platform.
-	// It cannot reach its peers until it has read.
-	fresh, err := f.Join(stale.PlatformServer.Address, func(n *Daemon) {
+	eventually(t, "all daemons use the second revision", allAtRevision(f, second))
+	// The new daemon reads its settings from a service that stays at the first
+	// revision, and the host list from the fleet's platform. It cannot reach its
+	// peers until it has read the settings.
+	fresh, err := f.Join(stale.PlatformServer.Address, func(joining *Daemon) {
 		for _, d := range f.Daemons[:3] {
-			n.Hub().Block(d.Config.Name, true)
+			joining.Hub().Block(d.Config.Name, true)
 		}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "it has read the stale copy", func() bool { return fresh.Board.Settings.Current() != nil })
+	eventually(t, "the new daemon has read the old settings", func() bool { return fresh.Board.Settings.Current() != nil })
 	for _, d := range f.Daemons[:3] {
 		fresh.Hub().Block(d.Config.Name, false)
 	}
@@ -97,11 +100,12 @@
 		t.Fatal(err)
 	}
 	if got := fresh.Board.Settings.Current().Revision; got != second {
-		t.Fatalf("a fresh daemon serves with revision %d, want %d", got, second)
+		t.Fatalf("the new daemon is ready with revision %d, want %d", got, second)
 	}
 }
 
-// TestDrainingTargetsGetNoNewRequests: by the host list's word or by their own.
+// TestDrainingTargetsGetNoNewRequests checks that engines get no new requests when the host
+// list says that they are leaving, or their load report that they are draining.
 func TestDrainingTargetsGetNoNewRequests(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, claraOptions(2, 3))
@@ -109,7 +113,7 @@
 	f.PublishHosts()
 	f.Engines[1].SetFaults(standin.Faults{Draining: true})
 	for _, d := range f.Daemons {
-		eventually(t, "both are seen to leave", func() bool {
+		eventually(t, "only one engine is available", func() bool {
 			live := 0
 			for _, s := range d.Board.Targets.Status(currentTime(d)) {
 				if s.Pool == "llm" && s.View.State == 0 {
@@ -122,17 +126,17 @@
 	before := [2]int{len(f.Engines[0].Executed()), len(f.Engines[1].Executed())}
 	for i := range 20 {
 		if r := chat(t, f.Daemons[i%2], appKey, "where to", 3); r.err != nil {
-			t.Fatal(r.err.Message)
+			t.Fatal("chat: ", r.err.Message)
 		}
 	}
 	after := [2]int{len(f.Engines[0].Executed()), len(f.Engines[1].Executed())}
 	if after != before {
-		t.Fatalf("leaving engines got work: %v, then %v", before, after)
+		t.Fatalf("the draining engines started %v attempts before the requests and %v after them, want no more", before, after)
 	}
 }
 
-// TestDrainFinishesRequestsInFlight: what is in flight ends whole, what is new is turned away
-// honestly, and then the daemon leaves by itself.
+// TestDrainFinishesRequestsInFlight checks that a draining daemon completes the requests in
+// flight, refuses a new one with not_run and as retryable, and then ends by itself.
 func TestDrainFinishesRequestsInFlight(t *testing.T) {
 	t.Parallel()
 	o := claraOptions(2, 2)
@@ -145,28 +149,30 @@
 	for i := range replies {
 		wg.Go(func() { replies[i] = chat(t, d, appKey, "going on", tokens) })
 	}
-	eventually(t, "all run", func() bool { return d.Board.InFlight() == int64(len(replies)) })
+	eventually(t, "all requests are in flight", func() bool { return d.Board.InFlight() == int64(len(replies)) })
 	d.Drain()
 	late, err := tryCall(d, call{path: "/v1/chat/completions", apiKey: appKey, body: chatBody("late", 5, false)})
 	if err == nil && (late.status != http.StatusServiceUnavailable || late.err.Execution != "not_run" || !late.err.Retry) {
-		t.Errorf("a new request got %s", describe(late))
+		t.Errorf("new request during the drain: got %s, want 503, not_run and retryable", describe(late))
 	}
 	wg.Wait()
 	for _, r := range replies {
 		checkAnswer(t, r, "going on", tokens)
 		if r.err != nil {
-			t.Errorf("cut: %s", r.err.Message)
+			t.Errorf("request in flight: error %q, want a complete answer", r.err.Message)
 		}
 	}
 	<-d.Done()
 	if r := chat(t, f.Daemons[1], appKey, "the other host", 5); r.err != nil {
-		t.Errorf("the other host: %s", r.err.Message)
+		t.Errorf("chat with the other daemon: %s", r.err.Message)
 	}
 }
 
-func getExplanation(t *testing.T, n *Daemon, id string) (admin.Explanation, int) {
+// getExplanation requests the explanation of a request from a daemon, with replays. It returns
+// the explanation and the HTTP status.
+func getExplanation(t *testing.T, d *Daemon, id string) (admin.Explanation, int) {
 	t.Helper()
-	r, err := http.Get("http://" + n.Config.Admin + "/v1/explain/" + id + "?replay=1")
+	r, err := http.Get("http://" + d.Config.Admin + "/v1/explain/" + id + "?replay=1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -178,7 +184,8 @@
 	return e, r.StatusCode
 }
 
-// TestExplainWorksFromEveryDaemon: and each decision replays to the same outcome.
+// TestExplainWorksFromEveryDaemon checks that every daemon explains a request that one of them
+// served, that each decision replays to the same outcome, and that the log has its decisions.
 func TestExplainWorksFromEveryDaemon(t *testing.T) {
 	t.Parallel()
 	var logs testlog.Buffer
@@ -189,31 +196,31 @@
 	for _, d := range f.Daemons {
 		e, status := getExplanation(t, d, r.requestID)
 		if status != http.StatusOK || len(e.Records) < 3 || e.Daemon != f.Daemons[0].Config.Name {
-			t.Fatalf("%s knows %d records (%d) of %s: %s", d.Config.Name, len(e.Records), status, r.requestID, e.Note)
+			t.Fatalf("explanation by %s: %d records, status %d, request %s, note %q; want at least 3 records of the daemon that served it", d.Config.Name, len(e.Records), status, r.requestID, e.Note)
 		}
 		for i, replay := range e.Replays {
 			if replay.Possible && !replay.Same {
-				t.Errorf("%s does not replay: %+v", e.Records[i].Kind, replay)
+				t.Errorf("replay of decision %s: %+v, want the same outcome", e.Records[i].Kind, replay)
 			}
 		}
 	}
 	if e, status := getExplanation(t, f.Daemons[1], "unknown-id"); status != http.StatusNotFound || e.Note == "" {
-		t.Errorf("an unknown id: %d %+v", status, e)
+		t.Errorf("explanation of an unknown ID: status %d, %+v; want 404 and a note", status, e)
 	}
 	if got := strings.Count(logs.String(), r.requestID); got < 3 {
-		t.Errorf("%d log lines for the request, want one for each decision", got)
+		t.Errorf("the log names the request %d times, want one line for each of at least 3 decisions", got)
 	}
 	if strings.Contains(logs.String(), deskKey) {
-		t.Error("an API key is in the log")
+		t.Error("the log contains an API key")
 	}
 	f.Daemons[0].Stop()
 	if e, _ := getExplanation(t, f.Daemons[1], r.requestID); !strings.Contains(e.Note, "did not answer") {
-		t.Errorf("of a dead daemon's request: %q", e.Note)
+		t.Errorf("note on a request of a stopped daemon is %q, want one that the daemon did not answer", e.Note)
 	}
 }
 
-// TestConcurrencyLimitHoldsAcrossFleet: however requests are spread, no more of an account
-// run at one time than its limit allows.
+// TestConcurrencyLimitHoldsAcrossFleet checks that the requests of an account that run at the
+// same time on all daemons together stay within the account's limit.
 func TestConcurrencyLimitHoldsAcrossFleet(t *testing.T) {
 	t.Parallel()
 	const limit = 12
@@ -223,7 +230,7 @@
 	f := startFleet(t, o)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	admitted, refused, most := 0, 0, 0
+	admitted, refused, peak := 0, 0, 0
 	for i := range 90 {
 		wg.Go(func() {
 			r := chat(t, f.Daemons[i%3], deskKey, "many", 100)
@@ -238,7 +245,7 @@
 	}
 	ended := make(chan struct{})
 	go func() { wg.Wait(); close(ended) }()
-	eventually(t, "all have ended", func() bool {
+	eventually(t, "all requests have ended", func() bool {
 		running := 0
 		for _, d := range f.Daemons {
 			for _, a := range d.Board.Accounts.Status() {
@@ -247,7 +254,7 @@
 				}
 			}
 		}
-		most = max(most, running)
+		peak = max(peak, running)
 		select {
 		case <-ended:
 			return true
@@ -255,7 +262,7 @@
 			return false
 		}
 	})
-	if most > limit || admitted == 0 || refused == 0 {
-		t.Fatalf("%d ran at one time, limit %d; %d admitted, %d refused", most, limit, admitted, refused)
+	if peak > limit || admitted == 0 || refused == 0 {
+		t.Fatalf("%d requests ran at the same time with a limit of %d, %d admitted, %d refused; want at most the limit, and some of both", peak, limit, admitted, refused)
 	}
 }
--- a/node/internal/fleet/recovery_test.go
+++ b/node/internal/fleet/recovery_test.go
@@ -8,8 +8,9 @@
 	"doorstack.dev/node/internal/standin"
 )
 
-// TestDataCentreFailure, twice: its daemons and engines go at once. What the others
-// have in flight ends whole, and they go on serving, claims included.
+// TestDataCentreFailure checks that the remaining data centres complete their requests in
+// flight and serve new ones after all hosts of one data centre failed at once. Calls with an
+// idempotency key are served after the first failure; after the second they run at most once.
 func TestDataCentreFailure(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, claraOptions(6, 6))
@@ -20,8 +21,8 @@
 	for i := range replies {
 		wg.Go(func() { replies[i] = chatWithRetry(t, f.Daemons[1+3*(i%2)], appKey, "through a death", tokens) })
 	}
-	eventually(t, "all run", func() bool { return f.Daemons[1].Board.InFlight()+f.Daemons[4].Board.InFlight() == 8 })
-	for _, i := range []int{0, 3} { // the hosts of the first data centre
+	eventually(t, "all requests are in flight", func() bool { return f.Daemons[1].Board.InFlight()+f.Daemons[4].Board.InFlight() == 8 })
+	for _, i := range []int{0, 3} { // the hosts of data centre dc1
 		f.Engines[i].Server.Close()
 		f.Daemons[i].Kill()
 	}
@@ -29,29 +30,30 @@
 	for _, r := range replies {
 		checkAnswer(t, r, "through a death", tokens)
 		if r.err != nil {
-			t.Errorf("failed: %s", r.err.Message)
+			t.Errorf("request in flight: error %q, want a complete answer", r.err.Message)
 		}
 	}
 	key := newKey()
 	first := confirm(t, f.Daemons[1], key)
 	if first.status != http.StatusOK {
-		t.Errorf("a claim with two of six hosts gone: %s", describe(first))
+		t.Errorf("call after the failure of two of six daemons: got %s, want 200", describe(first))
 	}
 	checkSingleExecution(t, f, key, first, confirm(t, f.Daemons[2], key))
-	// The second death leaves two of six: chats go on, claims are refused.
+	// Two of six daemons remain: chats are served, calls with an idempotency key refused.
 	for _, i := range []int{1, 4} {
 		f.Engines[i].Server.Close()
 		f.Daemons[i].Kill()
 	}
 	if r := chatWithRetry(t, f.Daemons[2], appKey, "after two deaths", 5); r.err != nil {
-		t.Errorf("failed: %s", r.err.Message)
+		t.Errorf("chat after the failure of four of six daemons: %s", r.err.Message)
 	}
 	key = newKey()
 	checkSingleExecution(t, f, key, confirm(t, f.Daemons[2], key), confirm(t, f.Daemons[5], key))
 }
 
-// TestCallIsNotRunAgainAfterAllDaemonsRestart, twice: what ran before does not run again, though
-// nobody remembers it, and fresh keys are served at once.
+// TestCallIsNotRunAgainAfterAllDaemonsRestart checks that a call that ran does not run again
+// after all daemons have restarted without state, and that chats are served immediately. The
+// daemons restart twice.
 func TestCallIsNotRunAgainAfterAllDaemonsRestart(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, claraOptions(3, 1))
@@ -80,12 +82,12 @@
 			replies = append(replies, confirm(t, d, key))
 		}
 		if r := chat(t, f.Daemons[0], deskKey, "good morning", 5); r.err != nil {
-			t.Fatalf("a cold start does not serve: %s", r.err.Message)
+			t.Fatalf("chat after the restart: %s", r.err.Message)
 		}
 		awaitWitnessAge(t, f)
 	}
 	checkSingleExecution(t, f, key, replies...)
 	if f.Services[0].Executions(key) != 1 {
-		t.Fatal("the first call did not run")
+		t.Fatalf("the service executed the call %d times, want once", f.Services[0].Executions(key))
 	}
 }
