--- a/node/internal/tryout/tryout.go
+++ b/node/internal/tryout/tryout.go
@@ -1,5 +1,6 @@
-// Package tryout is "doorstack try": stand-ins and two daemons on loopback, a
-// few requests, and what became of them.
+// Package tryout implements "doorstack try", a trial run of doorstack on loopback. It starts
+// stand-ins and two daemons, sends prompts of different lengths and a service call with an
+// idempotency key, and prints the answers and the decisions behind them.
 package tryout
 
 import (
@@ -21,7 +22,8 @@
 	"github.com/google/uuid"
 )
 
-// fastCostModel is an engine twenty times as fast as a real one, so that a try is short.
+// fastCostModel returns the costs of an engine that prefills twenty times as fast as a real
+// one, so that a trial run is short.
 func fastCostModel() standin.CostModel {
 	c := standin.DefaultCostModel()
 	c.FixedStepTime /= 10
@@ -31,7 +33,7 @@
 	return c
 }
 
-// sampleRequest is a request of the try.
+// sampleRequest is a chat request of the trial run.
 type sampleRequest struct {
 	name      string
 	apiKey    string
@@ -39,16 +41,20 @@
 	maxTokens int
 }
 
+// bytesPerToken estimates the tokens of a text, as daemons do. answerTokens is the number of
+// tokens of each answer.
 const (
 	bytesPerToken = 4
 	answerTokens  = 24
 )
 
+// patientRecord returns a text of about the given number of tokens.
 func patientRecord(tokens int) string {
 	line := "2026-01-01 08:00 referral entry, blood pressure 120/80, nothing unusual.\n"
 	return strings.Repeat(line, tokens*bytesPerToken/len(line)+1)
 }
 
+// sampleRequests returns the chat requests, the shortest prompt first.
 func sampleRequests() []sampleRequest {
 	return []sampleRequest{
 		{"a slot question", "clara-santa-maria", "Is there a free slot on Tuesday?", answerTokens},
@@ -58,7 +64,8 @@
 	}
 }
 
-// Run runs the try and prints what happens to out, log lines to logs.
+// Run performs the trial run and prints each step and its result to out. If withLogs is set,
+// the daemons write their log lines to logs.
 func Run(ctx context.Context, out, logs io.Writer, withLogs bool) error {
 	o := fleet.Options{
 		Settings: examples.Clara, Daemons: 2, Engines: 4, Services: 1,
@@ -73,10 +80,10 @@
 		return err
 	}
 	defer f.Close()
-	for i, q := range sampleRequests() {
-		node := f.Daemons[i%len(f.Daemons)]
-		if err := sendChat(ctx, out, node, q); err != nil {
-			return errors.Wrap(err, q.name)
+	for i, sample := range sampleRequests() {
+		d := f.Daemons[i%len(f.Daemons)]
+		if err := sendChat(ctx, out, d, sample); err != nil {
+			return errors.Wrap(err, sample.name)
 		}
 	}
 	if err := confirmBooking(ctx, out, f); err != nil {
@@ -85,11 +92,12 @@
 	return printMemoryInUse(out, f)
 }
 
+// printLine writes a formatted line; errors are ignored.
 func printLine(out io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(out, format+"\n", args...)
 }
 
-// chatRequest is an OpenAI chat request.
+// chatRequest is the body of a chat completion request in the OpenAI API.
 type chatRequest struct {
 	Model     string        `json:"model"`
 	Messages  []chatMessage `json:"messages"`
@@ -102,7 +110,7 @@
 	Content string `json:"content"`
 }
 
-// streamEvent is the part of a streamed chunk that is looked at.
+// streamEvent has the fields of a streamed event that the trial run uses.
 type streamEvent struct {
 	Choices []struct {
 		Delta chatMessage `json:"delta"`
@@ -112,13 +120,14 @@
 	} `json:"error"`
 }
 
-func sendChat(ctx context.Context, out io.Writer, node *fleet.Daemon, q sampleRequest) error {
-	body, err := json.Marshal(chatRequest{Model: "assistant", Messages: []chatMessage{{"user", q.prompt}}, Stream: true, MaxTokens: q.maxTokens})
+// sendChat sends a request, and prints its times, its answer and its explanation.
+func sendChat(ctx context.Context, out io.Writer, d *fleet.Daemon, sample sampleRequest) error {
+	body, err := json.Marshal(chatRequest{Model: "assistant", Messages: []chatMessage{{"user", sample.prompt}}, Stream: true, MaxTokens: sample.maxTokens})
 	if err != nil {
 		return err
 	}
 	start := time.Now()
-	resp, err := postWithRetry(ctx, node.URL()+"/v1/chat/completions", q.apiKey, body)
+	resp, err := postWithRetry(ctx, d.URL()+"/v1/chat/completions", sample.apiKey, body)
 	if err != nil {
 		return err
 	}
@@ -127,24 +136,25 @@
 	if err != nil {
 		return err
 	}
-	printLine(out, "\n%s: %d tokens, asked %s", q.name, len(q.prompt)/bytesPerToken, node.Config.Name)
+	printLine(out, "\n%s: %d tokens, asked %s", sample.name, len(sample.prompt)/bytesPerToken, d.Config.Name)
 	printLine(out, "  first token after %v, all after %v", first.Round(time.Millisecond), time.Since(start).Round(time.Millisecond))
 	printLine(out, "  answer: %.60s...", strings.TrimSpace(text))
-	return printExplanation(ctx, out, node, resp.Header.Get("X-Request-Id"))
+	return printExplanation(ctx, out, d, resp.Header.Get("X-Request-Id"))
 }
 
-// How often a refusal for a limit is followed by another try, and the wait before it: on a
-// busy host an account's owner may be late to lend a daemon its part of the limit.
+// maxAttempts bounds how often postWithRetry sends a request, and retryDelay is the pause
+// after a refusal: on a busy host the owner of an account's limit may be late in granting a
+// daemon its share.
 const (
 	maxAttempts = 20
 	retryDelay  = 250 * time.Millisecond
 )
 
-// postWithRetry posts, and posts again after refusals for a limit.
-func postWithRetry(ctx context.Context, url, key string, body []byte) (*http.Response, error) {
-	for try := 1; ; try++ {
-		resp, err := post(ctx, url, key, "", body)
-		if err != nil || resp.StatusCode != http.StatusTooManyRequests || try == maxAttempts {
+// postWithRetry sends a POST request, and repeats it while it is refused with status 429.
+func postWithRetry(ctx context.Context, url, apiKey string, body []byte) (*http.Response, error) {
+	for attempt := 1; ; attempt++ {
+		resp, err := post(ctx, url, apiKey, "", body)
+		if err != nil || resp.StatusCode != http.StatusTooManyRequests || attempt == maxAttempts {
 			return resp, err
 		}
 		_ = resp.Body.Close()
@@ -156,28 +166,30 @@
 	}
 }
 
-func post(ctx context.Context, url, key, idempotency string, body []byte) (*http.Response, error) {
+// post sends a POST request, with an idempotency key if it is not empty.
+func post(ctx context.Context, url, apiKey, idempotencyKey string, body []byte) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	req.Header.Set("Authorization", "Bearer "+key)
-	if idempotency != "" {
-		req.Header.Set("Idempotency-Key", idempotency)
+	req.Header.Set("Authorization", "Bearer "+apiKey)
+	if idempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", idempotencyKey)
 	}
 	return http.DefaultClient.Do(req)
 }
 
-// readStream reads server-sent events up to the end mark.
+// readStream reads the server-sent events of an answer up to [DONE]. It returns the time from
+// start to the first event, and the text.
 func readStream(resp *http.Response, start time.Time) (first time.Duration, text string, err error) {
 	if resp.StatusCode != http.StatusOK {
 		body, _ := io.ReadAll(resp.Body)
 		return 0, "", errors.New(fmt.Sprintf("%s: %s", resp.Status, body))
 	}
-	lines := bufio.NewScanner(resp.Body)
+	scanner := bufio.NewScanner(resp.Body)
 	var answer strings.Builder
-	for lines.Scan() {
-		data, found := strings.CutPrefix(lines.Text(), "data: ")
+	for scanner.Scan() {
+		data, found := strings.CutPrefix(scanner.Text(), "data: ")
 		if !found {
 			continue
 		}
@@ -198,13 +210,13 @@
 			answer.WriteString(c.Delta.Content)
 		}
 	}
-	return 0, "", errors.New("the stream ended without its end mark")
+	return 0, "", errors.New("the stream ended without [DONE]")
 }
 
-// printExplanation asks the other daemon why the request went where it went, so that the
-// way between the daemons is shown too.
-func printExplanation(ctx context.Context, out io.Writer, node *fleet.Daemon, id string) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+node.Config.Admin+"/v1/explain/"+id+"?replay=1", nil)
+// printExplanation requests the explanation of a request from a daemon and prints its
+// decisions, each with the result of its replay if one is possible.
+func printExplanation(ctx context.Context, out io.Writer, d *fleet.Daemon, id string) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.Config.Admin+"/v1/explain/"+id+"?replay=1", nil)
 	if err != nil {
 		return err
 	}
@@ -228,12 +240,13 @@
 	return nil
 }
 
-// confirmBooking confirms a slot twice with one key, through both daemons.
+// confirmBooking sends the same booking confirmation, with one idempotency key, through both
+// daemons and prints how often the service executed it.
 func confirmBooking(ctx context.Context, out io.Writer, f *fleet.Fleet) error {
-	const key = "clara-santa-maria"
+	const apiKey = "clara-santa-maria"
 	confirmation := uuid.Must(uuid.NewV7()).String()
-	for _, node := range f.Daemons {
-		resp, err := post(ctx, node.URL()+"/v1/services/confirm/slots/17", key, confirmation, []byte(`{"slot":17}`))
+	for _, d := range f.Daemons {
+		resp, err := post(ctx, d.URL()+"/v1/services/confirm/slots/17", apiKey, confirmation, []byte(`{"slot":17}`))
 		if err != nil {
 			return err
 		}
@@ -242,12 +255,13 @@
 		if err != nil {
 			return err
 		}
-		printLine(out, "\na booking confirmation through %s: %s %.80s", node.Config.Name, resp.Status, strings.TrimSpace(string(body)))
+		printLine(out, "\na booking confirmation through %s: %s %.80s", d.Config.Name, resp.Status, strings.TrimSpace(string(body)))
 	}
 	printLine(out, "  the service ran it %d time(s)", f.Services[0].Executions(confirmation))
 	return nil
 }
 
+// printMemoryInUse prints the memory in use at all engines.
 func printMemoryInUse(out io.Writer, f *fleet.Fleet) error {
 	used := int64(0)
 	for _, e := range f.Engines {
