--- a/core/hostlist/restored.go
+++ b/core/hostlist/restored.go
@@ -6,12 +6,12 @@
 
 // StoreWasRestored reports whether the store has ever been restored from an older copy. What
 // was read only from the store may then be older than what peers know.
-func (t *Table) StoreWasRestored() bool { return t.fullReadAt.Era() > FirstEra }
+func (t *Table) StoreWasRestored() bool { return t.fullReadPosition.Era() > FirstEra }
 
 // mayLackLostWrites reports whether an update may lack writes that were lost when the store was
 // restored: the first full read of a daemon that has not read the store before the restore.
 func (t *Table) mayLackLostWrites(f *Update) bool {
-	return f.Full && t.fullReadAt == 0 && f.AsOf.Era() > FirstEra && !f.AsOf.isSettled()
+	return f.Full && t.fullReadPosition == 0 && f.AsOf.Era() > FirstEra && !f.AsOf.isSettled()
 }
 
 // putFromFullRead applies an entry of a full read. If the entry is news though its position is
@@ -19,7 +19,7 @@
 // would not ask for it by its own position.
 func (t *Table) putFromFullRead(h Host, asOf Position) bool {
 	mayBeOutdated := h.Revision.Era() < asOf.Era()
-	if mayBeOutdated && t.entries[h.ID] == nil && h.Revision <= t.fullReadAt {
+	if mayBeOutdated && t.entries[h.ID] == nil && h.Revision <= t.fullReadPosition {
 		return false // A later full read did not list the host, so it has most likely ended.
 	}
 	known := h.Revision <= t.revision
--- a/core/hostlist/table.go
+++ b/core/hostlist/table.go
@@ -37,9 +37,9 @@
 	entries  map[string]*entry
 	revision Position
 	// fullReadAt is the position of the last full read.
-	fullReadAt Position
+	fullReadPosition Position
 	// firstPageAt is the position of the first page of a list, if that page was read alone.
-	firstPageAt Position
+	firstPagePosition Position
 	// storeDown is true while the store does not answer; storeBackAt is when it last returned.
 	storeDown   bool
 	storeBackAt time.Time
@@ -90,15 +90,15 @@
 }
 
 // HasFullRead reports whether the full list has been read from the store itself.
-func (t *Table) HasFullRead() bool { return t.fullReadAt > 0 }
+func (t *Table) HasFullRead() bool { return t.fullReadPosition > 0 }
 
 // HasFirstPage reports whether the first page of the list has been read from the store itself.
-func (t *Table) HasFirstPage() bool { return t.firstPageAt > 0 }
+func (t *Table) HasFirstPage() bool { return t.firstPagePosition > 0 }
 
 // Incomplete reports whether only a part of the list is known: neither the store nor a peer has
 // supplied the full list as of the read of the first page.
 func (t *Table) Incomplete() bool {
-	return t.firstPageAt > 0 && t.fullReadAt == 0 && t.Revision() < t.firstPageAt
+	return t.firstPagePosition > 0 && t.fullReadPosition == 0 && t.Revision() < t.firstPagePosition
 }
 
 // StoreDown reports whether the store is known to be unavailable.
@@ -119,7 +119,7 @@
 // Merge applies an update and reports whether the list of hosts has changed.
 func (t *Table) Merge(f Update, now time.Time) bool {
 	changed := false
-	if f.Full && t.fullReadAt > 0 && f.AsOf.Era() > t.fullReadAt.Era() {
+	if f.Full && t.fullReadPosition > 0 && f.AsOf.Era() > t.fullReadPosition.Era() {
 		t.storeBackAt = now // Writes that the restore lost are made again, as after an outage.
 	}
 	t.recordTombstones(f.Hosts, now)
@@ -140,9 +140,9 @@
 	complete := f.completeUpTo(len(removals) > 0 && !confirmAt.IsZero() || t.mayLackLostWrites(&f))
 	switch {
 	case f.Full:
-		t.fullReadAt = max(t.fullReadAt, f.AsOf)
+		t.fullReadPosition = max(t.fullReadPosition, f.AsOf)
 	case f.Partial:
-		t.firstPageAt = max(t.firstPageAt, f.AsOf)
+		t.firstPagePosition = max(t.firstPagePosition, f.AsOf)
 	}
 	t.revision = max(t.revision, complete)
 	return changed
@@ -238,7 +238,7 @@
 	if f.Full {
 		return t.putFromFullRead(h, f.AsOf)
 	}
-	if t.entries[h.ID] != nil || h.Revision > t.fullReadAt {
+	if t.entries[h.ID] != nil || h.Revision > t.fullReadPosition {
 		return t.putIfNewer(h)
 	}
 	confirmAt := t.removalConfirmTime(0, now)
@@ -246,7 +246,7 @@
 		return false
 	}
 	t.putIfNewer(h)
-	t.removeEntry(Host{ID: h.ID, State: Gone, Revision: t.fullReadAt}, confirmAt, now)
+	t.removeEntry(Host{ID: h.ID, State: Gone, Revision: t.fullReadPosition}, confirmAt, now)
 	return true
 }
 
