--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -61,7 +61,8 @@
 	return names[s]
 }
 
-// Host is a daemon's entry in the platform's host list.
+// Host is a daemon's entry in the platform's host list or, in an open fleet, what the daemon
+// announces about itself.
 type Host struct {
 	Name, Address, DataCentre, Region string
 	// Leaving reports whether the platform's list has the host as leaving.
@@ -106,7 +107,8 @@
 
 // Table is one daemon's view of the fleet.
 type Table struct {
-	self        string
+	self string
+	// incarnation is at first the start time of the daemon in Unix milliseconds.
 	incarnation int64
 	members     map[string]*Member
 	neighbours  []string
--- a/core/membership/open.go
+++ b/core/membership/open.go
@@ -54,8 +54,8 @@
 }
 
 // digestBuckets is the number of buckets into which the members of an open fleet are hashed
-// for comparison. A bucket has some five members of a fleet of 295 and eight of 520. All
-// bucket digests take half a kilobyte on the wire, where all members take 25 and 44 kB.
+// for comparison. In a fleet of 295, a bucket has some five members, and sending all members
+// takes 25 kB; in a fleet of 520, eight members and 44 kB. The digests take half a kilobyte.
 const digestBuckets = 64
 
 // digestKey is the rendezvous key by which members are hashed for digests.
@@ -74,7 +74,8 @@
 }
 
 // DifferingRumors returns rumors about all members in the buckets where a peer's digests differ
-// from this table's. Once two daemons have exchanged these, each knows what either knew.
+// from this table's. Once two daemons have exchanged these, each knows the living members that
+// either knew.
 func (t *Table) DifferingRumors(theirs []uint64) []Rumor {
 	if len(theirs) != digestBuckets {
 		return t.AllRumors() // The peer's version uses another number of buckets.
--- a/core/membership/open_test.go
+++ b/core/membership/open_test.go
@@ -90,8 +90,8 @@
 }
 
 // TestLeavingDaemonDoesNotRefuteItsDeparture guards against a leaving daemon that heard from
-// its peers that it had left, refuted that, and was asked to coordinate once a second until
-// its process ended.
+// its peers that it had left, refuted that, counted as alive again and was therefore asked to
+// coordinate once a second until its process ended.
 func TestLeavingDaemonDoesNotRefuteItsDeparture(t *testing.T) {
 	a, b := openTable("a", 1), openTable("b", 1)
 	exchangeAll(a, b)
@@ -154,8 +154,7 @@
 }
 
 // TestTablesAgreeAfterTwoExchanges checks that two tables with any alive, dead and left
-// members agree after at most two exchanges. The second is needed for members that the first
-// one added to buckets that were equal.
+// members agree on the living members after two exchanges.
 func TestTablesAgreeAfterTwoExchanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := []*Table{openTable("a", 1), openTable("b", 1)}
--- a/core/membership/strong.go
+++ b/core/membership/strong.go
@@ -1,7 +1,8 @@
 package membership
 
 // minStrongShare is the fraction of the highest capacity in the fleet from which a host counts
-// as strong. Hosts of one kind are all strong; in mixed fleets the kinds differ fourfold.
+// as strong. Hosts of equal capacity are all strong; in mixed fleets the capacities differ
+// fourfold.
 const minStrongShare = 0.5
 
 // StrongMembers returns the members on strong hosts, those with at least half the processor
