--- a/core/hostlist/position.go
+++ b/core/hostlist/position.go
@@ -9,8 +9,8 @@
 type Position int64
 
 const (
-	// eraShift is the bit at which the era starts. The bits below it hold revisions for 12 days of
-	// half a million changes a second.
+	// eraShift is the bit at which the era starts. The bits below it are enough for the revisions
+	// of 12 days with half a million changes a second.
 	eraShift = 40
 	// settledBit marks the position of a read made after the era had settled (see package
 	// storeread). That position lies between the read's revision and the next.
--- a/core/hostlist/restored.go
+++ b/core/hostlist/restored.go
@@ -14,26 +14,27 @@
 	return f.Full && t.fullReadPosition == 0 && f.AsOf.Era() > FirstEra && !f.AsOf.isSettled()
 }
 
-// putFromFullRead applies an entry of a full read. If the entry is news though its position is
-// not above the table's revision, it gets the position of the read: peers at the same revision
-// would not ask for it by its own position.
+// putFromFullRead applies an entry of a full read. An entry that is new to the table may have a
+// position at or below the table's revision. It then gets the position of the read, as peers ask
+// only for entries above their own revision, which may be the same.
 func (t *Table) putFromFullRead(h Host, asOf Position) bool {
 	mayBeOutdated := h.Revision.Era() < asOf.Era()
 	if mayBeOutdated && t.entries[h.ID] == nil && h.Revision <= t.fullReadPosition {
 		return false // A later full read did not list the host, so it has most likely ended.
 	}
-	known := h.Revision <= t.revision
+	coveredByRevision := h.Revision <= t.revision
 	if !t.putIfNewer(h) {
 		return mayBeOutdated && t.putLeavingState(h, asOf)
 	}
-	if known {
+	if coveredByRevision {
 		t.entries[h.ID].host.Revision = max(h.Revision, asOf)
 	}
 	return true
 }
 
-// putLeavingState applies the leaving state of an entry that may be outdated, or that may have
-// been written again after the restore: no process revokes its announcement that it leaves.
+// putLeavingState applies the leaving state of an entry that may be as old as the copy. The state
+// holds also if the table has a newer entry, since no process revokes its announcement that it
+// leaves; and the entry may in fact have been written again after the restore.
 func (t *Table) putLeavingState(h Host, asOf Position) bool {
 	e := t.entries[h.ID]
 	if h.State != Leaving || e.host.State != Live || h.Incarnation < e.host.Incarnation {
@@ -43,8 +44,9 @@
 	return true
 }
 
-// stateAfterRestore returns the state that a newer entry gives a process. A restored store lists
-// a process in the state before it announced that it leaves, under the old revision.
+// stateAfterRestore returns the state that a newer entry gives a process. A restored store that
+// lost a process's announcement that it leaves still lists the process as live, with the revision
+// of that earlier entry; the process stays leaving.
 func stateAfterRestore(known, h Host) State {
 	lost := h.Revision.Era() > known.Revision.Era() && h.Revision.Revision() <= known.Revision.Revision()
 	if lost && known.State == Leaving {
--- a/core/hostlist/restored_test.go
+++ b/core/hostlist/restored_test.go
@@ -64,7 +64,7 @@
 }
 
 // TestRewrittenLeavingAppliesAtOnce checks a leaving state that was written again after the
-// restore, at a revision that was also given out in the lost time.
+// restore, at a revision that a lost write had as well.
 func TestRewrittenLeavingAppliesAtOnce(t *testing.T) {
 	table, peer := newFirstEraTable(firstEraHost("a", Live, 95)), newFirstEraTable(firstEraHost("a", Live, 95))
 	table.Merge(Update{Full: true, AsOf: NewPosition(2, 92), Hosts: []Host{firstEraHost("a", Leaving, 91)}}, epoch)
--- a/core/hostlist/table.go
+++ b/core/hostlist/table.go
@@ -36,9 +36,9 @@
 type Table struct {
 	entries  map[string]*entry
 	revision Position
-	// fullReadAt is the position of the last full read.
+	// fullReadPosition is the position of the last full read.
 	fullReadPosition Position
-	// firstPageAt is the position of the first page of a list, if that page was read alone.
+	// firstPagePosition is the position of the first page of a list, if that page was read alone.
 	firstPagePosition Position
 	// storeDown is true while the store does not answer; storeBackAt is when it last returned.
 	storeDown   bool
@@ -148,11 +148,11 @@
 	return changed
 }
 
-// completeUpTo returns the position up to which no change is missing after the update is merged.
-// The argument says whether its removals are unconfirmed or it may lack lost writes. A peer
-// withholds unconfirmed removals but sends later changes, so only the AsOf that it states
-// counts. The store's changes come in order, and Revision accounts for unconfirmed removals
-// among them.
+// completeUpTo returns the position up to which the update leaves no change unknown to the table.
+// The argument tells whether the update's removals are unconfirmed or it may lack lost writes.
+// An update from a peer (Confirmed) is complete up to its AsOf only, as it may hold later changes
+// although the peer withholds unconfirmed removals. Changes from the store come in order, so they
+// are complete up to the newest; Revision accounts for unconfirmed removals among them.
 func (f *Update) completeUpTo(unconfirmed bool) Position {
 	if f.Confirmed || f.Full && !unconfirmed {
 		return f.AsOf
@@ -232,8 +232,8 @@
 	return removed
 }
 
-// addEntry applies a host's entry. A host that a later full read did not list stays gone or,
-// around an outage, is listed with an unconfirmed removal.
+// addEntry applies a host's entry. If a full read that is newer than the entry did not list the
+// host, the host stays gone or, around an outage, is listed with an unconfirmed removal.
 func (t *Table) addEntry(h Host, f *Update, now time.Time) bool {
 	if f.Full {
 		return t.putFromFullRead(h, f.AsOf)
