--- a/core/storeread/storeread.go
+++ b/core/storeread/storeread.go
@@ -1,14 +1,15 @@
 // Package storeread decides how to read a store that may be restored from an older copy.
 //
-// A restore loses the latest writes and gives their revisions out again; the store counts its
-// eras, one more with each restore. The writers write what was lost again within some seconds.
+// A restore loses the latest writes, and the store gives their revisions to other writes; it
+// counts its eras, one more with each restore. The writers repeat lost writes within some seconds.
 // For each answer of the store, a Reader decides whether to accept it, to ignore it or to read
 // the full list again, and which position each of its items has:
 //
 //   - a change from a watch was made in the era of the answer;
-//   - an item of a full read may be as old as the copy, unless its revision is above the one up to
-//     which the era was read before. Until the era has settled, such an item has a position in
-//     the previous era, where an item known at a higher revision is newer;
+//   - an item of a full read may be as old as the copy, unless an earlier read of this era ended at
+//     a lower revision, which shows that the item was written since. Until the era has settled,
+//     an item that may be as old has a position in the previous era, where an item known at a
+//     higher revision is newer;
 //   - once the era has settled the full list is read again, and its items have positions in
 //     the era. They override what is known from the previous era and was not written again.
 //
@@ -126,11 +127,12 @@
 	return hostlist.NewPosition(max(0, r.era-1), revision)
 }
 
-// ReadPosition returns the position up to which the store has been read. After a full read of
-// a settled era it is above the positions of all changes up to the same revision.
-func (r *Reader) ReadPosition(whole bool, now time.Time) hostlist.Position {
+// ReadPosition returns the position up to which the store has been read; full tells whether the
+// last read was a full one. After a full read of a settled era the position is above those of all
+// changes up to the same revision.
+func (r *Reader) ReadPosition(full bool, now time.Time) hostlist.Position {
 	at := hostlist.NewPosition(r.era, r.cursor)
-	if whole && r.settled(now) && r.era > hostlist.FirstEra {
+	if full && r.settled(now) && r.era > hostlist.FirstEra {
 		return at.AsSettled()
 	}
 	return at
--- a/core/storeread/storeread_test.go
+++ b/core/storeread/storeread_test.go
@@ -92,7 +92,7 @@
 	entry
 }
 
-// daemon reads the store, or gets updates from other daemons only.
+// daemon reads the store and gets updates from other daemons.
 type daemon struct {
 	reader     Reader
 	table      *hostlist.Table
@@ -169,21 +169,21 @@
 			plan.Full = true
 		}
 	}
-	facts := hostlist.Update{Full: plan.Full}
+	update := hostlist.Update{Full: plan.Full}
 	if plan.Full {
 		d.reader.HandleFullRead(m.era, m.revision, m.now)
 		for _, id := range slices.Sorted(maps.Keys(m.entries)) {
-			facts.Hosts = append(facts.Hosts, host(id, m.entries[id].state, d.reader.ItemPosition(m.entries[id].revision, m.now)))
+			update.Hosts = append(update.Hosts, host(id, m.entries[id].state, d.reader.ItemPosition(m.entries[id].revision, m.now)))
 		}
 	} else {
 		for _, c := range m.log {
 			if c.revision > plan.After {
-				facts.Hosts = append(facts.Hosts, host(c.id, c.state, d.reader.ChangePosition(c.revision)))
+				update.Hosts = append(update.Hosts, host(c.id, c.state, d.reader.ChangePosition(c.revision)))
 			}
 		}
 	}
-	facts.AsOf = d.reader.ReadPosition(plan.Full, m.now)
-	d.table.Merge(facts, m.now)
+	update.AsOf = d.reader.ReadPosition(plan.Full, m.now)
+	d.table.Merge(update, m.now)
 	m.checkNoReversal(d)
 }
 
@@ -268,7 +268,7 @@
 				if len(m.copies) > 0 && m.now.Sub(m.copies[len(m.copies)-1].now) < 10*time.Second {
 					m.restore(&m.copies[len(m.copies)-1])
 					m.copies = nil
-					m.advance(int(SettleTime.Milliseconds())) // One restore at a time.
+					m.advance(int(SettleTime.Milliseconds())) // The era settles before the next restore.
 					for _, d := range m.daemons {
 						m.read(d)
 					}
