--- a/node/requestcontrol/silence_test.go
+++ b/node/requestcontrol/silence_test.go
@@ -33,9 +33,9 @@
 
 var twoAttempts = forward.Rules{Repeatable: true, MaxAttempts: 2}
 
-// timeToSilence returns the time until a watched attempt is cancelled, at most limit. It runs
+// timeToCancel returns the time until a watched attempt is cancelled, at most limit. It runs
 // events concurrently.
-func timeToSilence(f *forwarding, p *blackboard.Placement, limit time.Duration, events func(*silenceWatch)) time.Duration {
+func timeToCancel(f *forwarding, p *blackboard.Placement, limit time.Duration, events func(*silenceWatch)) time.Duration {
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
@@ -73,7 +73,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := &blackboard.Placement{Decision: routing.Decision{PrefillTime: c.prefill}}
-				if took := timeToSilence(newTestForwarding(c.rules, c.budget), p, never, c.events); took != c.want {
+				if took := timeToCancel(newTestForwarding(c.rules, c.budget), p, never, c.events); took != c.want {
 					t.Errorf("attempt cancelled after %v, want %v", took, c.want)
 				}
 			})
@@ -88,7 +88,7 @@
 		f := newTestForwarding(forward.Rules{Repeatable: true, MaxAttempts: 1}, 0)
 		f.request.Path.Goal = 30 * time.Second
 		p := &blackboard.Placement{Decision: routing.Decision{Reservations: []routing.MemoryReservation{{Target: "h", Tokens: 1}}}}
-		if took := timeToSilence(f, p, 15*time.Second, noEvents); took != unusedReservationTimeout {
+		if took := timeToCancel(f, p, 15*time.Second, noEvents); took != unusedReservationTimeout {
 			t.Errorf("attempt cancelled after %v, want %v", took, unusedReservationTimeout)
 		}
 	})
@@ -147,7 +147,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				gone := make(chan struct{})
 				close(gone)
-				took := timeToSilence(newTestForwarding(c.rules, 10), &blackboard.Placement{Gone: gone}, limit, noEvents)
+				took := timeToCancel(newTestForwarding(c.rules, 10), &blackboard.Placement{Gone: gone}, limit, noEvents)
 				if cancelled := took < 100*time.Millisecond; cancelled != c.cancelled {
 					t.Errorf("attempt ended after %v, want it cancelled immediately: %v", took, c.cancelled)
 				}
