--- a/node/requestcontrol/admit.go
+++ b/node/requestcontrol/admit.go
@@ -62,7 +62,7 @@
 }
 
 // checkQueueWait refuses a request whose deadline is before the expected time of its
-// first token, or whose account already has max_waiting requests in the queue.
+// first token, or whose account already has max_waiting requests in this daemon's queue.
 func (d *Director) checkQueueWait(r *Request) error {
 	pool := r.Route.Pool
 	waiting, ahead := d.Board.Queues.Waiting(pool.Name, r.Account.Path, r.Route.Rules.Level)
@@ -72,7 +72,7 @@
 			"retry later, or have max_waiting raised").WithRetry(time.Second)
 	}
 	capacity := d.Board.Targets.Capacity(pool.Name, time.Now())
-	rate := capacity.PrefillRate / float64(max(1, d.Board.Members.DaemonCount()))
+	rate := capacity.PrefillRate / float64(max(1, d.Board.Members.DaemonCount())) // The daemons share the pool.
 	estimate := admission.NewEstimate(ahead, r.promptTokens, rate, capacity.MaxTargetRate, r.Deadline.Sub(r.Arrived))
 	rec := decision.Record{Kind: decision.KindAdmit, Outcome: decision.OutcomeAdmitted, Estimate: &estimate}
 	if !estimate.Late() {
--- a/node/requestcontrol/collaborators.go
+++ b/node/requestcontrol/collaborators.go
@@ -24,23 +24,27 @@
 type Claim struct {
 	// Key is the idempotency key, scoped to the account and the route.
 	Key string
-	// CallerKey is the key as the caller sent it; a UUIDv7 contains its creation time.
+	// CallerKey is the key as the caller sent it. A UUIDv7 contains its creation time, which
+	// determines the witnesses that are asked and whether they may grant the key.
 	CallerKey string
-	Attempt   string
-	Request   string
+	// Attempt is the id of the claim, Request that of the request.
+	Attempt string
+	Request string
 	// Region is the region of the call's targets.
 	Region   string
 	Deadline time.Time
 }
 
-// Permit allows a claimed call to be sent once, before the permit expires.
+// Permit allows a claimed call to be sent once, before the permit expires. It is granted by a majority
+// of the key's witnesses, the daemons that record the claims of that key (see core/claim).
 type Permit struct {
 	// ExpiresAt is on the monotonic clock and is checked immediately before the send. Time that
 	// the host was suspended since the claim began also counts: the witnesses' clocks kept running.
 	ExpiresAt time.Time
 	// SuspendedAtClaim is the host's total suspended time when the claim began.
 	SuspendedAtClaim time.Duration
-	// Attempt is the id of the successful claim, which may be a retry of the one requested.
+	// Attempt is the id of the claim that succeeded. It differs from Claim.Attempt if the claim
+	// was retried.
 	Attempt string
 	// Tally counts the witnesses' answers.
 	Tally decision.ClaimTally
--- a/node/requestcontrol/director.go
+++ b/node/requestcontrol/director.go
@@ -34,7 +34,8 @@
 	SuspendedTime func() time.Duration
 }
 
-// RetryPolicy bounds the attempts of one request.
+// RetryPolicy bounds the attempts of one request. Forwarded calls follow their path route's
+// MaxAttempts instead.
 type RetryPolicy struct {
 	// MaxAttempts includes the first attempt.
 	MaxAttempts int
@@ -43,8 +44,8 @@
 // DefaultRetryPolicy returns a policy of at most four attempts per request.
 func DefaultRetryPolicy() RetryPolicy { return RetryPolicy{MaxAttempts: 4} }
 
-// attemptSeed returns a random seed for an attempt. It includes the daemon's name, so that
-// daemons with the same load reports choose different targets.
+// attemptSeed returns the seed for an attempt's random choices. It is a hash that includes the
+// daemon's name, so that daemons with the same load reports choose different targets.
 func attemptSeed(daemon, attempt string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(daemon))
@@ -56,7 +57,9 @@
 // engines' logs.
 func NewAttemptID() string { return uuid.Must(uuid.NewV7()).String() }
 
-// mayRetry reports whether the request may be attempted again after an attempt failed with err.
+// mayRetry reports whether the request may be attempted again after an attempt failed with err. If
+// a target may have run the failed call, it charges the account's retry budget; other calls cost
+// the targets nothing.
 func (d *Director) mayRetry(ctx context.Context, r *Request, attempts int, err error) bool {
 	if ctx.Err() != nil || attempts >= d.RetryPolicy.MaxAttempts {
 		return false
@@ -65,7 +68,7 @@
 		return false
 	}
 	if target.ExecutionOf(err) != fault.NotRun && !d.Board.Accounts.TakeRetry(r.Account.Path) {
-		return false // Only calls that may have run count: others cost the targets nothing.
+		return false // The account's retry budget is used up.
 	}
 	d.Recorder.Metrics.Retries.WithLabelValues(r.Route.Pool.Name).Inc()
 	return true
@@ -103,7 +106,8 @@
 	d.Recorder.Record(rec)
 }
 
-// recordPlacement records a routing decision, preceded by the latest one without room, if any.
+// recordPlacement records a routing decision. If earlier decisions found no target with room, it
+// records the latest of them first.
 func (d *Director) recordPlacement(r *Request, ticket *blackboard.Ticket, p blackboard.Placement) {
 	if ticket.WaitDecision() != nil {
 		d.recordWait(r, ticket)
--- a/node/requestcontrol/forward.go
+++ b/node/requestcontrol/forward.go
@@ -43,8 +43,8 @@
 	// errorAnswer is a target's own error answer. The caller receives it if no other
 	// target answers.
 	errorAnswer *bufferedAnswer
-	// lastTarget is the latest target, for the log, and failedHelper the address of the
-	// helper for which it failed the call, if any.
+	// lastTarget is the latest target, for the log. failedHelper is the address of the helper
+	// (see forward.Helper) that made the latest attempt fail, if any.
 	lastTarget, failedHelper string
 	// prefilledAttempt is the latest attempt whose target has prefilled the prompt.
 	prefilledAttempt string
@@ -88,8 +88,9 @@
 	}
 }
 
-// mayRetry reports whether the call may be sent again after an attempt failed with err. It
-// charges the fleet's repeat budget.
+// mayRetry reports whether the call may be sent again after an attempt failed with err. A repeat,
+// any send after the first that reached a target, is charged to the fleet's repeat budget for the
+// pool, not to the account's retry budget as in Director.mayRetry.
 func (f *forwarding) mayRetry(ctx context.Context, err error) bool {
 	var typed *fault.Error
 	if errors.As(err, &typed) || errors.Is(err, errCallerWrite) || errors.Is(err, errQuarantined) || ctx.Err() != nil {
@@ -134,7 +135,7 @@
 }
 
 // rejectedRetryAfter is the Retry-After of a call that no target accepted: a target's queue
-// advances within a few passes of its batch, each about 50 to 100 ms long.
+// advances within a few passes of its engine (see core/engine), each about 50 to 100 ms long.
 const rejectedRetryAfter = 200 * time.Millisecond
 
 // runAttempt places the call and sends it to one target.
@@ -187,7 +188,7 @@
 }
 
 // recordCrashOrSuccess records whether the target survived the call. An error answer from the
-// target itself shows that it did.
+// target itself shows that it did; recordCrash determines whether another failure was a crash.
 func (f *forwarding) recordCrashOrSuccess(ctx context.Context, p *blackboard.Placement, err error) {
 	switch {
 	case err == nil || errors.Is(err, errTargetError):
@@ -207,7 +208,7 @@
 }
 
 // How long no calls are sent to a target after it failed one: a full target has room
-// after about one pass of its batch; a helper named in a rejection is dead, draining or
+// after about one pass of its engine; a helper named in a rejection is dead, draining or
 // unreachable; a target that refuses connections most likely does so for a while.
 const (
 	suspectFull        = 100 * time.Millisecond
@@ -295,8 +296,8 @@
 	return err
 }
 
-// recordNotice records the notice that a target sent about itself with an answer. A new rate
-// limit, or the lifting of one, is also reported to the coordinator, as it applies to all daemons.
+// recordNotice records the notice that a target sent about itself with an answer. A rate limit,
+// or a new notice that lifts it, is also reported to the coordinator, as it applies to all daemons.
 func (f *forwarding) recordNotice(target string, reply *target.Reply) {
 	d, pool, notice := f.director, f.request.Route.Pool.Name, reply.TargetNotice()
 	d.Recorder.RecordUnknownHeaders(pool, target, reply.UnknownHeaders)
@@ -306,7 +307,7 @@
 	}
 }
 
-// forwardHelpers lists a placement's helpers, with the memory reserved at each.
+// forwardHelpers lists a placement's helpers, each with the id of the memory reservation there.
 func forwardHelpers(p *blackboard.Placement) []forward.Helper {
 	var helpers []forward.Helper
 	for _, h := range p.Helpers {
@@ -315,7 +316,8 @@
 	return helpers
 }
 
-// handleReply delivers, keeps or rejects an answer, depending on its head.
+// handleReply delivers an answer to the caller, keeps it as an error answer, or discards it,
+// depending on its status and header.
 func (f *forwarding) handleReply(reply *target.Reply, p *blackboard.Placement) error {
 	verdict := reply.Classify()
 	if f.progress.AnswerStarted && verdict == forward.TargetError {
@@ -329,7 +331,7 @@
 		}
 		return errors.Wrap(errRejected, fmt.Sprintf("status %d, failed helper %q", reply.Status, reply.FailedHelper))
 	case forward.Unusable:
-		return errors.Wrap(errUnusable, fmt.Sprintf("status %d, signed %v", reply.Status, reply.Signed))
+		return errors.Wrap(errUnusable, fmt.Sprintf("status %d, signed by the target: %v", reply.Status, reply.Signed))
 	case forward.TargetError:
 		return f.keepErrorAnswer(reply)
 	case forward.Deliver:
--- a/node/requestcontrol/generate.go
+++ b/node/requestcontrol/generate.go
@@ -29,7 +29,8 @@
 	excluded         []string
 }
 
-// errCallerWrite is wrapped by the error of a failed write to the caller.
+// errCallerWrite means that a write to the caller failed, or that the caller of a forwarded call had
+// disconnected before the send.
 var errCallerWrite = errors.New("writing the answer to the caller failed")
 
 // Generate runs a model request and writes its answer to sink, token by token.
@@ -200,7 +201,8 @@
 }
 
 // canResume reports whether the same engine can be asked for the rest of the answer: its
-// stream broke off after some tokens, without a refusal, failure or conflicting data.
+// stream broke off after some tokens, the engine has not refused the call, reported an error or
+// sent conflicting data, and no write to the caller failed.
 func canResume(ctx context.Context, err error, a *stream.Assembler) bool {
 	if ctx.Err() != nil || errors.Is(err, errCallerWrite) || errors.Is(err, stream.ErrConflict) {
 		return false
--- a/node/requestcontrol/group.go
+++ b/node/requestcontrol/group.go
@@ -16,10 +16,11 @@
 	"github.com/go-faster/errors"
 )
 
-// groupRun serves a prompt that exceeds one engine's memory by several engines.
+// groupRun runs a prompt that does not fit into one engine's memory on several engines.
 // Memory for every part is reserved first, all or nothing. The parts are prefilled
 // in turn, each engine importing the KV cache of the preceding parts, and the last
-// engine answers. However the run ends, all its reservations are released.
+// engine answers. However the run ends, all its reservations are released. Forwarded
+// calls do not use it: for them, see heldReservations.
 type groupRun struct {
 	director *Director
 	request  *Request
@@ -49,8 +50,8 @@
 // reserveTimeout bounds the reservation of a part, which engines answer immediately.
 const reserveTimeout = 3 * time.Second
 
-// releaseTimeout bounds the release of a part. Parts that are not released in time are
-// found by the sweep for reservations without a live owner.
+// releaseTimeout bounds the release of a part. Parts that are not released in time are released
+// by package cluster, which looks for reservations whose request has ended or whose owner is gone.
 const releaseTimeout = 3 * time.Second
 
 // generateInGroup runs one attempt of a generation on a group of engines.
@@ -71,8 +72,8 @@
 	return run.generate(ctx, g)
 }
 
-// reserveWithBackoff reserves the memory of a group, retrying until it succeeds or the
-// deadline passes.
+// reserveWithBackoff reserves the memory of a group, retrying until it succeeds, the deadline
+// passes or the prompt turns out to be too large for the pool.
 func (run *groupRun) reserveWithBackoff(ctx context.Context) error {
 	backoff := group.Backoff{Initial: groupBackoffInitial, Max: groupBackoffMax, Seed: attemptSeed(run.director.Board.Self.Name, run.attempt)}
 	for attempts := 1; ; attempts++ {
@@ -100,8 +101,8 @@
 }
 
 // reserve plans a group from the memory reported free and reserves its parts in the
-// order of the engines' names, so that two groups cannot deadlock. If one engine has no
-// room, it returns errNoRoom and the caller must release the parts reserved so far.
+// order of the engines' names, so that two groups cannot deadlock. If an engine does not
+// reserve its part, it returns errNoRoom and the caller must release the parts reserved so far.
 func (run *groupRun) reserve(ctx context.Context) error {
 	d, r := run.director, run.request
 	pool := r.Route.Pool
--- a/node/requestcontrol/permit_expiry_test.go
+++ b/node/requestcontrol/permit_expiry_test.go
@@ -15,8 +15,8 @@
 )
 
 // TestPermitExpiresWhileHostIsSuspended: the monotonic clock stops while a host is suspended. The
-// witnesses grant the key to another daemon once the permit has expired by their own clocks, so the
-// suspended host must not send the call after it resumes.
+// key's witnesses (see Permit) grant it to another daemon once the permit has expired by their own
+// clocks, so the suspended host must not send the call after it resumes.
 func TestPermitExpiresWhileHostIsSuspended(t *testing.T) {
 	var calls atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { calls.Add(1) }))
--- a/node/requestcontrol/place.go
+++ b/node/requestcontrol/place.go
@@ -38,7 +38,7 @@
 		if d.targetsAccept(r, &placement) {
 			return placement, nil
 		}
-		d.releasePlacement(r, &placement) // A target sent a notice while the call waited; the next placement excludes it.
+		d.releasePlacement(r, &placement) // A target began to drain or asked for backoff meanwhile; the next placement excludes it.
 	}
 }
 
@@ -92,7 +92,7 @@
 			d.recordWait(r, ticket)
 			return placement, waitError(ctx, r)
 		}
-		placement = <-ticket.Placed()
+		placement = <-ticket.Placed() // The ticket was just placed, so the call counted at its target is ended.
 		d.Board.Targets.Finish(attempt, blackboard.CallCancelled, time.Now())
 		return placement, waitError(ctx, r)
 	}
@@ -157,8 +157,8 @@
 }
 
 // RoutingParams returns the routing parameters of a pool that daemonCount daemons
-// share. Long prompts may occupy LongShare of the targets, or more while short
-// prompts need fewer than the rest.
+// share. Long prompts may occupy LongShare of the targets or, if that is more, all
+// but ShortRoom times the number of targets that short prompts need on average.
 func RoutingParams(pool *settings.ResolvedPool, c blackboard.Capacity, daemonCount int) routing.Params {
 	policy := &pool.Policy
 	live := float64(c.LiveTargets)
@@ -188,8 +188,8 @@
 }
 
 // LatestStart returns the latest time at which a prompt can be placed and still meet a goal,
-// given in seconds, for its first event. It is zero if the engines' timing is unknown, if there
-// is no goal, and for a retry.
+// given in seconds, for its first event. It is zero, which means no limit, if the engines' timing
+// is unknown, if there is no goal, and for a retry, which is not refused for being late.
 func LatestStart(p *routing.Params, promptTokens int64, arrived time.Time, goal float64, retry bool) time.Time {
 	if p.Timing == nil || promptTokens <= 0 || goal <= 0 || retry {
 		return time.Time{}
--- a/node/requestcontrol/poison.go
+++ b/node/requestcontrol/poison.go
@@ -15,7 +15,8 @@
 
 // A request that crashes several targets is quarantined: no daemon sends it to another target,
 // whichever caller it comes from (see core/poison). Director checks the quarantine before each
-// send and records how each send ended.
+// send and records how each send ended. Log messages and decision records say "call" for the request;
+// the log field call holds its poison key.
 
 // CrashReporter informs the other daemons of requests that crash their targets.
 type CrashReporter interface {
@@ -23,12 +24,14 @@
 	NotifyCrash(c poison.Crash)
 	// BroadcastVerdict sends all daemons a verdict that this daemon reached.
 	BroadcastVerdict(v poison.Verdict)
-	// RequestTrial asks the deciding daemon whether a quarantined request may be sent once.
+	// RequestTrial asks whether a quarantined request may be sent once. One daemon decides on all
+	// trials of a request.
 	RequestTrial(ctx context.Context, request poison.Key) bool
 }
 
 // checkQuarantine returns an error for a quarantined request, unless the request is admitted
-// as a trial. A trial must not be checked again before it is sent.
+// as a trial. A trial must not be checked again before it is sent: it has begun with the check,
+// so another check would refuse it.
 func (d *Director) checkQuarantine(ctx context.Context, r *Request) (trial bool, err error) {
 	r.suspected = false
 	if d.Board.Poison.Empty() {
@@ -70,8 +73,9 @@
 	d.Board.Queues.Wake(r.Route.Pool.Name)
 }
 
-// smallRequestSize is the size, in bytes, up to which the poison key of every answered request is
-// computed. Larger requests are prompts, which callers do not share, and hashing them takes milliseconds.
+// smallRequestSize is the size, in bytes, up to which the poison key of every sent request is
+// computed. Keys of larger requests are computed only while some crash is recorded: these requests
+// are prompts, which no two callers send alike, and hashing them takes milliseconds.
 const smallRequestSize = 64 << 10
 
 // errQuarantined cancels a send whose request was quarantined after it was sent. The request may
--- a/node/requestcontrol/relay.go
+++ b/node/requestcontrol/relay.go
@@ -38,7 +38,7 @@
 		if splitter.Partial() {
 			return truncatedError(errors.Wrap(io.ErrUnexpectedEOF, "in the middle of an event"))
 		}
-		f.startAnswer(reply)
+		f.startAnswer(reply) // A stream without events also has a head.
 		return nil
 	}
 }
--- a/node/requestcontrol/request.go
+++ b/node/requestcontrol/request.go
@@ -1,7 +1,8 @@
-// Package requestcontrol takes a request from admission to its answer: account
-// limits, queue estimate, idempotency claim, placement on a target, answer stream,
-// retries. Its inputs are the request, the settings that apply to it and the daemon's
-// shared state; the API servers call it through Director.
+// Package requestcontrol takes a request from its arrival to its answer: placement on a
+// target, answer stream, retries. Requests that are not forwarded unchanged first pass the
+// account limits and the queue estimate, and some calls of plain services claim their
+// idempotency key. The inputs are the request, the settings that apply to it and the
+// daemon's shared state; the API servers call the package through Director.
 package requestcontrol
 
 import (
@@ -32,7 +33,7 @@
 	MaxTokens int64
 	// ServiceCall is set for plain services.
 	ServiceCall *target.ServiceCall
-	// Forward is set for calls that are forwarded unchanged; Path is their path settings.
+	// Forward is set for calls that are forwarded unchanged; Path is the path route that they match.
 	Forward *forward.Message
 	Path    *settings.ResolvedPath
 	// LastEventID is the id of the last event that the caller received from the stream.
@@ -41,7 +42,8 @@
 	promptTokens    int64
 	prefixes        []uint64
 	cachedPoisonKey *poison.Key
-	// suspected reports that a target had already crashed under this request when it was last sent.
+	// suspected reports that a target had already crashed while running this request when the
+	// request was last checked for quarantine, which is before each send.
 	suspected bool
 	// answerStarted reports that the caller has received a part of the answer.
 	answerStarted bool
@@ -82,14 +84,14 @@
 	}
 }
 
-// SetPromptTokens sets the prompt length stated by the caller.
+// SetPromptTokens sets the prompt length, in tokens, that the caller of a forwarded call stated.
 func (r *Request) SetPromptTokens(n int64) { r.promptTokens = n }
 
-// PromptTokens returns the prompt length, estimated unless the caller stated it. It is zero
-// for plain services.
+// PromptTokens returns the prompt length in tokens: as stated by the caller of a forwarded call,
+// or estimated from Prompt. It is zero for plain services.
 func (r *Request) PromptTokens() int64 { return r.promptTokens }
 
-// firstEventGoal returns the route's goal for the time to the first event, or zero.
+// firstEventGoal returns the path route's goal for the time to the first event, or zero.
 func (r *Request) firstEventGoal() time.Duration {
 	if r.Path == nil {
 		return 0
@@ -97,7 +99,7 @@
 	return r.Path.Goal
 }
 
-// gapGoal returns the route's goal for the longest gap between two events, or zero.
+// gapGoal returns the path route's goal for the longest gap between two events, or zero.
 func (r *Request) gapGoal() time.Duration {
 	if r.Path == nil {
 		return 0
--- a/node/requestcontrol/reservations.go
+++ b/node/requestcontrol/reservations.go
@@ -15,10 +15,11 @@
 	"github.com/go-faster/errors"
 )
 
-// Memory is reserved at helpers for a prompt that exceeds one target's memory. It is
-// reserved before the call is sent, all or nothing, renewed while the call runs, and
-// released however the call ends. The reservations of a daemon that died expire soon
-// after: a target may hold unused memory for at most 4 s.
+// Memory is reserved at helpers for a forwarded call whose prompt exceeds one target's
+// memory. It is reserved before the call is sent, all or nothing, renewed while the call
+// runs, and released however the call ends. The reservations of a daemon that died expire
+// soon after: a target may hold unused memory for at most 4 s. While the daemon lives,
+// unusedReservationTimeout applies.
 const (
 	reservationTTL           = 2500 * time.Millisecond
 	reservationRenewInterval = 800 * time.Millisecond
@@ -35,7 +36,7 @@
 	reservations []heldReservation
 	stop         context.CancelFunc
 	renewing     sync.WaitGroup
-	// refusedBy is the address of the target that did not reserve its memory, if any.
+	// refusedBy is the address of the helper that did not reserve memory, if any.
 	refusedBy string
 }
 
@@ -45,8 +46,8 @@
 	tokens              int64
 }
 
-// reservationID returns the id of the memory that an attempt reserves at a helper, or an empty
-// string if it reserves none there.
+// reservationID returns the id of the reservation that an attempt makes at a helper, or an empty
+// string if it makes none there.
 func reservationID(p *blackboard.Placement, helper string) string {
 	for _, reservation := range p.Decision.Reservations {
 		if reservation.Target == helper {
@@ -57,7 +58,7 @@
 }
 
 // reserveMemory reserves the memory that the placement requires, all or nothing, and keeps it
-// renewed until release. The result is never nil; after an error it names the refusing target.
+// renewed until release. The result is never nil; after an error its refusedBy is set.
 func (d *Director) reserveMemory(ctx context.Context, r *Request, p *blackboard.Placement) (*heldReservations, error) {
 	held := &heldReservations{director: d, request: r, stop: func() {}}
 	for _, planned := range p.Decision.Reservations {
--- a/node/requestcontrol/silence.go
+++ b/node/requestcontrol/silence.go
@@ -20,8 +20,8 @@
 const unusedReservationTimeout = 7 * time.Second
 
 // maxRepeatPrefillSeconds is the prefill time up to which a prompt is sent to a second target
-// because the first is silent. A longer prefill costs other callers more than this caller gains,
-// whose answer would be late anyway.
+// because the first is silent. A longer prefill costs other callers more than it gains this caller:
+// the answer would be late anyway.
 const maxRepeatPrefillSeconds = 1.0
 
 // probesConnection reports whether an attempt's connection is probed while its target is silent.
@@ -44,7 +44,8 @@
 	timer *time.Timer // nil if the attempt is not watched, or has ended
 	// mustEnd cancels the attempt even if the call may not be sent to another target.
 	mustEnd bool
-	// mayRepeat reports whether the rules allow another send after this one.
+	// mayRepeat reports whether the rules allow another send after this one and the prefill is
+	// short enough for it.
 	mayRepeat bool
 }
 
@@ -72,7 +73,7 @@
 	return ctx, s
 }
 
-// endWhenGone handles a target whose process ended or restarted like a timeout: its connection
+// endWhenGone acts as on a timeout when the target's process has ended or restarted: its connection
 // may stay open without delivering anything.
 func (s *silenceWatch) endWhenGone(ctx context.Context, gone <-chan struct{}) {
 	select {
--- a/node/requestcontrol/silence_test.go
+++ b/node/requestcontrol/silence_test.go
@@ -98,7 +98,7 @@
 // is cancelled, and must not be charged again before the next send.
 func TestSilenceChargesRepeatBudgetOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newTestForwarding(twoAttempts, 2) // One repeat: 0.6 of 2.
+		f := newTestForwarding(twoAttempts, 2) // Enough for one repeat: admission uses 0.6 of the limit, 2.
 		attemptCtx, watch := f.watchSilence(context.Background(), &blackboard.Placement{})
 		<-attemptCtx.Done()
 		err := watch.stop(attemptCtx, io.ErrUnexpectedEOF)
@@ -133,7 +133,8 @@
 
 // TestRestartedTargetEndsRepeatableAttempt: the connection to a process stays open when its host loses
 // power. Once the target has restarted, a repeatable call must be cancelled immediately. Any other call
-// keeps waiting, since comparing two hosts' clocks does not prove that its answer cannot arrive.
+// keeps waiting: restarts are detected by comparing the clocks of two hosts, which does not prove that
+// its answer cannot arrive.
 func TestRestartedTargetEndsRepeatableAttempt(t *testing.T) {
 	const limit = 10 * time.Second
 	for name, c := range map[string]struct {
@@ -149,7 +150,7 @@
 				close(gone)
 				took := timeToCancel(newTestForwarding(c.rules, 10), &blackboard.Placement{Gone: gone}, limit, noEvents)
 				if cancelled := took < 100*time.Millisecond; cancelled != c.cancelled {
-					t.Errorf("attempt ended after %v, want it cancelled immediately: %v", took, c.cancelled)
+					t.Errorf("attempt ended after %v; immediate cancellation wanted: %v", took, c.cancelled)
 				}
 			})
 		})
