--- a/node/worker/worker.go
+++ b/node/worker/worker.go
@@ -19,7 +19,7 @@
 }
 
 // wakeInterval is how often all queues are dispatched even without an event, since load
-// reports age and the priority of waiting requests rises.
+// reports become outdated and the priority of waiting requests rises.
 const wakeInterval = 50 * time.Millisecond
 
 // Run runs the workers until ctx ends.
