--- a/node/sock/sock.go
+++ b/node/sock/sock.go
@@ -15,8 +15,8 @@
 	Idle State = iota
 	// Readable connections have bytes to read.
 	Readable
-	// Closed connections were closed by the peer, with all of its bytes read, or reset by the
-	// peer, or closed on this side.
+	// Closed connections were reset by the peer, closed on this side, or closed by the peer
+	// with no bytes left to read.
 	Closed
 )
 
