--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -6,7 +6,7 @@
 	"doorstack.dev/core/settings"
 )
 
-func TestExamplesPassTheCheck(t *testing.T) {
+func TestExampleSettingsParse(t *testing.T) {
 	for name, data := range map[string][]byte{"clara": Clara, "kilnmark": Kilnmark} {
 		tree, err := settings.Parse(data)
 		if err != nil {
--- a/node/internal/coordbench/coordbench_test.go
+++ b/node/internal/coordbench/coordbench_test.go
@@ -9,31 +9,31 @@
 )
 
 var (
-	length = flag.Duration("coord.length", 0, "virtual time of each play of the table; none is played without")
-	seeds  = flag.Int("coord.seeds", 3, "plays of each row of the table")
-	scale  = flag.Int("coord.engines", 150, "engines of the pool")
+	tableLength = flag.Duration("coord.length", 0, "virtual time of each play of the table; none is played without")
+	seedCount   = flag.Int("coord.seeds", 3, "plays of each row of the table")
+	engineCount = flag.Int("coord.engines", 150, "engines of the pool")
 )
 
-func play(t *testing.T, s Setup) *Result {
+func simulate(t *testing.T, s Setup) *Result {
 	t.Helper()
-	r, err := Play(s)
+	r, err := Simulate(s)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// TestOneSeedGivesTheSameFigures is what makes two plays comparable.
-func TestOneSeedGivesTheSameFigures(t *testing.T) {
-	s := Setup{Workload: Spacious(), Engines: 20, DataCentres: 5, Parts: 2, Choice: Two, Load: 1, Move: true, Length: 6 * time.Second, Seed: 3}
-	if first, second := play(t, s), play(t, s); !reflect.DeepEqual(first, second) {
+// TestSimulateIsDeterminedBySeed is what makes two plays comparable.
+func TestSimulateIsDeterminedBySeed(t *testing.T) {
+	s := Setup{Workload: Spacious(), Engines: 20, DataCentres: 5, Coordinators: 2, Choice: BetterOfTwo, Load: 1, MoveCallers: true, Duration: 6 * time.Second, Seed: 3}
+	if first, second := simulate(t, s), simulate(t, s); !reflect.DeepEqual(first, second) {
 		t.Errorf("two plays differ:\n%+v\n%+v", first, second)
 	}
 }
 
-// TestTable prints the table of docs/design/coordination.md.
-func TestTable(t *testing.T) {
-	if *length == 0 {
+// TestCoordinationTable prints the table of docs/design/coordination.md.
+func TestCoordinationTable(t *testing.T) {
+	if *tableLength == 0 {
 		t.Log("give -coord.length to play it")
 		return
 	}
@@ -42,54 +42,54 @@
 			for _, row := range []struct {
 				parts  int
 				choice Choice
-			}{{1, Home}, {2, Home}, {2, Two}, {3, Two}, {5, Home}, {5, Any}, {5, Two}, {5, Least}, {10, Two}} {
-				s := Setup{Workload: Spacious(), Engines: *scale, DataCentres: 5, Parts: row.parts, Choice: row.choice, Load: load, Move: move, Length: *length}
-				t.Log(line(t, s))
+			}{{1, HomeDataCentre}, {2, HomeDataCentre}, {2, BetterOfTwo}, {3, BetterOfTwo}, {5, HomeDataCentre}, {5, Random}, {5, BetterOfTwo}, {5, LeastLoaded}, {10, BetterOfTwo}} {
+				s := Setup{Workload: Spacious(), Engines: *engineCount, DataCentres: 5, Coordinators: row.parts, Choice: row.choice, Load: load, MoveCallers: move, Duration: *tableLength}
+				t.Log(tableRow(t, s))
 			}
 		}
 	}
 }
 
-// line plays a setup with each seed.
-func line(t *testing.T, s Setup) string {
+// tableRow plays a setup with each seed.
+func tableRow(t *testing.T, s Setup) string {
 	worth, least, most := 0.0, 1.0, 0.0
 	sum := map[string]ClassResult{}
-	for i := range *seeds {
+	for i := range *seedCount {
 		s.Seed = uint64(i + 1)
-		r := play(t, s)
-		worth += r.Worth / float64(*seeds)
-		least, most = min(least, r.Worth), max(most, r.Worth)
+		r := simulate(t, s)
+		worth += r.ValueShare / float64(*seedCount)
+		least, most = min(least, r.ValueShare), max(most, r.ValueShare)
 		for name, c := range r.Classes {
 			sum[name] = sum[name].plus(c)
 		}
 	}
-	text := fmt.Sprintf("move %v load %.1f parts %d %-5s worth %.3f (%.3f to %.3f)", s.Move, s.Load, s.Parts, s.Choice, worth, least, most)
+	text := fmt.Sprintf("move %v load %.1f parts %d %-5s worth %.3f (%.3f to %.3f)", s.MoveCallers, s.Load, s.Coordinators, s.Choice, worth, least, most)
 	for i := range s.Workload.Classes {
 		name := s.Workload.Classes[i].Name
 		k := sum[name]
-		part := func(n int) float64 { return float64(n) / float64(k.Asked) }
+		part := func(n int) float64 { return float64(n) / float64(k.Calls) }
 		text += fmt.Sprintf(", %s %.3f late %.3f refused %.3f", name, part(k.OnTime), part(k.Late), part(k.Refused))
 	}
 	return text
 }
 
-// TestSeveralCoordinatorsServeAsMany: with the less loaded of two asked, two coordinators of 30
+// TestTwoCoordinatorsServeAsMuchAsOne: with the less loaded of two asked, two coordinators of 30
 // engines serve as much as one of 60, also where half of the callers move to one data centre.
 // Where each daemon asks its own data centre's alone, that costs more than 0.03: one part's engines
 // cannot read the long prompts of three quarters of the callers.
-func TestSeveralCoordinatorsServeAsMany(t *testing.T) {
+func TestTwoCoordinatorsServeAsMuchAsOne(t *testing.T) {
 	const plays, load = 3, 1.15 // A little over the workload's own, so that engines are short where callers are.
 	worth := func(parts int, choice Choice) float64 {
 		sum := 0.0
 		for seed := range plays {
-			sum += play(t, Setup{
-				Workload: Spacious(), Engines: 60, DataCentres: 2, Parts: parts, Choice: choice,
-				Load: load, Move: true, Length: 20 * time.Second, Seed: uint64(seed + 1),
-			}).Worth
+			sum += simulate(t, Setup{
+				Workload: Spacious(), Engines: 60, DataCentres: 2, Coordinators: parts, Choice: choice,
+				Load: load, MoveCallers: true, Duration: 20 * time.Second, Seed: uint64(seed + 1),
+			}).ValueShare
 		}
 		return sum / plays
 	}
-	one, two, home := worth(1, Home), worth(2, Two), worth(2, Home)
+	one, two, home := worth(1, HomeDataCentre), worth(2, BetterOfTwo), worth(2, HomeDataCentre)
 	t.Logf("worth: one coordinator %.3f, two of which the less loaded is asked %.3f, own data centre's %.3f", one, two, home)
 	if one < 0.9 {
 		t.Errorf("one coordinator serves %.3f of what is owed: the play is not the users' load", one)
--- a/node/internal/coordbench/engine.go
+++ b/node/internal/coordbench/engine.go
@@ -14,33 +14,33 @@
 	"doorstack.dev/core/engine"
 )
 
-// passEngine is an engine that works in passes, as the package engine describes them: a pass
+// simEngine is an engine that works in passes, as the package engine describes them: a pass
 // with writers has Stride steps, each of which may read a chunk of prompts besides, and one
 // without writers has a single step.
-type passEngine struct {
+type simEngine struct {
 	timing *engine.Timing
 	// chunk is the most prompt tokens that a step reads.
-	chunk int64
+	chunkTokens int64
 	// parts are what it has to read, the first of them now: parts of prompts that several
 	// engines read go before whole prompts, and the newest of them first.
-	parts   []*part
-	writers []*call
-	busy    bool
+	parts    []*promptPart
+	decoding []*call
+	busy     bool
 }
 
-// part is what an engine reads of a prompt.
-type part struct {
+// promptPart is what an engine reads of a prompt.
+type promptPart struct {
 	call   *call
 	tokens int64
 	// perToken is the time to read a token of it, in seconds.
-	perToken float64
-	shared   bool
+	secondsPerToken float64
+	split           bool
 }
 
 // give adds a part to what is to be read.
-func (e *passEngine) give(p *part) {
-	if p.shared {
-		e.parts = append([]*part{p}, e.parts...)
+func (e *simEngine) addPart(p *promptPart) {
+	if p.split {
+		e.parts = append([]*promptPart{p}, e.parts...)
 		return
 	}
 	e.parts = append(e.parts, p)
@@ -49,22 +49,22 @@
 // pass works out the next pass: how long it takes and which parts it reads to their ends. It
 // is zero where there is nothing to do. A prompt that a pass with writers has read to its end
 // writes in the same pass.
-func (e *passEngine) pass() (length time.Duration, read []*part) {
-	if len(e.writers) == 0 && len(e.parts) == 0 {
+func (e *simEngine) nextPass() (length time.Duration, read []*promptPart) {
+	if len(e.decoding) == 0 && len(e.parts) == 0 {
 		return 0, nil
 	}
-	seconds, budget := e.timing.Step, e.chunk
-	if len(e.writers) > 0 {
+	seconds, budget := e.timing.Step, e.chunkTokens
+	if len(e.decoding) > 0 {
 		contexts := int64(0)
-		for _, w := range e.writers {
-			contexts += w.prompt
+		for _, w := range e.decoding {
+			contexts += w.promptTokens
 		}
-		seconds, budget = e.timing.PassTime(len(e.writers), contexts), e.timing.StepsPerPass*e.chunk
+		seconds, budget = e.timing.PassTime(len(e.decoding), contexts), e.timing.StepsPerPass*e.chunkTokens
 	}
 	for budget > 0 && len(e.parts) > 0 {
 		p := e.parts[0]
 		n := min(budget, p.tokens)
-		seconds += float64(n) * p.perToken
+		seconds += float64(n) * p.secondsPerToken
 		p.tokens -= n
 		budget -= n
 		if p.tokens == 0 {
--- a/node/internal/coordbench/fleet.go
+++ b/node/internal/coordbench/fleet.go
@@ -21,13 +21,13 @@
 // The choices.
 const (
 	// Home asks the coordinator of the daemon's own data centre.
-	Home Choice = "home"
+	HomeDataCentre Choice = "home"
 	// Any asks one at random.
-	Any Choice = "any"
+	Random Choice = "any"
 	// Two asks the less loaded of home and one at random.
-	Two Choice = "two"
+	BetterOfTwo Choice = "two"
 	// Least asks the least loaded of all.
-	Least Choice = "least"
+	LeastLoaded Choice = "least"
 )
 
 // Setup is one play.
@@ -35,35 +35,35 @@
 	Workload             *Workload
 	Engines, DataCentres int
 	// Parts is the number of coordinators; each knows an equal part of the engines.
-	Parts  int
-	Choice Choice
+	Coordinators int
+	Choice       Choice
 	// Load is the offered load as a factor of the workload's own.
 	Load float64
 	// Move tells whether half of the callers move to one data centre.
-	Move   bool
-	Length time.Duration
-	Seed   uint64
+	MoveCallers bool
+	Duration    time.Duration
+	Seed        uint64
 }
 
 const (
 	// way is the time of a message between two daemons, or between one and an engine.
-	way = time.Millisecond
-	// newsEvery is how often coordinators tell all daemons of their load.
-	newsEvery = 250 * time.Millisecond
-	// lookEvery is how often a coordinator looks at its queue without any event.
-	lookEvery = 20 * time.Millisecond
+	messageDelay = time.Millisecond
+	// loadReportInterval is how often coordinators tell all daemons of their load.
+	loadReportInterval = 250 * time.Millisecond
+	// dispatchInterval is how often a coordinator looks at its queue without any event.
+	dispatchInterval = 20 * time.Millisecond
 	// tail is the time after the last call in which answers may still end.
-	tail = 20 * time.Second
+	drainTime = 20 * time.Second
 )
 
-// fleet is a play in progress.
-type fleet struct {
+// simulation is a play in progress.
+type simulation struct {
 	setup        Setup
 	pool         *settings.ResolvedPool
 	start        time.Time
 	now          time.Duration
-	queue        vtime.Queue
-	engines      map[string]*passEngine
+	events       vtime.Queue
+	engines      map[string]*simEngine
 	coordinators []*coordinator
 	calls        []*call
 	rng          *rand.Rand
@@ -72,70 +72,70 @@
 // coordinator places calls on a part of the pool.
 type coordinator struct {
 	board   *blackboard.Blackboard
-	waiting []*waiting
+	waiting []*waitingCall
 	// told is the load that daemons have last heard of: the share of slots taken and the
 	// seconds of reading before an engine.
-	told float64
+	reportedLoad float64
 	// looked is when it last looked at a long queue.
-	looked time.Duration
+	lastDispatch time.Duration
 }
 
-type waiting struct {
+type waitingCall struct {
 	call   *call
 	ticket *blackboard.Ticket
 }
 
-// Play plays a setup.
-func Play(s Setup) (*Result, error) {
+// Simulate plays a setup.
+func Simulate(s Setup) (*Result, error) {
 	tree, err := s.Workload.settings()
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{
+	f := &simulation{
 		setup: s, pool: tree.Pool("llm"), start: time.Unix(1_000_000_000, 0),
-		engines: map[string]*passEngine{}, calls: calls(&s), rng: rand.New(rand.NewPCG(s.Seed, 2)),
+		engines: map[string]*simEngine{}, calls: generateCalls(&s), rng: rand.New(rand.NewPCG(s.Seed, 2)),
 	}
 	f.addCoordinators(tree)
 	for _, c := range f.calls {
-		f.queue.At(c.at, func() { f.ask(c) })
+		f.events.Schedule(c.arrival, func() { f.requestPlacement(c) })
 	}
-	f.every(newsEvery, f.tellLoads)
-	f.every(lookEvery, func() {
+	f.scheduleEvery(loadReportInterval, f.reportLoads)
+	f.scheduleEvery(dispatchInterval, func() {
 		for _, c := range f.coordinators {
-			f.look(c)
+			f.dispatch(c)
 		}
 	})
 	f.run()
-	return f.result(), nil
+	return f.summarize(), nil
 }
 
-func (f *fleet) addCoordinators(tree *settings.Tree) {
-	hosts := make([][]hostlist.Host, f.setup.Parts)
+func (f *simulation) addCoordinators(tree *settings.Tree) {
+	hosts := make([][]hostlist.Host, f.setup.Coordinators)
 	for i := range f.setup.Engines {
 		name := fmt.Sprint("e", i)
-		f.engines[name] = &passEngine{timing: f.pool.Timing, chunk: f.setup.Workload.Engine.Chunk}
-		part := i % f.setup.Parts
+		f.engines[name] = &simEngine{timing: f.pool.Timing, chunkTokens: f.setup.Workload.Engine.ChunkTokens}
+		part := i % f.setup.Coordinators
 		hosts[part] = append(hosts[part], hostlist.Host{ID: name, Role: hostlist.RoleTarget, Pool: "llm", DataCentre: "dc", State: hostlist.Live, Slots: int(f.setup.Workload.Engine.Slots)})
 	}
-	for part := range f.setup.Parts {
+	for part := range f.setup.Coordinators {
 		board := blackboard.New(blackboard.Identity{Name: fmt.Sprint("c", part), DataCentre: "dc"}, blackboard.DefaultLimits())
 		board.Targets.Sync(hosts[part], tree, f.start)
 		f.coordinators = append(f.coordinators, &coordinator{board: board})
 	}
 }
 
-func (f *fleet) every(period time.Duration, do func()) {
-	f.queue.At(f.now+period, func() {
+func (f *simulation) scheduleEvery(period time.Duration, do func()) {
+	f.events.Schedule(f.now+period, func() {
 		do()
-		if f.now < f.setup.Length+tail {
-			f.every(period, do)
+		if f.now < f.setup.Duration+drainTime {
+			f.scheduleEvery(period, do)
 		}
 	})
 }
 
-func (f *fleet) run() {
+func (f *simulation) run() {
 	for {
-		at, do, ok := f.queue.Next()
+		at, do, ok := f.events.Next()
 		if !ok {
 			return
 		}
@@ -144,10 +144,10 @@
 	}
 }
 
-func (f *fleet) time() time.Time { return f.start.Add(f.now) }
+func (f *simulation) time() time.Time { return f.start.Add(f.now) }
 
 // tellLoads tells all daemons of the coordinators' loads.
-func (f *fleet) tellLoads() {
+func (f *simulation) reportLoads() {
 	for _, c := range f.coordinators {
 		views := c.board.Targets.Views("llm", f.time())
 		load := 0.0
@@ -155,78 +155,78 @@
 			load += float64(views[i].Load.Requests)/float64(f.setup.Workload.Engine.Slots) + views[i].PendingPrefill
 		}
 		load /= float64(len(views))
-		f.queue.At(f.now+way, func() { c.told = load })
+		f.events.Schedule(f.now+messageDelay, func() { c.reportedLoad = load })
 	}
 }
 
 // ask puts the question for a call to a coordinator.
-func (f *fleet) ask(c *call) {
-	c.by = f.choose(c)
-	f.queue.At(f.now+way, func() { f.offer(c) })
+func (f *simulation) requestPlacement(c *call) {
+	c.coordinator = f.chooseCoordinator(c)
+	f.events.Schedule(f.now+messageDelay, func() { f.enqueue(c) })
 }
 
-func (f *fleet) choose(c *call) *coordinator {
+func (f *simulation) chooseCoordinator(c *call) *coordinator {
 	home := f.coordinators[c.dataCentre%len(f.coordinators)]
 	drawn := f.coordinators[f.rng.IntN(len(f.coordinators))]
 	switch f.setup.Choice {
-	case Any:
+	case Random:
 		return drawn
-	case Two:
-		if drawn.told < home.told {
+	case BetterOfTwo:
+		if drawn.reportedLoad < home.reportedLoad {
 			return drawn
 		}
-	case Least:
+	case LeastLoaded:
 		for _, other := range f.coordinators {
-			if other.told < home.told {
+			if other.reportedLoad < home.reportedLoad {
 				home = other
 			}
 		}
-	case Home:
+	case HomeDataCentre:
 	}
 	return home
 }
 
 // offer is the coordinator's side of a question.
-func (f *fleet) offer(c *call) {
+func (f *simulation) enqueue(c *call) {
 	now := f.time()
-	params := requestcontrol.RoutingParams(f.pool, c.by.board.Targets.Capacity("llm", now), 1)
-	id := c.name()
+	params := requestcontrol.RoutingParams(f.pool, c.coordinator.board.Targets.Capacity("llm", now), 1)
+	id := c.attemptID()
 	output := int64(c.events) * f.pool.Timing.StepsPerPass
 	ticket := &blackboard.Ticket{
-		Pool: f.pool, Params: params, Attempt: id, Deadline: f.start.Add(c.at + c.class.Limit),
+		Pool: f.pool, Params: params, Attempt: id, Deadline: f.start.Add(c.arrival + c.class.Timeout),
 		Request: routing.Request{
-			ID: id, PromptTokens: c.prompt, OutputTokens: output, DataCentre: "dc",
+			ID: id, PromptTokens: c.promptTokens, OutputTokens: output, DataCentre: "dc",
 			Goal: c.class.Goal.Seconds(), GapGoal: c.class.GapGoal.Seconds(), Seed: rendezvous.Score("llm", id),
 		},
 		Item: &admission.Item{
-			ID: id, Account: fmt.Sprint(c.id % 40), Tokens: c.prompt, Long: params.IsLong(c.prompt),
-			Arrived: f.start.Add(c.asked), PrefillSeconds: requestcontrol.PrefillSeconds(&params, c.prompt),
-			LatestStart: requestcontrol.LatestStart(&params, c.prompt, f.start.Add(c.asked), c.class.Goal.Seconds(), false),
+			ID: id, Account: fmt.Sprint(c.id % 40), Tokens: c.promptTokens, Long: params.IsLong(c.promptTokens),
+			Arrived: f.start.Add(c.sentAt), PrefillSeconds: requestcontrol.PrefillSeconds(&params, c.promptTokens),
+			LatestStart: requestcontrol.LatestStart(&params, c.promptTokens, f.start.Add(c.sentAt), c.class.Goal.Seconds(), false),
 		},
 	}
-	c.by.board.Queues.Push(ticket)
-	c.by.waiting = append(c.by.waiting, &waiting{c, ticket})
-	f.look(c.by)
+	c.coordinator.board.Queues.Push(ticket)
+	c.coordinator.waiting = append(c.coordinator.waiting, &waitingCall{c, ticket})
+	f.dispatch(c.coordinator)
 }
 
-// A look at a queue of restFrom calls or more is followed by a rest, as in the daemon.
+// A look at a queue of throttleMinLength calls or more is followed by a rest, as in the daemon.
 const (
-	restFrom = 8
-	rest     = 8 * time.Millisecond
+	throttleMinLength = 8
+	throttleInterval  = 8 * time.Millisecond
 )
 
 // look offers what waits at a coordinator to its engines.
-func (f *fleet) look(c *coordinator) {
-	if len(c.waiting) == 0 || len(c.waiting) >= restFrom && f.now < c.looked+rest {
+func (f *simulation) dispatch(c *coordinator) {
+	if len(c.waiting) == 0 || len(c.waiting) >= throttleMinLength && f.now < c.lastDispatch+throttleInterval {
 		return
 	}
-	c.looked = f.now
+	c.lastDispatch = f.now
 	c.board.Queues.Dispatch("llm", c.board.Targets, f.time())
 	still := c.waiting[:0]
 	for _, w := range c.waiting {
 		select {
 		case p := <-w.ticket.Placed():
-			f.placed(w.call, &p)
+			f.sendToEngines(w.call, &p)
 		default:
 			if f.time().Before(w.ticket.Deadline) {
 				still = append(still, w)
@@ -241,109 +241,109 @@
 }
 
 // placed sends a call to its engine, by way of the daemon that asked.
-func (f *fleet) placed(c *call, p *blackboard.Placement) {
+func (f *simulation) sendToEngines(c *call, p *blackboard.Placement) {
 	if p.Decision.Verdict != routing.Place {
-		f.refuse(c)
+		f.retryOrRefuse(c)
 		return
 	}
 	readers := append([]string{p.Decision.Chosen}, p.Decision.Helpers...)
-	c.engine, c.unread = f.engines[p.Decision.Chosen], len(readers)
-	tokens := c.prompt / int64(len(readers))
-	f.queue.At(f.now+2*way, func() {
+	c.engine, c.pendingParts = f.engines[p.Decision.Chosen], len(readers)
+	tokens := c.promptTokens / int64(len(readers))
+	f.events.Schedule(f.now+2*messageDelay, func() {
 		for _, name := range readers {
 			e := f.engines[name]
-			e.give(&part{call: c, tokens: tokens, perToken: p.Decision.PrefillTime / float64(c.prompt), shared: len(readers) > 1})
-			f.wake(e)
+			e.addPart(&promptPart{call: c, tokens: tokens, secondsPerToken: p.Decision.PrefillTime / float64(c.promptTokens), split: len(readers) > 1})
+			f.startPass(e)
 		}
 	})
 }
 
-// retries is how often a refused caller comes back.
-const retries = 1
+// maxRetries is how often a refused caller comes back.
+const maxRetries = 1
 
 // refuse tells a caller to come back, or for good.
-func (f *fleet) refuse(c *call) {
-	if c.attempt >= retries {
+func (f *simulation) retryOrRefuse(c *call) {
+	if c.attempt >= maxRetries {
 		c.refused = true
 		return
 	}
 	c.attempt++
-	long := c.prompt >= f.pool.Policy.LongPromptTokens
-	c.asked = f.now + admission.BusyRetryAfter(long, c.at+c.class.Limit-f.now)
-	f.queue.At(c.asked, func() { f.ask(c) })
+	long := c.promptTokens >= f.pool.Policy.LongPromptTokens
+	c.sentAt = f.now + admission.BusyRetryAfter(long, c.arrival+c.class.Timeout-f.now)
+	f.events.Schedule(c.sentAt, func() { f.requestPlacement(c) })
 }
 
 // name tells the tries of a call apart.
-func (c *call) name() string { return fmt.Sprint(c.id, "-", c.attempt) }
+func (c *call) attemptID() string { return fmt.Sprint(c.id, "-", c.attempt) }
 
 // wake begins a pass where none is under way.
-func (f *fleet) wake(e *passEngine) {
+func (f *simulation) startPass(e *simEngine) {
 	if e.busy {
 		return
 	}
-	length, read := e.pass()
+	length, read := e.nextPass()
 	if length == 0 {
 		return
 	}
 	e.busy = true
-	writers := append([]*call(nil), e.writers...)
-	f.queue.At(f.now+length, func() {
+	writers := append([]*call(nil), e.decoding...)
+	f.events.Schedule(f.now+length, func() {
 		for _, w := range writers {
-			f.wrote(e, w)
+			f.recordEvent(e, w)
 		}
 		for _, p := range read {
-			f.read(p.call, p.shared)
-			if len(writers) > 0 && !p.shared {
-				f.wrote(e, p.call)
+			f.finishPart(p.call, p.split)
+			if len(writers) > 0 && !p.split {
+				f.recordEvent(e, p.call)
 			}
 		}
 		e.busy = false // The next pass begins with all whose prompts this one has read.
-		f.wake(e)
+		f.startPass(e)
 	})
 }
 
 // read notes that a part of a call's prompt has been read; with the last one it writes. Where
 // several engines read it, the first event comes with the last part, wherever that was read, and
 // the second with the next pass of the engine that writes.
-func (f *fleet) read(c *call, shared bool) {
-	c.unread--
-	if c.unread > 0 {
+func (f *simulation) finishPart(c *call, shared bool) {
+	c.pendingParts--
+	if c.pendingParts > 0 {
 		return
 	}
-	c.engine.writers = append(c.engine.writers, c)
+	c.engine.decoding = append(c.engine.decoding, c)
 	if shared {
-		f.wrote(c.engine, c)
+		f.recordEvent(c.engine, c)
 	}
-	f.wake(c.engine)
+	f.startPass(c.engine)
 }
 
 // wrote notes an event of a call's answer, and tells its coordinator of the first and the last.
-func (f *fleet) wrote(e *passEngine, c *call) {
-	at := f.now + way
-	if c.written == 0 {
-		c.first = at
-		f.queue.At(at+way, func() {
-			c.by.board.Targets.RecordPrefillDone(c.name(), f.time())
-			f.look(c.by)
+func (f *simulation) recordEvent(e *simEngine, c *call) {
+	at := f.now + messageDelay
+	if c.eventsSent == 0 {
+		c.firstEvent = at
+		f.events.Schedule(at+messageDelay, func() {
+			c.coordinator.board.Targets.RecordPrefillDone(c.attemptID(), f.time())
+			f.dispatch(c.coordinator)
 		})
 	} else {
-		c.gap = max(c.gap, at-c.last)
+		c.longestGap = max(c.longestGap, at-c.lastEvent)
 	}
-	c.deserted = c.deserted || at-max(c.last, c.asked) > c.class.patience()
-	c.last = at
-	c.written++
-	if c.written < c.events {
+	c.abandoned = c.abandoned || at-max(c.lastEvent, c.sentAt) > c.class.abandonAfter()
+	c.lastEvent = at
+	c.eventsSent++
+	if c.eventsSent < c.events {
 		return
 	}
-	c.ended = true
-	for i, w := range e.writers {
+	c.completed = true
+	for i, w := range e.decoding {
 		if w == c {
-			e.writers = append(e.writers[:i], e.writers[i+1:]...)
+			e.decoding = append(e.decoding[:i], e.decoding[i+1:]...)
 			break
 		}
 	}
-	f.queue.At(at+way, func() {
-		c.by.board.Targets.Finish(c.name(), blackboard.CallSucceeded, f.time())
-		f.look(c.by)
+	f.events.Schedule(at+messageDelay, func() {
+		c.coordinator.board.Targets.Finish(c.attemptID(), blackboard.CallSucceeded, f.time())
+		f.dispatch(c.coordinator)
 	})
 }
--- a/node/internal/coordbench/workloads.go
+++ b/node/internal/coordbench/workloads.go
@@ -10,21 +10,21 @@
 // EngineKind is what is published of the engines of a pool.
 type EngineKind struct {
 	// Memory is in tokens, Slots the requests that an engine works on at one time.
-	Memory, Slots int64
+	MemoryTokens, Slots int64
 	// ReadPerMS is the prompt tokens read in a millisecond, and PairsMS the milliseconds for a
 	// million pairs of a token and one before it.
-	ReadPerMS, PairsMS float64
+	PrefillTokensPerMS, PairsMSPerM float64
 	// StepMS is the time of a step, SequenceMS what each request that writes adds to it, and
 	// ContextMS what a thousand tokens of context add.
-	StepMS, SequenceMS, ContextMS float64
+	StepMS, PerSequenceMS, ContextMSPerK float64
 	// Stride is the number of steps of a pass, and Chunk the most tokens that a step reads.
-	Stride, Chunk int64
+	StepsPerPass, ChunkTokens int64
 }
 
 // Workload is the engines of a pool and the calls that they serve.
 type Workload struct {
 	Engine  EngineKind
-	Classes []Class
+	Classes []CallClass
 }
 
 // settings writes the workload's pool as settings.
@@ -40,7 +40,7 @@
     timing: {step_ms: %g, per_sequence_ms: %g, context_ms_per_k: %g, pairs_ms_per_m: %g, stride: %d}
 pools: {llm: {kind: k, model: m}}
 tree: {}
-`, e.Memory, 1000*e.ReadPerMS, e.Slots, e.StepMS, e.SequenceMS, e.ContextMS, e.PairsMS, e.Stride))
+`, e.MemoryTokens, 1000*e.PrefillTokensPerMS, e.Slots, e.StepMS, e.PerSequenceMS, e.ContextMSPerK, e.PairsMSPerM, e.StepsPerPass))
 }
 
 // Spacious is a load whose engines have room: audits fit into the memory of one engine, and events
@@ -48,24 +48,24 @@
 func Spacious() *Workload {
 	return &Workload{
 		Engine: EngineKind{
-			Memory: 315_000, Slots: 10, ReadPerMS: 177, PairsMS: 0.184,
-			StepMS: 0.85, SequenceMS: 0.00425, ContextMS: 0.00285, Stride: 80, Chunk: 2048,
+			MemoryTokens: 315_000, Slots: 10, PrefillTokensPerMS: 177, PairsMSPerM: 0.184,
+			StepMS: 0.85, PerSequenceMS: 0.00425, ContextMSPerK: 0.00285, StepsPerPass: 80, ChunkTokens: 2048,
 		},
-		Classes: []Class{
+		Classes: []CallClass{
 			{
-				Name: "chat", Rate: 1.38, Worth: 1.3, Swing: [2]float64{2.5, 0.35},
-				Prompt: 5_000, PromptSpread: 0.5, PromptMost: 10_000, Events: 24,
-				Goal: 400 * time.Millisecond, GapGoal: 300 * time.Millisecond, Limit: 10 * time.Second,
+				Name: "chat", Rate: 1.38, Value: 1.3, RateFactors: [2]float64{2.5, 0.35},
+				MeanPrompt: 5_000, PromptSigma: 0.5, MaxPrompt: 10_000, MeanEvents: 24,
+				Goal: 400 * time.Millisecond, GapGoal: 300 * time.Millisecond, Timeout: 10 * time.Second,
 			},
 			{
-				Name: "review", Rate: 0.101, Worth: 3.1, Swing: [2]float64{1, 1},
-				Prompt: 45_000, PromptSpread: 0.5, PromptMost: 90_000, Events: 14,
-				Goal: 1500 * time.Millisecond, GapGoal: 800 * time.Millisecond, Limit: 10 * time.Second,
+				Name: "review", Rate: 0.101, Value: 3.1, RateFactors: [2]float64{1, 1},
+				MeanPrompt: 45_000, PromptSigma: 0.5, MaxPrompt: 90_000, MeanEvents: 14,
+				Goal: 1500 * time.Millisecond, GapGoal: 800 * time.Millisecond, Timeout: 10 * time.Second,
 			},
 			{
-				Name: "audit", Rate: 0.0335, Worth: 26, Swing: [2]float64{0.1, 2.8},
-				Prompt: 170_000, PromptSpread: 0.5, PromptMost: 310_000, Events: 12,
-				Goal: 4 * time.Second, GapGoal: 1200 * time.Millisecond, Limit: 15 * time.Second,
+				Name: "audit", Rate: 0.0335, Value: 26, RateFactors: [2]float64{0.1, 2.8},
+				MeanPrompt: 170_000, PromptSigma: 0.5, MaxPrompt: 310_000, MeanEvents: 12,
+				Goal: 4 * time.Second, GapGoal: 1200 * time.Millisecond, Timeout: 15 * time.Second,
 			},
 		},
 	}
@@ -76,32 +76,32 @@
 func Dense() *Workload {
 	return &Workload{
 		Engine: EngineKind{
-			Memory: 197_200, Slots: 12, ReadPerMS: 206, PairsMS: 0.138,
-			StepMS: 1.02, SequenceMS: 0.00226, ContextMS: 0.00431, Stride: 48, Chunk: 2048,
+			MemoryTokens: 197_200, Slots: 12, PrefillTokensPerMS: 206, PairsMSPerM: 0.138,
+			StepMS: 1.02, PerSequenceMS: 0.00226, ContextMSPerK: 0.00431, StepsPerPass: 48, ChunkTokens: 2048,
 		},
-		Classes: []Class{
+		Classes: []CallClass{
 			{
-				Name: "chat", Rate: 1.27, Worth: 1.3, Swing: [2]float64{2.4, 0.37},
-				Prompt: 4_960, PromptSpread: 0.9, PromptMost: 23_800, Events: 30.7, EventsSpread: 0.7,
-				Goal: 300 * time.Millisecond, GapGoal: 250 * time.Millisecond, Limit: 10 * time.Second,
+				Name: "chat", Rate: 1.27, Value: 1.3, RateFactors: [2]float64{2.4, 0.37},
+				MeanPrompt: 4_960, PromptSigma: 0.9, MaxPrompt: 23_800, MeanEvents: 30.7, EventsSigma: 0.7,
+				Goal: 300 * time.Millisecond, GapGoal: 250 * time.Millisecond, Timeout: 10 * time.Second,
 			},
 			{
-				Name: "review", Rate: 0.15, Worth: 3.3, Swing: [2]float64{0.5, 1.3},
-				Prompt: 45_000, PromptSpread: 0.5, PromptMost: 110_000, Events: 18.4, EventsSpread: 0.6,
-				Goal: 1500 * time.Millisecond, GapGoal: 600 * time.Millisecond, Limit: 10 * time.Second,
+				Name: "review", Rate: 0.15, Value: 3.3, RateFactors: [2]float64{0.5, 1.3},
+				MeanPrompt: 45_000, PromptSigma: 0.5, MaxPrompt: 110_000, MeanEvents: 18.4, EventsSigma: 0.6,
+				Goal: 1500 * time.Millisecond, GapGoal: 600 * time.Millisecond, Timeout: 10 * time.Second,
 			},
 			{
-				Name: "audit", Rate: 0.0534, Worth: 20, Swing: [2]float64{0.05, 2.8},
-				Prompt: 190_000, PromptSpread: 0.55, PromptMost: 600_000, Events: 15.3, EventsSpread: 0.5,
-				Goal: 3 * time.Second, GapGoal: time.Second, Limit: 15 * time.Second,
+				Name: "audit", Rate: 0.0534, Value: 20, RateFactors: [2]float64{0.05, 2.8},
+				MeanPrompt: 190_000, PromptSigma: 0.55, MaxPrompt: 600_000, MeanEvents: 15.3, EventsSigma: 0.5,
+				Goal: 3 * time.Second, GapGoal: time.Second, Timeout: 15 * time.Second,
 			},
 		},
 	}
 }
 
-// ShortPauses is Dense with chats whose callers bear pauses of 110 ms, and reviews that are due in
+// ShortGapGoals is Dense with chats whose callers bear pauses of 110 ms, and reviews that are due in
 // 0.9 s.
-func ShortPauses() *Workload {
+func ShortGapGoals() *Workload {
 	w := Dense()
 	w.Classes[0].GapGoal = 110 * time.Millisecond
 	w.Classes[1].Goal = 900 * time.Millisecond
@@ -112,10 +112,10 @@
 func ManySlots() *Workload {
 	w := Dense()
 	longer := 48.0 / 14
-	w.Engine.Slots, w.Engine.Stride, w.Engine.ReadPerMS = 24, 14, 60
+	w.Engine.Slots, w.Engine.StepsPerPass, w.Engine.PrefillTokensPerMS = 24, 14, 60
 	for i := range w.Classes {
 		w.Classes[i].Rate /= 3
-		w.Classes[i].Events *= longer
+		w.Classes[i].MeanEvents *= longer
 	}
 	return w
 }
@@ -123,23 +123,23 @@
 // FewSlots is Dense with engines of 6 slots that read fast, and with short answers.
 func FewSlots() *Workload {
 	w := Dense()
-	w.Engine.Slots, w.Engine.Stride, w.Engine.ReadPerMS = 6, 7, 300
+	w.Engine.Slots, w.Engine.StepsPerPass, w.Engine.PrefillTokensPerMS = 6, 7, 300
 	for i := range w.Classes {
 		w.Classes[i].Rate *= 1.2
 	}
 	return w
 }
 
-// Small is a load for a small pool of engines with more memory and more slots than Dense has.
-func Small() *Workload {
+// SmallPool is a load for a small pool of engines with more memory and more slots than Dense has.
+func SmallPool() *Workload {
 	w := Dense()
 	w.Engine = EngineKind{
-		Memory: 315_000, Slots: 16, ReadPerMS: 177, PairsMS: 0.184,
-		StepMS: 0.85, SequenceMS: 0.00425, ContextMS: 0.00285, Stride: 51, Chunk: 2048,
+		MemoryTokens: 315_000, Slots: 16, PrefillTokensPerMS: 177, PairsMSPerM: 0.184,
+		StepMS: 0.85, PerSequenceMS: 0.00425, ContextMSPerK: 0.00285, StepsPerPass: 51, ChunkTokens: 2048,
 	}
 	chat, review, audit := &w.Classes[0], &w.Classes[1], &w.Classes[2]
-	chat.Rate, chat.Events = 2.04, 33
-	review.Rate, review.Events, review.Worth = 0.104, 20, 4.2
-	audit.Rate, audit.Events, audit.Worth, audit.Prompt = 0.0628, 16, 21, 154_000
+	chat.Rate, chat.MeanEvents = 2.04, 33
+	review.Rate, review.MeanEvents, review.Value = 0.104, 20, 4.2
+	audit.Rate, audit.MeanEvents, audit.Value, audit.MeanPrompt = 0.0628, 16, 21, 154_000
 	return w
 }
--- a/node/internal/policybench/policy_test.go
+++ b/node/internal/policybench/policy_test.go
@@ -16,12 +16,12 @@
 )
 
 var (
-	length = flag.Duration("policy.length", 0, "virtual time of arrivals for the table; zero skips the table")
-	out    = flag.String("policy.csv", "", "write the table to this file too")
-	loads  = flag.String("policy.loads", "0.5,0.7,0.85,0.95", "offered loads")
+	tableLength = flag.Duration("policy.length", 0, "virtual time of arrivals for the table; zero skips the table")
+	csvPath     = flag.String("policy.csv", "", "write the table to this file too")
+	loadList    = flag.String("policy.loads", "0.5,0.7,0.85,0.95", "offered loads")
 )
 
-func tree(t *testing.T, data []byte) *settings.Tree {
+func parseSettings(t *testing.T, data []byte) *settings.Tree {
 	t.Helper()
 	tree, err := settings.Parse(data)
 	if err != nil {
@@ -30,18 +30,18 @@
 	return tree
 }
 
-func measure(t *testing.T, s Setup) *Result {
+func runInBubble(t *testing.T, s Setup) *Result {
 	t.Helper()
 	var result *Result
 	synctest.Test(t, func(*testing.T) { result = Run(s) })
 	return result
 }
 
-// TestOneSeedGivesTheSameFigures is what makes two runs comparable.
-func TestOneSeedGivesTheSameFigures(t *testing.T) {
+// TestRunIsDeterminedBySeed is what makes two runs comparable.
+func TestRunIsDeterminedBySeed(t *testing.T) {
 	for _, policy := range Policies() {
-		s := Setup{Mix: Clara(), Policy: policy, Load: 0.7, Length: 5 * time.Second, Seed: 7, Tree: tree(t, examples.Clara), Kill: true}
-		first, second := measure(t, s), measure(t, s)
+		s := Setup{Mix: Clara(), Policy: policy, Load: 0.7, Duration: 5 * time.Second, Seed: 7, Tree: parseSettings(t, examples.Clara), KillEngine: true}
+		first, second := runInBubble(t, s), runInBubble(t, s)
 		if fmt.Sprint(first.FirstToken) != fmt.Sprint(second.FirstToken) {
 			t.Errorf("%s: two runs differ", policy)
 		}
@@ -53,7 +53,7 @@
 
 // TestPolicyTable prints the table of docs/MEASUREMENTS.md.
 func TestPolicyTable(t *testing.T) {
-	if *length == 0 {
+	if *tableLength == 0 {
 		t.Log("give -policy.length to measure")
 		return
 	}
@@ -65,17 +65,17 @@
 		for _, load := range parseLoads(t) {
 			for _, lag := range []time.Duration{0, 2 * time.Second} {
 				for _, policy := range Policies() {
-					s := Setup{Mix: user.mix, Policy: policy, Load: load, Length: *length, Seed: 1, ReportLag: lag, Tree: tree(t, user.data)}
-					rows = append(rows, row(t, s))
+					s := Setup{Mix: user.mix, Policy: policy, Load: load, Duration: *tableLength, Seed: 1, ReportLag: lag, Tree: parseSettings(t, user.data)}
+					rows = append(rows, tableRow(t, s))
 					t.Log(rows[len(rows)-1])
 				}
 			}
 		}
 	}
-	if *out == "" {
+	if *csvPath == "" {
 		return
 	}
-	file, err := os.Create(*out)
+	file, err := os.Create(*csvPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +87,7 @@
 
 func parseLoads(t *testing.T) []float64 {
 	var list []float64
-	for _, text := range strings.Split(*loads, ",") {
+	for _, text := range strings.Split(*loadList, ",") {
 		load, err := strconv.ParseFloat(text, 64)
 		if err != nil {
 			t.Fatal(err)
@@ -97,17 +97,17 @@
 	return list
 }
 
-func row(t *testing.T, s Setup) []string {
-	with := measure(t, s)
+func tableRow(t *testing.T, s Setup) []string {
+	with := runInBubble(t, s)
 	alone := s
 	alone.Mix = s.Mix.WithoutLong()
-	without := measure(t, alone)
+	without := runInBubble(t, alone)
 	ms := func(d time.Duration) string { return fmt.Sprintf("%.0f", float64(d.Microseconds())/1000) }
 	seconds := func(d time.Duration) string { return fmt.Sprintf("%.1f", d.Seconds()) }
 	slowdown := float64(with.Quantile(Short, 0.95)) / float64(without.Quantile(Short, 0.95))
 	return []string{
-		s.Mix.Name, fmt.Sprint(s.Load), s.ReportLag.String(), fmt.Sprint(s.Kill), s.Policy,
+		s.Mix.Name, fmt.Sprint(s.Load), s.ReportLag.String(), fmt.Sprint(s.KillEngine), s.Policy,
 		ms(with.Quantile(Short, 0.5)), ms(with.Quantile(Short, 0.95)), ms(with.Quantile(Short, 0.99)), fmt.Sprintf("%.2f", slowdown),
-		seconds(with.Quantile(Long, 0.5)), seconds(with.Quantile(Long, 0.95)), seconds(with.Longest), fmt.Sprint(with.Lost),
+		seconds(with.Quantile(Long, 0.5)), seconds(with.Quantile(Long, 0.95)), seconds(with.MaxLongFirstToken), fmt.Sprint(with.Unanswered),
 	}
 }
--- a/node/internal/slownet/slownet.go
+++ b/node/internal/slownet/slownet.go
@@ -13,11 +13,11 @@
 	"github.com/go-faster/errors"
 )
 
-// segment is how many bytes of one connection go over a link before another's turn comes.
-const segment = 16 << 10
+// segmentSize is how many bytes of one connection go over a link before another's turn comes.
+const segmentSize = 16 << 10
 
-// Net is a network of hosts, by address.
-type Net struct {
+// Network is a network of hosts, by address.
+type Network struct {
 	// Delay is the one-way delay between any two hosts.
 	Delay time.Duration
 
@@ -27,54 +27,54 @@
 
 // Host is a host's end of its link.
 type Host struct {
-	net      *Net
+	network  *Network
 	address  string
-	in, out  way
+	in, out  linkDirection
 	accepted chan net.Conn
 	closed   chan struct{}
 	once     sync.Once
 }
 
-// way is one direction of a link.
-type way struct {
+// linkDirection is one direction of a link.
+type linkDirection struct {
 	bytesPerSecond float64
 
-	mu   sync.Mutex
-	free time.Time // when all that was handed over so far has gone
-	sent int64
+	mu        sync.Mutex
+	idleAt    time.Time // when all that was handed over so far has gone
+	bytesSent int64
 }
 
 // reserve returns when so many bytes will have gone over the link.
-func (w *way) reserve(bytes int) time.Time {
+func (w *linkDirection) reserve(bytes int) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	if w.free.Before(now) {
-		w.free = now
+	if w.idleAt.Before(now) {
+		w.idleAt = now
 	}
-	w.free = w.free.Add(time.Duration(float64(bytes) / w.bytesPerSecond * float64(time.Second)))
-	w.sent += int64(bytes)
-	return w.free
+	w.idleAt = w.idleAt.Add(time.Duration(float64(bytes) / w.bytesPerSecond * float64(time.Second)))
+	w.bytesSent += int64(bytes)
+	return w.idleAt
 }
 
 // Add adds a host with a link of so many bytes a second.
-func (n *Net) Add(address string, bytesPerSecond float64) *Host {
+func (n *Network) AddHost(address string, bytesPerSecond float64) *Host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.hosts == nil {
 		n.hosts = map[string]*Host{}
 	}
-	h := &Host{net: n, address: address, accepted: make(chan net.Conn), closed: make(chan struct{})}
+	h := &Host{network: n, address: address, accepted: make(chan net.Conn), closed: make(chan struct{})}
 	h.in.bytesPerSecond, h.out.bytesPerSecond = bytesPerSecond, bytesPerSecond
 	n.hosts[address] = h
 	return h
 }
 
 // Sent is how many bytes the host has sent.
-func (h *Host) Sent() int64 {
+func (h *Host) BytesSent() int64 {
 	h.out.mu.Lock()
 	defer h.out.mu.Unlock()
-	return h.out.sent
+	return h.out.bytesSent
 }
 
 // Client returns a client whose connections go over the host's link.
@@ -83,9 +83,9 @@
 }
 
 func (h *Host) dial(ctx context.Context, _, address string) (net.Conn, error) {
-	h.net.mu.Lock()
-	to := h.net.hosts[address]
-	h.net.mu.Unlock()
+	h.network.mu.Lock()
+	to := h.network.hosts[address]
+	h.network.mu.Unlock()
 	if to == nil {
 		return nil, errors.New("there is no host at " + address)
 	}
@@ -117,12 +117,12 @@
 }
 
 // Addr implements net.Listener.
-func (h *Host) Addr() net.Addr { return address(h.address) }
+func (h *Host) Addr() net.Addr { return hostAddr(h.address) }
 
-type address string
+type hostAddr string
 
-func (address) Network() string  { return "tcp" }
-func (a address) String() string { return string(a) }
+func (hostAddr) Network() string  { return "tcp" }
+func (a hostAddr) String() string { return string(a) }
 
 // conn is one side of a connection.
 type conn struct {
@@ -140,12 +140,12 @@
 func (c *conn) Write(p []byte) (int, error) {
 	done := 0
 	for done < len(p) {
-		next := p[done:min(len(p), done+segment)]
+		next := p[done:min(len(p), done+segmentSize)]
 		through := c.from.out.reserve(len(next))
 		if in := c.to.in.reserve(len(next)); in.After(through) {
 			through = in
 		}
-		if !c.wait(through.Add(c.from.net.Delay)) {
+		if !c.waitUntil(through.Add(c.from.network.Delay)) {
 			return done, net.ErrClosed
 		}
 		n, err := c.Conn.Write(next)
@@ -158,7 +158,7 @@
 }
 
 // wait waits until a time and tells whether the connection is still open.
-func (c *conn) wait(until time.Time) bool {
+func (c *conn) waitUntil(until time.Time) bool {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
 	select {
--- a/node/internal/testaddr/testaddr.go
+++ b/node/internal/testaddr/testaddr.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// given are the addresses that this process has handed out. The system may give a port
+// handedOut are the addresses that this process has handed out. The system may give a port
 // again as soon as it is closed.
 var (
-	mu    sync.Mutex
-	given = map[string]bool{}
+	mu        sync.Mutex
+	handedOut = map[string]bool{}
 )
 
 // Free returns a free HOST:PORT of a loopback address that only this process uses, and
@@ -32,19 +32,19 @@
 	mu.Lock()
 	defer mu.Unlock()
 	for {
-		addr, err := find()
+		addr, err := findPort()
 		if err != nil {
 			return "", err
 		}
-		if !given[addr] {
-			given[addr] = true
+		if !handedOut[addr] {
+			handedOut[addr] = true
 			return addr, nil
 		}
 	}
 }
 
-// find asks the system for a free port.
-func find() (string, error) {
+// findPort asks the system for a free port.
+func findPort() (string, error) {
 	pid := os.Getpid()
 	own := net.IPv4(127, byte(1+pid>>16), byte(pid>>8), byte(pid))
 	l, err := net.Listen("tcp", net.JoinHostPort(own.String(), "0"))
--- a/node/internal/testaddr/testaddr_test.go
+++ b/node/internal/testaddr/testaddr_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestNeverTwice: the system gives a port again soon after it was closed, and two daemons
+// TestFreeNeverRepeatsAddress: the system gives a port again soon after it was closed, and two daemons
 // of one test got the same one.
-func TestNeverTwice(t *testing.T) {
+func TestFreeNeverRepeatsAddress(t *testing.T) {
 	seen := map[string]bool{}
 	for range 2000 {
 		addr := Free(t)
--- a/node/internal/testlog/testlog.go
+++ b/node/internal/testlog/testlog.go
@@ -8,20 +8,20 @@
 
 // Buffer is a log that several goroutines write to.
 type Buffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+	mu  sync.Mutex
+	buf bytes.Buffer
 }
 
 // Write implements io.Writer.
 func (b *Buffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.b.Write(p)
+	return b.buf.Write(p)
 }
 
 // String is all that was written.
 func (b *Buffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.b.String()
+	return b.buf.String()
 }
--- a/node/internal/vtime/vtime.go
+++ b/node/internal/vtime/vtime.go
@@ -11,14 +11,14 @@
 // the order in which they were added, so that a run depends on its seed alone. The zero value
 // is empty.
 type Queue struct {
-	events events
-	order  int
+	events       events
+	lastSequence int
 }
 
 // At adds an event.
-func (q *Queue) At(at time.Duration, do func()) {
-	q.order++
-	heap.Push(&q.events, event{at, q.order, do})
+func (q *Queue) Schedule(at time.Duration, do func()) {
+	q.lastSequence++
+	heap.Push(&q.events, event{at, q.lastSequence, do})
 }
 
 // Next takes the first event out; ok is false where there is none.
@@ -27,13 +27,13 @@
 		return 0, nil, false
 	}
 	e := heap.Pop(&q.events).(event)
-	return e.at, e.do, true
+	return e.at, e.run, true
 }
 
 type event struct {
-	at    time.Duration
-	order int
-	do    func()
+	at       time.Duration
+	sequence int
+	run      func()
 }
 
 // events implements heap.Interface.
@@ -41,7 +41,7 @@
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(e[i].at, e[j].at), cmp.Compare(e[i].order, e[j].order)) < 0
+	return cmp.Or(cmp.Compare(e[i].at, e[j].at), cmp.Compare(e[i].sequence, e[j].sequence)) < 0
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
--- a/node/internal/vtime/vtime_test.go
+++ b/node/internal/vtime/vtime_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// TestEventsComeInOrder: by time, and at one time as they were added.
-func TestEventsComeInOrder(t *testing.T) {
+// TestNextReturnsEventsInOrder: by time, and at one time as they were added.
+func TestNextReturnsEventsInOrder(t *testing.T) {
 	var q Queue
 	var got []int
 	for i, at := range []time.Duration{3, 1, 2, 1} {
-		q.At(at, func() { got = append(got, i) })
+		q.Schedule(at, func() { got = append(got, i) })
 	}
 	last := time.Duration(0)
 	for {
--- a/node/onplatform/herd_test.go
+++ b/node/onplatform/herd_test.go
@@ -142,7 +142,7 @@
 		f := startSpreadFleet(t, 4, 0, 0)
 		defer f.close()
 		pass(5 * time.Second)
-		leaver := f.network.Add("10.0.1.1:8229", strongLink)
+		leaver := f.network.AddHost("10.0.1.1:8229", strongLink)
 		hub := peer.NewHub("leaver", []string{fleetKey}, telemetry.NewMetrics())
 		hub.SetHTTPClient(leaver.Client())
 		for _, name := range []string{"first", "second"} {
--- a/node/onplatform/spread_test.go
+++ b/node/onplatform/spread_test.go
@@ -60,7 +60,7 @@
 	daemons []*spreadDaemon
 	parsed  sync.Map // trees by the number of parts: all daemons of the test may share one
 	dead    *deadLines
-	network *slownet.Net
+	network *slownet.Network
 	stop    []func()
 }
 
@@ -99,7 +99,7 @@
 // startSpreadFleet starts a fleet of so many strong and weak hosts, one after the other in an
 // order of their names' hashes, over so much time.
 func startSpreadFleet(t *testing.T, strong, weak int, over time.Duration) *spreadFleet {
-	f := &spreadFleet{t: t, dead: &deadLines{Handler: slog.DiscardHandler}, network: &slownet.Net{Delay: time.Millisecond}}
+	f := &spreadFleet{t: t, dead: &deadLines{Handler: slog.DiscardHandler}, network: &slownet.Network{Delay: time.Millisecond}}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	for i := range strong + weak {
@@ -145,7 +145,7 @@
 	}
 	d := &spreadDaemon{name: fmt.Sprint("edge-", i), centre: fmt.Sprint("dc", i%3)}
 	address := fmt.Sprintf("10.0.0.%d:8229", i)
-	d.host = f.network.Add(address, link)
+	d.host = f.network.AddHost(address, link)
 	d.board = blackboard.New(blackboard.Identity{
 		Name: d.name, Incarnation: 1, DataCentre: d.centre, Region: "r", PeerAddress: address, Cores: cores,
 	}, blackboard.DefaultLimits())
@@ -261,7 +261,7 @@
 func (f *spreadFleet) sent() int64 {
 	sum := int64(0)
 	for _, d := range f.daemons {
-		sum += d.host.Sent()
+		sum += d.host.BytesSent()
 	}
 	return sum
 }
--- a/node/peer/large_answer_test.go
+++ b/node/peer/large_answer_test.go
@@ -37,9 +37,9 @@
 // newLargeAnswerFixture starts a sender whose answers to KindSettingsChanges have size bytes, and
 // the given number of peers.
 func newLargeAnswerFixture(peers, size int) *largeAnswerFixture {
-	network := &slownet.Net{Delay: time.Millisecond}
+	network := &slownet.Network{Delay: time.Millisecond}
 	f := &largeAnswerFixture{address: Address{Name: "sender", Address: "10.0.0.1:1"}}
-	f.host = network.Add(f.address.Address, linkBytesPerSecond)
+	f.host = network.AddHost(f.address.Address, linkBytesPerSecond)
 	f.sender = NewHub("sender", []string{oldKey}, telemetry.NewMetrics())
 	f.sender.Handle(KindSettingsChanges, func(context.Context, string, cbor.RawMessage) (any, error) { return make([]byte, size), nil })
 	f.sender.Handle(KindExplain, func(context.Context, string, cbor.RawMessage) (any, error) { return "here", nil })
@@ -48,7 +48,7 @@
 	serving.Go(func() { _ = server.Serve(f.host) })
 	for i := range peers {
 		hub := NewHub(fmt.Sprint("peer", i), []string{oldKey}, telemetry.NewMetrics())
-		hub.SetHTTPClient(network.Add(fmt.Sprintf("10.0.0.%d:1", i+2), linkBytesPerSecond).Client())
+		hub.SetHTTPClient(network.AddHost(fmt.Sprintf("10.0.0.%d:1", i+2), linkBytesPerSecond).Client())
 		f.peers = append(f.peers, hub)
 	}
 	f.close = func() {
@@ -81,7 +81,7 @@
 			})
 		}
 		calls.Wait()
-		if sent := f.host.Sent(); sent > peers*answerBytes*11/10 {
+		if sent := f.host.BytesSent(); sent > peers*answerBytes*11/10 {
 			t.Errorf("sender sent %d bytes, want at most %d for %d answers of %d bytes", sent, peers*answerBytes*11/10, peers, answerBytes)
 		}
 		for _, hub := range f.peers {
