--- a/node/internal/coordbench/coordbench_test.go
+++ b/node/internal/coordbench/coordbench_test.go
@@ -9,9 +9,9 @@
 )
 
 var (
-	tableLength = flag.Duration("coord.length", 0, "virtual time of each play of the table; none is played without")
-	seedCount   = flag.Int("coord.seeds", 3, "plays of each row of the table")
-	engineCount = flag.Int("coord.engines", 150, "engines of the pool")
+	tableLength = flag.Duration("coord.length", 0, "virtual time of each simulation of the table; zero skips the table")
+	seedCount   = flag.Int("coord.seeds", 3, "simulations per row of the table")
+	engineCount = flag.Int("coord.engines", 150, "number of engines in the pool")
 )
 
 func simulate(t *testing.T, s Setup) *Result {
@@ -23,47 +23,48 @@
 	return r
 }
 
-// TestSimulateIsDeterminedBySeed is what makes two plays comparable.
+// TestSimulateIsDeterminedBySeed guards the comparison of simulations: a result that depended on
+// anything but the setup and its seed could not be compared with another.
 func TestSimulateIsDeterminedBySeed(t *testing.T) {
 	s := Setup{Workload: Spacious(), Engines: 20, DataCentres: 5, Coordinators: 2, Choice: BetterOfTwo, Load: 1, MoveCallers: true, Duration: 6 * time.Second, Seed: 3}
 	if first, second := simulate(t, s), simulate(t, s); !reflect.DeepEqual(first, second) {
-		t.Errorf("two plays differ:\n%+v\n%+v", first, second)
+		t.Errorf("Simulate with the same seed gave different results:\n%+v\n%+v", first, second)
 	}
 }
 
 // TestCoordinationTable prints the table of docs/design/coordination.md.
 func TestCoordinationTable(t *testing.T) {
 	if *tableLength == 0 {
-		t.Log("give -coord.length to play it")
+		t.Log("table skipped; set -coord.length to print it")
 		return
 	}
 	for _, move := range []bool{false, true} {
 		for _, load := range []float64{1, 1.3} {
 			for _, row := range []struct {
-				parts  int
-				choice Choice
+				coordinators int
+				choice       Choice
 			}{{1, HomeDataCentre}, {2, HomeDataCentre}, {2, BetterOfTwo}, {3, BetterOfTwo}, {5, HomeDataCentre}, {5, Random}, {5, BetterOfTwo}, {5, LeastLoaded}, {10, BetterOfTwo}} {
-				s := Setup{Workload: Spacious(), Engines: *engineCount, DataCentres: 5, Coordinators: row.parts, Choice: row.choice, Load: load, MoveCallers: move, Duration: *tableLength}
+				s := Setup{Workload: Spacious(), Engines: *engineCount, DataCentres: 5, Coordinators: row.coordinators, Choice: row.choice, Load: load, MoveCallers: move, Duration: *tableLength}
 				t.Log(tableRow(t, s))
 			}
 		}
 	}
 }
 
-// tableRow plays a setup with each seed.
+// tableRow simulates a setup with each seed and returns a row of the table.
 func tableRow(t *testing.T, s Setup) string {
-	worth, least, most := 0.0, 1.0, 0.0
+	share, least, most := 0.0, 1.0, 0.0
 	sum := map[string]ClassResult{}
 	for i := range *seedCount {
 		s.Seed = uint64(i + 1)
 		r := simulate(t, s)
-		worth += r.ValueShare / float64(*seedCount)
+		share += r.ValueShare / float64(*seedCount)
 		least, most = min(least, r.ValueShare), max(most, r.ValueShare)
 		for name, c := range r.Classes {
 			sum[name] = sum[name].plus(c)
 		}
 	}
-	text := fmt.Sprintf("move %v load %.1f parts %d %-5s worth %.3f (%.3f to %.3f)", s.MoveCallers, s.Load, s.Coordinators, s.Choice, worth, least, most)
+	text := fmt.Sprintf("callers move %v, load %.1f, coordinators %d, choice %-5s: value share %.3f (%.3f to %.3f)", s.MoveCallers, s.Load, s.Coordinators, s.Choice, share, least, most)
 	for i := range s.Workload.Classes {
 		name := s.Workload.Classes[i].Name
 		k := sum[name]
@@ -73,31 +74,31 @@
 	return text
 }
 
-// TestTwoCoordinatorsServeAsMuchAsOne: with the less loaded of two asked, two coordinators of 30
-// engines serve as much as one of 60, also where half of the callers move to one data centre.
-// Where each daemon asks its own data centre's alone, that costs more than 0.03: one part's engines
-// cannot read the long prompts of three quarters of the callers.
+// TestTwoCoordinatorsServeAsMuchAsOne checks that two coordinators with 30 engines each serve as much
+// as one with 60 if daemons choose the less loaded of two, also when half of the callers move to one
+// data centre. If each daemon uses only the coordinator of its own data centre, the loss exceeds 0.03,
+// because 30 engines cannot prefill the long prompts of three quarters of the callers.
 func TestTwoCoordinatorsServeAsMuchAsOne(t *testing.T) {
-	const plays, load = 3, 1.15 // A little over the workload's own, so that engines are short where callers are.
-	worth := func(parts int, choice Choice) float64 {
+	const seeds, load = 3, 1.15 // A little above the workload's own load, so that engines are short in the data centre that callers move to.
+	share := func(coordinators int, choice Choice) float64 {
 		sum := 0.0
-		for seed := range plays {
+		for seed := range seeds {
 			sum += simulate(t, Setup{
-				Workload: Spacious(), Engines: 60, DataCentres: 2, Coordinators: parts, Choice: choice,
+				Workload: Spacious(), Engines: 60, DataCentres: 2, Coordinators: coordinators, Choice: choice,
 				Load: load, MoveCallers: true, Duration: 20 * time.Second, Seed: uint64(seed + 1),
 			}).ValueShare
 		}
-		return sum / plays
+		return sum / seeds
 	}
-	one, two, home := worth(1, HomeDataCentre), worth(2, BetterOfTwo), worth(2, HomeDataCentre)
-	t.Logf("worth: one coordinator %.3f, two of which the less loaded is asked %.3f, own data centre's %.3f", one, two, home)
+	one, two, home := share(1, HomeDataCentre), share(2, BetterOfTwo), share(2, HomeDataCentre)
+	t.Logf("value share: one coordinator %.3f, better of two %.3f, own data centre's of two %.3f", one, two, home)
 	if one < 0.9 {
-		t.Errorf("one coordinator serves %.3f of what is owed: the play is not the users' load", one)
+		t.Errorf("value share of one coordinator is %.3f, want at least 0.9: the simulated load does not match the users' load", one)
 	}
 	if two < one-0.03 {
-		t.Errorf("two coordinators serve %.3f, one %.3f", two, one)
+		t.Errorf("value share of two coordinators is %.3f, want at most 0.03 below the %.3f of one", two, one)
 	}
 	if home > one-0.03 {
-		t.Errorf("asking the own data centre alone serves %.3f, one coordinator %.3f: callers did not move", home, one)
+		t.Errorf("value share with the own data centre's coordinator is %.3f, want at least 0.03 below the %.3f of one coordinator: callers did not move", home, one)
 	}
 }
--- a/node/internal/coordbench/engine.go
+++ b/node/internal/coordbench/engine.go
@@ -1,11 +1,12 @@
-// Package coordbench plays a pool of model engines in virtual time, whose calls are placed by
-// one coordinator that knows all engines, or by several that know a part of them each. Queue
-// and placement are the daemon's own (blackboard, core/routing); engines and callers are
-// played. The same seed gives the same figures.
+// Package coordbench simulates a pool of model engines in virtual time, whose calls are placed by
+// one coordinator that knows all engines, or by several that each know a part of them. Queueing
+// and placement are the daemon's own code (blackboard, core/routing); engines and callers are
+// simulated. The same seed gives the same results.
 //
-// It answers what a pool's callers lose when several daemons coordinate it, and how a caller's
-// daemon should choose among them. What several coordinators save in processor and bytes is
-// measured elsewhere (docs/CAPACITY.md).
+// The simulation measures how much worse a pool's calls are served when several daemons coordinate
+// the pool, and compares the ways in which a daemon can choose among the coordinators. The
+// processor time and bandwidth that several coordinators save are measured elsewhere
+// (docs/CAPACITY.md).
 package coordbench
 
 import (
@@ -14,30 +15,30 @@
 	"doorstack.dev/core/engine"
 )
 
-// simEngine is an engine that works in passes, as the package engine describes them: a pass
-// with writers has Stride steps, each of which may read a chunk of prompts besides, and one
-// without writers has a single step.
+// simEngine simulates an engine that works in passes, as package engine describes them: a pass
+// with decoding requests has Timing.StepsPerPass steps, each of which may also prefill a chunk of
+// prompt tokens; a pass without them has a single step.
 type simEngine struct {
 	timing *engine.Timing
-	// chunk is the most prompt tokens that a step reads.
+	// chunkTokens is the maximum number of prompt tokens that a step prefills.
 	chunkTokens int64
-	// parts are what it has to read, the first of them now: parts of prompts that several
-	// engines read go before whole prompts, and the newest of them first.
+	// parts are the pending prefills, in order: parts of split prompts go before whole prompts,
+	// the newest first.
 	parts    []*promptPart
 	decoding []*call
 	busy     bool
 }
 
-// promptPart is what an engine reads of a prompt.
+// promptPart is the part of a prompt that one engine prefills.
 type promptPart struct {
 	call   *call
 	tokens int64
-	// perToken is the time to read a token of it, in seconds.
+	// secondsPerToken is the time to prefill a token of the part.
 	secondsPerToken float64
-	split           bool
+	split           bool // whether several engines prefill the prompt
 }
 
-// give adds a part to what is to be read.
+// addPart adds a part to the pending prefills.
 func (e *simEngine) addPart(p *promptPart) {
 	if p.split {
 		e.parts = append([]*promptPart{p}, e.parts...)
@@ -46,10 +47,10 @@
 	e.parts = append(e.parts, p)
 }
 
-// pass works out the next pass: how long it takes and which parts it reads to their ends. It
-// is zero where there is nothing to do. A prompt that a pass with writers has read to its end
-// writes in the same pass.
-func (e *simEngine) nextPass() (length time.Duration, read []*promptPart) {
+// nextPass returns the length of the next pass and the parts whose prefill it completes. The
+// length is zero if there is nothing to do. A prompt whose prefill completes in a pass with decoding
+// requests has its first event at the end of the same pass.
+func (e *simEngine) nextPass() (length time.Duration, prefilled []*promptPart) {
 	if len(e.decoding) == 0 && len(e.parts) == 0 {
 		return 0, nil
 	}
@@ -69,8 +70,8 @@
 		budget -= n
 		if p.tokens == 0 {
 			e.parts = e.parts[1:]
-			read = append(read, p)
+			prefilled = append(prefilled, p)
 		}
 	}
-	return engine.Duration(seconds), read
+	return engine.Duration(seconds), prefilled
 }
--- a/node/internal/coordbench/overload_test.go
+++ b/node/internal/coordbench/overload_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// TestOverloadedPoolRefusesBeforeCallersLeave: at 1.4 times the load that the engines can read, callers whose prompts find no
-// room are told so before they leave: of three plays of 30 s with a swing to audits none of these
-// callers left without a word.
+// TestOverloadedPoolRefusesBeforeCallersLeave checks that, at 1.4 times the load that the engines can
+// prefill, audits that cannot be placed are refused before their callers give up: none of the callers
+// abandons its call in three simulations of 30 s, including the periods of many audits.
 func TestOverloadedPoolRefusesBeforeCallersLeave(t *testing.T) {
 	_, _, classes := simulateSeeds(t, &workloadCase{"overload", Dense(), 20, 1.4}, 30*time.Second, 3)
 	audits := classes["audit"]
 	if audits.Refused == 0 {
-		t.Error("no audit is refused: the play is no overload")
+		t.Error("no audit was refused: the simulated load is no overload")
 	}
 	if audits.Abandoned > 0 {
-		t.Errorf("%d of %d audits' callers left without a word", audits.Abandoned, audits.Calls)
+		t.Errorf("%d of %d audits were abandoned without a refusal, want 0", audits.Abandoned, audits.Calls)
 	}
 }
--- a/node/internal/coordbench/result.go
+++ b/node/internal/coordbench/result.go
@@ -2,25 +2,31 @@
 
 import "time"
 
-// Result is what a play gave, by class and in all.
+// Result is the outcome of a simulation.
 type Result struct {
-	// Worth is the part of what was owed that was earned.
+	// ValueShare is the earned share of the value of all calls.
 	ValueShare float64
-	// Worst is the same of the worst span of windowLength.
+	// WorstWindow is the lowest such share of the calls that arrived in one window of
+	// windowLength.
 	WorstWindow float64
-	Classes     map[string]ClassResult
+	// Classes are the outcomes by name of the class.
+	Classes map[string]ClassResult
 }
 
 // ClassResult is the outcome of the calls of one class.
 type ClassResult struct {
+	// Calls counts all calls. Refused includes those without a complete answer at the end of
+	// the simulation.
 	Calls, OnTime, Late, Refused int
-	// Paused are those of the late ones that are late by a pause alone, and Deserted those
-	// whose callers left.
-	LateByGap, Abandoned      int
+	// LateByGap counts the late calls that missed only their gap goal, and Abandoned those
+	// whose callers disconnected.
+	LateByGap, Abandoned int
+	// OfferedValue is the value of all calls, and EarnedValue that of the answered ones, where
+	// late answers count with lateValueShare.
 	OfferedValue, EarnedValue float64
 }
 
-// plus adds the outcome of another play.
+// plus returns the sum of two outcomes.
 func (k ClassResult) plus(o ClassResult) ClassResult {
 	return ClassResult{
 		Calls: k.Calls + o.Calls, OnTime: k.OnTime + o.OnTime, Late: k.Late + o.Late, Refused: k.Refused + o.Refused,
@@ -28,24 +34,24 @@
 	}
 }
 
-// windowLength is that of the spans of which the worst one is told.
+// windowLength is the length of the windows for Result.WorstWindow.
 const windowLength = 2 * time.Second
 
-// valueSum is a part of a play, for the worst one.
+// valueSum is the offered and the earned value of a set of calls.
 type valueSum struct{ offered, earned float64 }
 
-// result sums the calls up.
-func (f *simulation) summarize() *Result {
+// summarize returns the outcome of all calls.
+func (sim *simulation) summarize() *Result {
 	r := &Result{Classes: map[string]ClassResult{}, WorstWindow: 1}
-	all, spans := valueSum{}, make([]valueSum, int(f.setup.Duration/windowLength)+1)
-	for _, c := range f.calls {
+	all, windows := valueSum{}, make([]valueSum, int(sim.setup.Duration/windowLength)+1)
+	for _, c := range sim.calls {
 		outcome := c.outcome()
 		r.Classes[c.class.Name] = r.Classes[c.class.Name].plus(outcome)
 		all.add(&outcome)
-		spans[int(c.arrival/windowLength)].add(&outcome)
+		windows[int(c.arrival/windowLength)].add(&outcome)
 	}
 	r.ValueShare = all.earned / all.offered
-	for _, s := range spans {
+	for _, s := range windows {
 		if s.offered > 0 {
 			r.WorstWindow = min(r.WorstWindow, s.earned/s.offered)
 		}
@@ -58,7 +64,7 @@
 	s.earned += k.EarnedValue
 }
 
-// outcome is what became of a call.
+// outcome returns the outcome of a single call.
 func (c *call) outcome() ClassResult {
 	k := ClassResult{Calls: 1, OfferedValue: c.value}
 	switch {
--- a/node/internal/coordbench/workloads.go
+++ b/node/internal/coordbench/workloads.go
@@ -7,27 +7,29 @@
 	"doorstack.dev/core/settings"
 )
 
-// EngineKind is what is published of the engines of a pool.
+// EngineKind describes the engines of a pool, in the units of the settings.
 type EngineKind struct {
-	// Memory is in tokens, Slots the requests that an engine works on at one time.
+	// MemoryTokens is the memory in tokens, Slots the maximum number of concurrent requests.
 	MemoryTokens, Slots int64
-	// ReadPerMS is the prompt tokens read in a millisecond, and PairsMS the milliseconds for a
-	// million pairs of a token and one before it.
+	// PrefillTokensPerMS is the number of prompt tokens prefilled in a millisecond, and
+	// PairsMSPerM the milliseconds added for a million pairs of a prompt token and a token
+	// before it.
 	PrefillTokensPerMS, PairsMSPerM float64
-	// StepMS is the time of a step, SequenceMS what each request that writes adds to it, and
-	// ContextMS what a thousand tokens of context add.
+	// StepMS is the time of a step, PerSequenceMS the time that each decoding request adds to
+	// it, and ContextMSPerK the time that a thousand tokens of their contexts add.
 	StepMS, PerSequenceMS, ContextMSPerK float64
-	// Stride is the number of steps of a pass, and Chunk the most tokens that a step reads.
+	// StepsPerPass is the number of steps of a pass, and ChunkTokens the maximum number of
+	// prompt tokens that a step prefills.
 	StepsPerPass, ChunkTokens int64
 }
 
-// Workload is the engines of a pool and the calls that they serve.
+// Workload describes the engines of a pool and the calls that they serve.
 type Workload struct {
 	Engine  EngineKind
 	Classes []CallClass
 }
 
-// settings writes the workload's pool as settings.
+// settings returns a settings tree with the workload's pool, named llm.
 func (w *Workload) settings() (*settings.Tree, error) {
 	e := &w.Engine
 	return settings.Parse(fmt.Appendf(nil, `
@@ -43,8 +45,8 @@
 `, e.MemoryTokens, 1000*e.PrefillTokensPerMS, e.Slots, e.StepMS, e.PerSequenceMS, e.ContextMSPerK, e.PairsMSPerM, e.StepsPerPass))
 }
 
-// Spacious is a load whose engines have room: audits fit into the memory of one engine, and events
-// are of 80 tokens.
+// Spacious returns a workload for engines with ample memory: an audit fits into the memory of one
+// engine. An event has 80 tokens.
 func Spacious() *Workload {
 	return &Workload{
 		Engine: EngineKind{
@@ -71,8 +73,8 @@
 	}
 }
 
-// Dense is a load of many audits for engines with little memory: a mean one fills an engine, and
-// the longest are three times as long.
+// Dense returns a workload of many audits for engines with little memory: an audit of mean length
+// fills an engine, and the longest audits are three times as long.
 func Dense() *Workload {
 	return &Workload{
 		Engine: EngineKind{
@@ -99,8 +101,8 @@
 	}
 }
 
-// ShortGapGoals is Dense with chats whose callers bear pauses of 110 ms, and reviews that are due in
-// 0.9 s.
+// ShortGapGoals returns Dense with a gap goal of 110 ms for chats and a first-event goal of 0.9 s for
+// reviews.
 func ShortGapGoals() *Workload {
 	w := Dense()
 	w.Classes[0].GapGoal = 110 * time.Millisecond
@@ -108,7 +110,7 @@
 	return w
 }
 
-// ManySlots is Dense with engines of 24 slots that read slowly and make short events.
+// ManySlots returns Dense with engines that have 24 slots, slow prefill and short events.
 func ManySlots() *Workload {
 	w := Dense()
 	longer := 48.0 / 14
@@ -120,7 +122,7 @@
 	return w
 }
 
-// FewSlots is Dense with engines of 6 slots that read fast, and with short answers.
+// FewSlots returns Dense with engines that have 6 slots and fast prefill, and with short answers.
 func FewSlots() *Workload {
 	w := Dense()
 	w.Engine.Slots, w.Engine.StepsPerPass, w.Engine.PrefillTokensPerMS = 6, 7, 300
@@ -130,7 +132,7 @@
 	return w
 }
 
-// SmallPool is a load for a small pool of engines with more memory and more slots than Dense has.
+// SmallPool returns a workload for a small pool of engines with more memory and slots than Dense's.
 func SmallPool() *Workload {
 	w := Dense()
 	w.Engine = EngineKind{
--- a/node/internal/coordbench/workloads_test.go
+++ b/node/internal/coordbench/workloads_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-var workloadLength = flag.Duration("coord.own", 0, "virtual time of each play of the own workloads; none is played without")
+var workloadLength = flag.Duration("coord.own", 0, "virtual time of each simulation of the workload table; zero skips the table")
 
-// workloadCase is a workload before a pool of some size.
+// workloadCase is a workload with the size of its pool and the offered load.
 type workloadCase struct {
 	name     string
 	workload *Workload
@@ -29,8 +29,9 @@
 	{"spacious", Spacious(), 150, 1},
 }
 
-// simulateSeeds plays a workload with several seeds and returns the mean worth and the classes' sums.
-func simulateSeeds(t *testing.T, o *workloadCase, length time.Duration, count int) (worth, worst float64, classes map[string]ClassResult) {
+// simulateSeeds simulates a workload with count seeds. It returns the mean value share, the mean of
+// the worst windows' shares and the sums of the classes' outcomes.
+func simulateSeeds(t *testing.T, o *workloadCase, length time.Duration, count int) (share, worst float64, classes map[string]ClassResult) {
 	t.Helper()
 	classes = map[string]ClassResult{}
 	for seed := range count {
@@ -38,31 +39,31 @@
 			Workload: o.workload, Engines: o.engines, DataCentres: 3, Coordinators: 1, Choice: HomeDataCentre,
 			Load: o.load, Duration: length, Seed: uint64(seed + 1),
 		})
-		worth += r.ValueShare / float64(count)
+		share += r.ValueShare / float64(count)
 		worst += r.WorstWindow / float64(count)
 		for name, c := range r.Classes {
 			classes[name] = classes[name].plus(c)
 		}
 	}
-	return worth, worst, classes
+	return share, worst, classes
 }
 
 // TestWorkloadTable prints the table of docs/design/shifted-load.md.
 func TestWorkloadTable(t *testing.T) {
 	if *workloadLength == 0 {
-		t.Log("give -coord.own to play them")
+		t.Log("table skipped; set -coord.own to print it")
 		return
 	}
 	for _, o := range workloadCases {
 		t.Run(o.name, func(t *testing.T) {
 			t.Parallel()
-			worth, worst, classes := simulateSeeds(t, &o, *workloadLength, *seedCount)
-			text := []string{fmt.Sprintf("worth %.3f, worst two seconds %.3f", worth, worst)}
+			share, worst, classes := simulateSeeds(t, &o, *workloadLength, *seedCount)
+			text := []string{fmt.Sprintf("value share %.3f, worst two seconds %.3f", share, worst)}
 			for _, k := range o.workload.Classes {
 				c := classes[k.Name]
-				part := func(n int) float64 { return 100 * float64(n) / float64(c.Calls) }
-				text = append(text, fmt.Sprintf("%s %.3f: late %.1f (%.1f by a pause) refused %.1f left %.1f in 100",
-					k.Name, c.EarnedValue/c.OfferedValue, part(c.Late), part(c.LateByGap), part(c.Refused), part(c.Abandoned)))
+				percent := func(n int) float64 { return 100 * float64(n) / float64(c.Calls) }
+				text = append(text, fmt.Sprintf("%s %.3f: late %.1f%% (%.1f%% by a gap only), refused %.1f%%, abandoned %.1f%%",
+					k.Name, c.EarnedValue/c.OfferedValue, percent(c.Late), percent(c.LateByGap), percent(c.Refused), percent(c.Abandoned)))
 			}
 			t.Log(strings.Join(text, "; "))
 		})
