--- a/node/internal/policybench/policy.go
+++ b/node/internal/policybench/policy.go
@@ -14,13 +14,14 @@
 	"doorstack.dev/node/target"
 )
 
-// policy places requests of one daemon.
+// policy decides for one daemon which engine gets a request, and when. It is informed of what the
+// daemon observes.
 type policy interface {
-	// offer takes a request that has arrived.
+	// enqueue accepts a request that has arrived, or that failed at an engine.
 	enqueue(r *request)
-	// place returns the requests that go to an engine now.
+	// place returns the requests that are sent to an engine now.
 	place(now time.Time) []placement
-	// started, ended and report tell what the daemon sees.
+	// The methods below record the progress of placed requests and the state of engines.
 	recordFirstToken(r *request, now time.Time)
 	recordCompleted(r *request, now time.Time)
 	recordFailed(r *request, now time.Time)
@@ -29,20 +30,22 @@
 	recordMissedReport(engine int, now time.Time)
 }
 
-// placement is a request and its engine.
+// placement is a request and the engine it is sent to.
 type placement struct {
 	request *request
 	engine  int
 }
 
-// policyConstructor makes a policy of one daemon.
+// policyConstructor creates the policy of one daemon, given the daemon's index and the number of
+// engines.
 type policyConstructor func(daemon, engines int, tree *settings.Tree, seed uint64) policy
 
-// Policies are those compared, doorstack's own first.
+// Policies returns the names of the compared policies, doorstack's own first.
 func Policies() []string {
 	return []string{"doorstack", "round_robin", "fewest_in_flight", "two_choices", "prefix_only"}
 }
 
+// constructorOf returns the constructor of the policy with the given name.
 func constructorOf(name string) policyConstructor {
 	if name == "doorstack" {
 		return newDoorstackPolicy
@@ -56,8 +59,8 @@
 	}
 }
 
-// doorstackPolicy is doorstack's policy as it runs in a daemon: the queue and the targets of
-// its blackboard.
+// doorstackPolicy is doorstack's policy as it runs in a daemon, with the queue and the target table
+// of the daemon's blackboard.
 type doorstackPolicy struct {
 	board       *blackboard.Blackboard
 	pool        *settings.ResolvedPool
@@ -67,7 +70,7 @@
 }
 
 func newDoorstackPolicy(daemon, engines int, tree *settings.Tree, seed uint64) policy {
-	o := &doorstackPolicy{
+	p := &doorstackPolicy{
 		board:       blackboard.New(blackboard.Identity{Name: fmt.Sprint("d", daemon), DataCentre: "dc"}, blackboard.DefaultLimits()),
 		pool:        tree.Pool("llm"),
 		tickets:     map[int]*blackboard.Ticket{},
@@ -77,84 +80,85 @@
 	var hosts []hostlist.Host
 	for i := range engines {
 		name := fmt.Sprint("e", i)
-		o.engineIndex[name] = i
+		p.engineIndex[name] = i
 		hosts = append(hosts, hostlist.Host{ID: name, Role: hostlist.RoleTarget, Pool: "llm", DataCentre: "dc", State: hostlist.Live})
 	}
-	o.board.Targets.Sync(hosts, tree, time.Now())
-	return o
+	p.board.Targets.Sync(hosts, tree, time.Now())
+	return p
 }
 
-func (o *doorstackPolicy) attemptID(r *request) string { return fmt.Sprint("a", r.id) }
+func (p *doorstackPolicy) attemptID(r *request) string { return fmt.Sprint("a", r.id) }
 
-func (o *doorstackPolicy) enqueue(r *request) {
-	params := requestcontrol.RoutingParams(o.pool, o.board.Targets.Capacity("llm", time.Now()), daemonCount)
+func (p *doorstackPolicy) enqueue(r *request) {
+	params := requestcontrol.RoutingParams(p.pool, p.board.Targets.Capacity("llm", time.Now()), daemonCount)
 	ticket := &blackboard.Ticket{
-		Pool: o.pool, Params: params, Attempt: o.attemptID(r),
-		Holders: o.board.Prefixes.Lookup(r.prefixes),
-		Request: routing.Request{ID: fmt.Sprint(r.id), PromptTokens: r.promptTokens, OutputTokens: r.outputTokens, DataCentre: "dc", Seed: o.seed + uint64(r.id)},
+		Pool: p.pool, Params: params, Attempt: p.attemptID(r),
+		Holders: p.board.Prefixes.Lookup(r.prefixes),
+		Request: routing.Request{ID: fmt.Sprint(r.id), PromptTokens: r.promptTokens, OutputTokens: r.outputTokens, DataCentre: "dc", Seed: p.seed + uint64(r.id)},
 		Item: &admission.Item{
 			ID: fmt.Sprint(r.id), Account: fmt.Sprint(r.account), Level: r.level, Tokens: r.promptTokens,
 			Long: params.IsLong(r.promptTokens), Arrived: time.Now(),
 		},
 	}
-	o.tickets[r.id] = ticket
-	o.board.Queues.Push(ticket)
+	p.tickets[r.id] = ticket
+	p.board.Queues.Push(ticket)
 }
 
-func (o *doorstackPolicy) place(now time.Time) []placement {
-	if o.board.Queues.Dispatch("llm", o.board.Targets, now) == 0 {
+func (p *doorstackPolicy) place(now time.Time) []placement {
+	if p.board.Queues.Dispatch("llm", p.board.Targets, now) == 0 {
 		return nil
 	}
 	var list []placement
-	for id, ticket := range o.tickets {
+	for id, ticket := range p.tickets {
 		select {
-		case p := <-ticket.Placed():
-			delete(o.tickets, id)
-			list = append(list, placement{&request{id: id}, o.engineIndex[p.Decision.Chosen]})
+		case placed := <-ticket.Placed():
+			delete(p.tickets, id)
+			list = append(list, placement{&request{id: id}, p.engineIndex[placed.Decision.Chosen]})
 		default:
 		}
 	}
 	return list
 }
 
-func (o *doorstackPolicy) recordFirstToken(r *request, now time.Time) {
-	o.board.Targets.RecordPrefillDone(o.attemptID(r), now)
+func (p *doorstackPolicy) recordFirstToken(r *request, now time.Time) {
+	p.board.Targets.RecordPrefillDone(p.attemptID(r), now)
 }
 
-func (o *doorstackPolicy) recordCompleted(r *request, now time.Time) {
-	o.board.Targets.Finish(o.attemptID(r), blackboard.CallSucceeded, now)
+func (p *doorstackPolicy) recordCompleted(r *request, now time.Time) {
+	p.board.Targets.Finish(p.attemptID(r), blackboard.CallSucceeded, now)
 }
 
-func (o *doorstackPolicy) recordFailed(r *request, now time.Time) {
-	o.board.Targets.Finish(o.attemptID(r), blackboard.CallFailed, now)
+func (p *doorstackPolicy) recordFailed(r *request, now time.Time) {
+	p.board.Targets.Finish(p.attemptID(r), blackboard.CallFailed, now)
 }
 
-func (o *doorstackPolicy) recordReport(engine int, load target.LoadReport, now time.Time) {
-	o.board.Targets.RecordReport(fmt.Sprint("e", engine), load, now)
+func (p *doorstackPolicy) recordReport(engine int, load target.LoadReport, now time.Time) {
+	p.board.Targets.RecordReport(fmt.Sprint("e", engine), load, now)
 }
 
-func (o *doorstackPolicy) recordCacheEvents(engine int, events []target.CacheEvent) {
+func (p *doorstackPolicy) recordCacheEvents(engine int, events []target.CacheEvent) {
 	for _, e := range events {
-		o.board.Prefixes.Stored(fmt.Sprint("e", engine), e.Stored)
-		o.board.Prefixes.Evicted(fmt.Sprint("e", engine), e.Evicted)
+		p.board.Prefixes.Stored(fmt.Sprint("e", engine), e.Stored)
+		p.board.Prefixes.Evicted(fmt.Sprint("e", engine), e.Evicted)
 	}
 }
 
-func (o *doorstackPolicy) recordMissedReport(engine int, now time.Time) {
-	o.board.Targets.RecordMissedReport(fmt.Sprint("e", engine), now)
+func (p *doorstackPolicy) recordMissedReport(engine int, now time.Time) {
+	p.board.Targets.RecordMissedReport(fmt.Sprint("e", engine), now)
 }
 
-// baselinePolicy is a baseline: it sends every request on at once and lets engines queue.
+// baselinePolicy is one of the simple policies, chosen by name. It sends every request to an engine
+// at once, so that requests queue at the engines.
 type baselinePolicy struct {
 	name         string
 	engines      int
 	lastEngine   int
 	rng          *rand.Rand
 	inFlight     []int
-	othersLoad   []int
+	othersLoad   []int // requests of other daemons, by engine
 	unavailable  []bool
-	engineOf     map[int]int
-	prefixEngine map[uint64]int
+	engineOf     map[int]int    // by request ID
+	prefixEngine map[uint64]int // last engine that got the prefix
 	waiting      []*request
 }
 
@@ -175,6 +179,7 @@
 	return list
 }
 
+// load returns the number of requests at an engine, and a very large number for an unavailable one.
 func (s *baselinePolicy) load(engine int) int {
 	if s.unavailable[engine] {
 		return 1 << 30
@@ -182,6 +187,7 @@
 	return s.inFlight[engine] + s.othersLoad[engine]
 }
 
+// choose returns the engine for a request by the policy's rule.
 func (s *baselinePolicy) choose(r *request) int {
 	switch s.name {
 	case "fewest_in_flight":
@@ -224,7 +230,8 @@
 
 func (s *baselinePolicy) recordFailed(r *request, now time.Time) { s.recordCompleted(r, now) }
 
-// report takes over what the others run at an engine, as far as it shows.
+// recordReport estimates the load that other daemons put on an engine: the reported requests beyond
+// this daemon's own.
 func (s *baselinePolicy) recordReport(engine int, load target.LoadReport, _ time.Time) {
 	s.unavailable[engine] = false
 	s.othersLoad[engine] = max(0, load.Running+load.Waiting-s.inFlight[engine])
--- a/node/internal/policybench/policy_test.go
+++ b/node/internal/policybench/policy_test.go
@@ -16,9 +16,9 @@
 )
 
 var (
-	tableLength = flag.Duration("policy.length", 0, "virtual time of arrivals for the table; zero skips the table")
-	csvPath     = flag.String("policy.csv", "", "write the table to this file too")
-	loadList    = flag.String("policy.loads", "0.5,0.7,0.85,0.95", "offered loads")
+	tableLength = flag.Duration("policy.length", 0, "virtual time in which requests arrive for the table; zero skips the table")
+	csvPath     = flag.String("policy.csv", "", "file to which the table is also written, as CSV")
+	loadList    = flag.String("policy.loads", "0.5,0.7,0.85,0.95", "offered loads as shares of the engines' prefill capacity, separated by commas")
 )
 
 func parseSettings(t *testing.T, data []byte) *settings.Tree {
@@ -30,6 +30,7 @@
 	return tree
 }
 
+// runInBubble runs a setup in a synctest bubble.
 func runInBubble(t *testing.T, s Setup) *Result {
 	t.Helper()
 	var result *Result
@@ -37,16 +38,17 @@
 	return result
 }
 
-// TestRunIsDeterminedBySeed is what makes two runs comparable.
+// TestRunIsDeterminedBySeed guards the comparison of policies: a result that depended on anything but
+// the setup and its seed could not be compared with another.
 func TestRunIsDeterminedBySeed(t *testing.T) {
 	for _, policy := range Policies() {
 		s := Setup{Mix: Clara(), Policy: policy, Load: 0.7, Duration: 5 * time.Second, Seed: 7, Tree: parseSettings(t, examples.Clara), KillEngine: true}
 		first, second := runInBubble(t, s), runInBubble(t, s)
 		if fmt.Sprint(first.FirstToken) != fmt.Sprint(second.FirstToken) {
-			t.Errorf("%s: two runs differ", policy)
+			t.Errorf("%s: Run with the same seed gave different times to first token", policy)
 		}
 		if len(first.FirstToken[Short]) == 0 {
-			t.Errorf("%s: no request had a first token", policy)
+			t.Errorf("%s: Run gave no times to first token of short prompts, want some", policy)
 		}
 	}
 }
@@ -54,7 +56,7 @@
 // TestPolicyTable prints the table of docs/MEASUREMENTS.md.
 func TestPolicyTable(t *testing.T) {
 	if *tableLength == 0 {
-		t.Log("give -policy.length to measure")
+		t.Log("table skipped; set -policy.length to print it")
 		return
 	}
 	rows := [][]string{{"mix", "load", "lag", "kill", "policy", "short p50 ms", "short p95 ms", "short p99 ms", "slowdown p95", "long p50 s", "long p95 s", "longest s", "lost"}}
@@ -85,6 +87,7 @@
 	}
 }
 
+// parseLoads returns the loads of the flag -policy.loads.
 func parseLoads(t *testing.T) []float64 {
 	var list []float64
 	for _, text := range strings.Split(*loadList, ",") {
@@ -97,6 +100,7 @@
 	return list
 }
 
+// tableRow runs a setup with and without long prompts and returns a row of the table.
 func tableRow(t *testing.T, s Setup) []string {
 	with := runInBubble(t, s)
 	alone := s
--- a/node/internal/policybench/run.go
+++ b/node/internal/policybench/run.go
@@ -11,37 +11,37 @@
 	"doorstack.dev/node/internal/vtime"
 )
 
-// Setup is one measurement.
+// Setup holds the parameters of a run.
 type Setup struct {
 	Mix    Mix
 	Policy string
-	// Load is the offered work as a part of what the engines can read.
+	// Load is the offered load as a share of the engines' prefill capacity.
 	Load float64
-	// Length is the virtual time of arrivals.
+	// Duration is the virtual time in which requests arrive.
 	Duration time.Duration
 	Seed     uint64
 	// ReportLag is the age of load reports.
 	ReportLag time.Duration
-	// Kill ends an engine in the middle of the run.
+	// KillEngine reports whether an engine is killed halfway through Duration.
 	KillEngine bool
 	Tree       *settings.Tree
 }
 
-// engineCount is the number of engines: the users' pools of today.
+// engineCount is the number of engines, as in the users' present pools.
 const engineCount = 20
 
-// Result is what a measurement gave.
+// Result is the outcome of a run.
 type Result struct {
 	Setup Setup
-	// FirstToken holds the times to first token by length class, sorted.
+	// FirstToken holds the times to first token by class of prompt length, sorted.
 	FirstToken map[string][]time.Duration
-	// Lost requests had no first token at the end of the run.
+	// Unanswered is the number of requests without a first token at the end of the run.
 	Unanswered int
-	// Longest is the longest time to first token of a long prompt.
+	// MaxLongFirstToken is the longest time to first token of a long prompt.
 	MaxLongFirstToken time.Duration
 }
 
-// Quantile is a quantile of a class's times to first token.
+// Quantile returns the quantile q of a class's times to first token, and zero for an empty class.
 func (r *Result) Quantile(class string, q float64) time.Duration {
 	list := r.FirstToken[class]
 	if len(list) == 0 {
@@ -50,14 +50,14 @@
 	return list[min(len(list)-1, int(q*float64(len(list))))]
 }
 
-// The classes of length.
+// The classes of prompt length.
 const (
 	Short = "short"
 	Long  = "long"
 )
 
-// run is a measurement in progress. It works in the virtual time of a synctest
-// bubble, in one goroutine, so that nothing depends on scheduling.
+// run is the state of a run. It executes in the virtual time of a synctest bubble,
+// in one goroutine, so that nothing depends on scheduling.
 type run struct {
 	setup          Setup
 	start          time.Time
@@ -68,25 +68,27 @@
 	jobs           [][]*job
 	policies       []policy
 	requests       map[int]*request
-	lastCacheEvent [][]int64 // last cache event, by daemon and engine
+	lastCacheEvent [][]int64 // sequence number seen last, by daemon and engine
 }
 
+// job is a request submitted to an engine.
 type job struct {
 	request *request
 	running *standin.RunningJob
 }
 
-// The pace of the daemons in a run.
+// The daemons' intervals in a run.
 const (
 	reportInterval = 500 * time.Millisecond
 	placeInterval  = 50 * time.Millisecond
-	// tail is the time after the last arrival in which requests may still end.
+	// drainTime is the time after Setup.Duration in which requests may still complete.
 	drainTime = 120 * time.Second
-	// missedReports is how often a dead engine must be asked in vain.
+	// missedReports is the number of reports that a killed engine misses each time it is polled,
+	// as many as a daemon waits for before it takes a target for dead.
 	missedReports = 3
 )
 
-// Run measures. It must be called inside a synctest bubble.
+// Run runs a setup and returns its outcome. It must be called inside a synctest bubble.
 func Run(s Setup) *Result {
 	r := &run{setup: s, start: time.Now(), requests: map[int]*request{}}
 	cost := standin.DefaultCostModel()
@@ -107,15 +109,17 @@
 	return r.summarize()
 }
 
-// ratePrompt is the mean prompt of the whole mix, long ones included, so that a
-// mix without them has the same stream of short ones.
+// meanPromptWithLong returns the mean prompt length of the mix including long prompts,
+// so that a mix without them has the same stream of short prompts.
 func (m Mix) meanPromptWithLong() float64 {
 	m.LongShare = drawnLongShare
 	return m.meanPrompt()
 }
 
+// now returns the virtual time since the start of the run.
 func (r *run) now() time.Duration { return time.Since(r.start) }
 
+// schedule schedules the arrivals and the daemons' periodic work.
 func (r *run) schedule(requests []*request) {
 	for _, q := range requests {
 		r.requests[q.id] = q
@@ -134,7 +138,7 @@
 	}
 }
 
-// every repeats until the end of the run.
+// scheduleEvery schedules do at a time and then once each period, until the end of the run.
 func (r *run) scheduleEvery(at, period time.Duration, do func()) {
 	if at > r.setup.Duration+drainTime {
 		return
@@ -145,6 +149,7 @@
 	})
 }
 
+// runEvents executes events until the end of the run.
 func (r *run) runEvents() {
 	for {
 		at, do, ok := r.events.Next()
@@ -161,6 +166,7 @@
 	}
 }
 
+// place submits the requests that a daemon's policy places now, in order of their IDs.
 func (r *run) place(d int) {
 	list := r.policies[d].place(time.Now())
 	slices.SortFunc(list, func(a, b placement) int { return cmp.Compare(a.request.id, b.request.id) })
@@ -169,6 +175,7 @@
 	}
 }
 
+// submit sends a request to an engine; at a killed engine the request fails.
 func (r *run) submit(q *request, engine int) {
 	if r.killed[engine] {
 		r.failRequest(q)
@@ -184,7 +191,7 @@
 	}
 }
 
-// fail gives a request back to its daemon, which places it again.
+// failRequest returns a failed request to its daemon, which places it again.
 func (r *run) failRequest(q *request) {
 	p := r.policies[q.daemon]
 	p.recordFailed(q, time.Now())
@@ -194,6 +201,7 @@
 	})
 }
 
+// killEngine ends an engine, and all its requests fail.
 func (r *run) killEngine(engine int) {
 	r.killed[engine] = true
 	jobs := r.jobs[engine]
@@ -203,7 +211,7 @@
 	}
 }
 
-// step does a step of an engine; what it brings is seen when the step is over.
+// step executes a step of an engine; the daemons see its outcome at the end of the step.
 func (r *run) step(engine int) {
 	if r.killed[engine] {
 		return
@@ -219,6 +227,7 @@
 	})
 }
 
+// recordProgress informs the daemons of first tokens and completed requests at an engine.
 func (r *run) recordProgress(engine int) {
 	if r.killed[engine] {
 		return
@@ -246,6 +255,7 @@
 	}
 }
 
+// pollEngines passes each engine's load report and new cache events to a daemon's policy.
 func (r *run) pollEngines(d int) {
 	now := time.Now()
 	for i, e := range r.engines {
@@ -264,6 +274,7 @@
 	}
 }
 
+// summarize returns the outcome of all requests.
 func (r *run) summarize() *Result {
 	result := &Result{Setup: r.setup, FirstToken: map[string][]time.Duration{}}
 	for _, q := range r.requests {
--- a/node/internal/policybench/workload.go
+++ b/node/internal/policybench/workload.go
@@ -1,6 +1,7 @@
-// Package policybench measures the routing policy over stand-in engines in
-// virtual time: the same seed gives the same figures. It compares the policy with
-// simpler ones in the same run, on the mixes of both users.
+// Package policybench simulates the routing policy with stand-in engines in virtual
+// time and measures the times to first token. It compares the policy with simpler
+// ones on the same requests, whose mix is that of one of the two users. The same seed
+// gives the same results.
 package policybench
 
 import (
@@ -11,41 +12,43 @@
 	"doorstack.dev/node/target"
 )
 
-// Mix is a stream of requests.
+// Mix describes a stream of requests.
 type Mix struct {
 	Name string
-	// LongShare is the part of requests with a long prompt.
+	// LongShare is the share of requests with a long prompt: zero or drawnLongShare.
 	LongShare float64
-	// LongLevel and ShortLevel are their priorities.
+	// LongLevel and ShortLevel are the priority levels of long and short prompts.
 	LongLevel, ShortLevel int
-	// ShortMedian is the median length of a short prompt, in tokens.
+	// MedianShortPrompt is the median length of a short prompt, in tokens.
 	MedianShortPrompt float64
-	// LongLow and LongHigh bound the long prompts, whose logarithm is uniform.
+	// MinLongPrompt and MaxLongPrompt bound the lengths of long prompts, in tokens, which
+	// are drawn log-uniformly.
 	MinLongPrompt, MaxLongPrompt float64
-	// OutputTokens is the mean length of an answer.
+	// MeanOutput is the mean length of an answer, in tokens.
 	MeanOutput float64
-	// Prefixes is the number of shared beginnings, PrefixTokens their length.
+	// Prefixes is the number of shared prompt prefixes, PrefixTokens their length.
 	Prefixes     int
 	PrefixTokens int64
 }
 
-// Clara asks many short questions, and one in fifty is a referral file.
+// Clara returns the mix of a booking assistant: many short prompts, and one in fifty is a long
+// referral file.
 func Clara() Mix {
 	return Mix{Name: "clara", LongShare: 0.02, LongLevel: 2, MedianShortPrompt: 1500, MinLongPrompt: 100_000, MaxLongPrompt: 350_000, MeanOutput: 80, Prefixes: 20, PrefixTokens: 1024}
 }
 
-// Kilnmark asks less often and longer, and audits are long.
+// Kilnmark returns the mix of a quality log: fewer and longer prompts, and long audits.
 func Kilnmark() Mix {
 	return Mix{Name: "kilnmark", LongShare: 0.02, LongLevel: 2, MedianShortPrompt: 4000, MinLongPrompt: 100_000, MaxLongPrompt: 400_000, MeanOutput: 150, Prefixes: 12, PrefixTokens: 2048}
 }
 
-// WithoutLong is the same stream of short requests alone.
+// WithoutLong returns the mix with the same stream of short prompts and no long ones.
 func (m Mix) WithoutLong() Mix {
 	m.LongShare = 0
 	return m
 }
 
-// request is a request of the stream.
+// request is a request of the stream and its progress.
 type request struct {
 	id           int
 	arrival      time.Duration
@@ -61,9 +64,11 @@
 	completed  bool
 }
 
-// meanShort is the mean length of a short prompt: a log-normal's.
+// shortSigma is the standard deviation of the logarithm of a short prompt's length, which is
+// log-normal.
 const shortSigma = 0.7
 
+// meanPrompt returns the mean length of a prompt, in tokens.
 func (m Mix) meanPrompt() float64 {
 	short := m.MedianShortPrompt * math.Exp(shortSigma*shortSigma/2)
 	long := (m.MaxLongPrompt - m.MinLongPrompt) / math.Log(m.MaxLongPrompt/m.MinLongPrompt)
@@ -75,9 +80,9 @@
 	daemonCount  = 6
 )
 
-// requests draws the stream for a time at a rate. Long and short requests are
-// drawn from sources of their own, so that leaving the long ones out does not
-// change the short ones.
+// generateRequests draws the requests of a time at a rate per second. Where LongShare
+// is zero, long requests are still drawn and then dropped, so that leaving them out
+// does not change the short ones.
 func (m Mix) generateRequests(rate float64, length time.Duration, seed uint64) []*request {
 	arrivals := rand.New(rand.NewPCG(seed, 1))
 	sizes := rand.New(rand.NewPCG(seed, 2))
@@ -97,9 +102,10 @@
 	}
 }
 
-// drawnLongShare is the part of requests that are drawn as long, whether kept or not.
+// drawnLongShare is the share of requests that are drawn as long, whether kept or not.
 const drawnLongShare = 0.02
 
+// drawRequest draws a request without its arrival time.
 func (m Mix) drawRequest(rng *rand.Rand, id int) *request {
 	r := &request{id: id, level: m.ShortLevel, daemon: rng.IntN(daemonCount), account: rng.IntN(accountCount)}
 	size, prefix := rng.Float64(), rng.IntN(max(1, m.Prefixes))
@@ -121,7 +127,7 @@
 	return r
 }
 
-// uniquePrefixes are hashes that no other prompt shares.
+// uniquePrefixes returns prefix hashes for a prompt that no other prompt shares.
 func uniquePrefixes(id int, prompt int64) []uint64 {
 	var hashes []uint64
 	for i := 0; target.PrefixTokens(i) <= prompt && i < 24; i++ {
