--- a/node/internal/vtime/vtime.go
+++ b/node/internal/vtime/vtime.go
@@ -1,4 +1,4 @@
-// Package vtime is the queue of events of a simulation in virtual time.
+// Package vtime provides the event queue of a simulation in virtual time.
 package vtime
 
 import (
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// Queue holds events by the time since the start of a simulation. Events at one time come in
-// the order in which they were added, so that a run depends on its seed alone. The zero value
-// is empty.
+// Queue holds events, ordered by their virtual time since the start of the simulation. Events at
+// the same time are ordered as they were scheduled, so that a simulation depends on its seed alone.
+// The zero value is an empty queue.
 type Queue struct {
 	events       events
 	lastSequence int
 }
 
-// At adds an event.
+// Schedule adds an event: do is to be called at the given time.
 func (q *Queue) Schedule(at time.Duration, do func()) {
 	q.lastSequence++
 	heap.Push(&q.events, event{at, q.lastSequence, do})
 }
 
-// Next takes the first event out; ok is false where there is none.
+// Next removes the first event and returns it; ok reports whether there was one.
 func (q *Queue) Next() (at time.Duration, do func(), ok bool) {
 	if len(q.events) == 0 {
 		return 0, nil, false
@@ -30,6 +30,7 @@
 	return e.at, e.run, true
 }
 
+// event is a scheduled function call.
 type event struct {
 	at       time.Duration
 	sequence int
--- a/node/internal/vtime/vtime_test.go
+++ b/node/internal/vtime/vtime_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestNextReturnsEventsInOrder: by time, and at one time as they were added.
+// TestNextReturnsEventsInOrder checks that events are ordered by time, and events at the same time as
+// they were scheduled.
 func TestNextReturnsEventsInOrder(t *testing.T) {
 	var q Queue
 	var got []int
@@ -20,12 +21,12 @@
 			break
 		}
 		if at < last {
-			t.Errorf("%v comes after %v", at, last)
+			t.Errorf("Next returned an event at %v after one at %v, want ascending times", at, last)
 		}
 		last = at
 		do()
 	}
 	if !slices.Equal(got, []int{1, 3, 2, 0}) {
-		t.Errorf("the order is %v", got)
+		t.Errorf("events came in the order %v, want [1 3 2 0]", got)
 	}
 }
