--- a/node/internal/slownet/slownet.go
+++ b/node/internal/slownet/slownet.go
@@ -1,6 +1,6 @@
-// Package slownet is a network in memory whose hosts have links of a given bandwidth, for
-// tests in virtual time. All connections of a host share its link, in each direction;
-// what is sent waits its turn there, first come first served.
+// Package slownet provides an in-memory network whose hosts have links of limited bandwidth,
+// for tests in virtual time. All connections of a host share its link, in each direction;
+// data waits for the link in order of arrival.
 package slownet
 
 import (
@@ -13,10 +13,11 @@
 	"github.com/go-faster/errors"
 )
 
-// segmentSize is how many bytes of one connection go over a link before another's turn comes.
+// segmentSize is the number of bytes that a connection sends before another connection may use
+// the link.
 const segmentSize = 16 << 10
 
-// Network is a network of hosts, by address.
+// Network is a network of hosts that are found by their address.
 type Network struct {
 	// Delay is the one-way delay between any two hosts.
 	Delay time.Duration
@@ -25,7 +26,7 @@
 	hosts map[string]*Host
 }
 
-// Host is a host's end of its link.
+// Host is a host on the network with its link. It implements net.Listener.
 type Host struct {
 	network  *Network
 	address  string
@@ -35,16 +36,16 @@
 	once     sync.Once
 }
 
-// linkDirection is one direction of a link.
+// linkDirection is one direction of a host's link.
 type linkDirection struct {
 	bytesPerSecond float64
 
 	mu        sync.Mutex
-	idleAt    time.Time // when all that was handed over so far has gone
+	idleAt    time.Time // when all data accepted so far has been sent
 	bytesSent int64
 }
 
-// reserve returns when so many bytes will have gone over the link.
+// reserve queues a number of bytes and returns when they will have been sent over the link.
 func (w *linkDirection) reserve(bytes int) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -57,7 +58,7 @@
 	return w.idleAt
 }
 
-// Add adds a host with a link of so many bytes a second.
+// AddHost adds a host with a link of the given bandwidth in each direction.
 func (n *Network) AddHost(address string, bytesPerSecond float64) *Host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -70,14 +71,14 @@
 	return h
 }
 
-// Sent is how many bytes the host has sent.
+// BytesSent returns the number of bytes that the host has sent.
 func (h *Host) BytesSent() int64 {
 	h.out.mu.Lock()
 	defer h.out.mu.Unlock()
 	return h.out.bytesSent
 }
 
-// Client returns a client whose connections go over the host's link.
+// Client returns an HTTP client whose connections use the host's link.
 func (h *Host) Client() *http.Client {
 	return &http.Client{Transport: &http.Transport{DialContext: h.dial}}
 }
@@ -87,7 +88,7 @@
 	to := h.network.hosts[address]
 	h.network.mu.Unlock()
 	if to == nil {
-		return nil, errors.New("there is no host at " + address)
+		return nil, errors.New("no host at " + address)
 	}
 	near, far := net.Pipe()
 	select {
@@ -119,6 +120,7 @@
 // Addr implements net.Listener.
 func (h *Host) Addr() net.Addr { return hostAddr(h.address) }
 
+// hostAddr is a host's address. It implements net.Addr.
 type hostAddr string
 
 func (hostAddr) Network() string  { return "tcp" }
@@ -136,7 +138,8 @@
 	return &conn{Conn: pipe, from: from, to: to, closed: make(chan struct{})}
 }
 
-// Write sends over both hosts' links, a segment at a time.
+// Write sends over both hosts' links, a segment at a time. It returns net.ErrClosed if the
+// connection is closed while a segment waits for the links.
 func (c *conn) Write(p []byte) (int, error) {
 	done := 0
 	for done < len(p) {
@@ -157,7 +160,7 @@
 	return done, nil
 }
 
-// wait waits until a time and tells whether the connection is still open.
+// waitUntil waits until a time and reports whether the connection is still open.
 func (c *conn) waitUntil(until time.Time) bool {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
@@ -169,7 +172,7 @@
 	}
 }
 
-// Close implements net.Conn. A write that waits for the link ends at once.
+// Close implements net.Conn. A Write that waits for the link returns at once.
 func (c *conn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
