--- a/node/internal/testaddr/testaddr.go
+++ b/node/internal/testaddr/testaddr.go
@@ -1,4 +1,4 @@
-// Package testaddr finds addresses for the listeners of tests.
+// Package testaddr finds free loopback addresses on which tests can listen.
 package testaddr
 
 import (
@@ -8,16 +8,16 @@
 	"testing"
 )
 
-// handedOut are the addresses that this process has handed out. The system may give a port
+// handedOut are the addresses that this process has returned. The system may assign a port
 // again as soon as it is closed.
 var (
 	mu        sync.Mutex
 	handedOut = map[string]bool{}
 )
 
-// Free returns a free HOST:PORT of a loopback address that only this process uses, and
-// never the same one twice. A port of 127.0.0.1 may be given to somebody's outgoing
-// connection between being found free here and being listened on.
+// Free returns a free HOST:PORT, and never the same one twice. The host is a loopback address
+// derived from the process ID, which only this process uses: a port of 127.0.0.1 could be
+// assigned to another process's outgoing connection before the test listens on it.
 func Free(t testing.TB) string {
 	t.Helper()
 	addr, err := Find()
@@ -27,7 +27,8 @@
 	return addr
 }
 
-// Find is Free outside a test's own goroutine.
+// Find is Free for use outside a test's own goroutine; it returns the error instead of failing
+// the test.
 func Find() (string, error) {
 	mu.Lock()
 	defer mu.Unlock()
@@ -43,7 +44,7 @@
 	}
 }
 
-// findPort asks the system for a free port.
+// findPort returns an address with a free port that the system assigns.
 func findPort() (string, error) {
 	pid := os.Getpid()
 	own := net.IPv4(127, byte(1+pid>>16), byte(pid>>8), byte(pid))
