--- a/node/internal/testlog/testlog.go
+++ b/node/internal/testlog/testlog.go
@@ -1,4 +1,4 @@
-// Package testlog collects the log lines of daemons under test.
+// Package testlog collects the log output of daemons under test.
 package testlog
 
 import (
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// Buffer is a log that several goroutines write to.
+// Buffer collects log output. It is safe for concurrent use.
 type Buffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -19,7 +19,7 @@
 	return b.buf.Write(p)
 }
 
-// String is all that was written.
+// String returns everything written so far.
 func (b *Buffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
