--- a/node/cluster/claims.go
+++ b/node/cluster/claims.go
@@ -99,8 +99,8 @@
 	claimer.GiveUp()
 	c.notifyWitnesses(ctx, claimer.Witnesses(), peer.KindGiveUp, in.Key, attemptMessage{Key: in.Key, Attempt: in.Attempt})
 	if attempt, holder, taken := claimer.CurrentHolder(); taken {
-		duplicate, again := c.holderOutcome(ctx, in.Key, attempt, holder, outcome)
-		if again {
+		duplicate, gaveUp := c.holderOutcome(ctx, in.Key, attempt, holder, outcome)
+		if gaveUp {
 			return permit, true, noQuorumError(claimer.Tally())
 		}
 		return permit, false, duplicate
@@ -148,9 +148,10 @@
 	return decision.ClaimTally{Key: key, Witnesses: claimer.Witnesses(), Needed: t.Needed, Granted: t.Granted, Denied: t.Denied, Unanswered: t.Unanswered}
 }
 
-// holderOutcome finds the outcome of the call that holds the key, as the error for the
-// duplicate. It reports whether that call gave up, so that the key is free again.
-func (c *Cluster) holderOutcome(ctx context.Context, key, attempt, holder string, known *blackboard.Outcome) (duplicate error, again bool) {
+// holderOutcome finds the outcome of the call that holds the key, and returns it as the
+// error for the new call, a duplicate. It reports whether the holding call gave up instead,
+// so that the key is free again.
+func (c *Cluster) holderOutcome(ctx context.Context, key, attempt, holder string, known *blackboard.Outcome) (duplicate error, gaveUp bool) {
 	if known != nil {
 		return &requestcontrol.DuplicateError{Outcome: *known}, false
 	}
--- a/node/cluster/cluster.go
+++ b/node/cluster/cluster.go
@@ -26,8 +26,9 @@
 	Recorder *telemetry.Recorder
 	Settings *controller.Settings
 	Targets  *target.Client
-	// DisableLeases leaves out the leases on shares of limits and on targets, and the
-	// upkeep that only claims need. It is set where the platform needs none of these.
+	// DisableLeases leaves out the leases on shares of limits and on targets, and the work
+	// that only claims need: removing expired keys and fetching old host lists. It is set
+	// where the platform needs none of these.
 	DisableLeases bool
 	// Directory merges the target updates that peers send; nil where the platform publishes
 	// a list of the targets. A cluster with a directory belongs to an open fleet.
@@ -41,8 +42,8 @@
 
 	started        time.Time
 	wake           chan struct{}
-	compared       map[string]bool // peers whose revision is known
-	heartbeatSent  map[string]bool // neighbours that got a heartbeat before the next regular one
+	compared       map[string]bool // peers that have reported their revisions
+	heartbeatSent  map[string]bool // new neighbours to which a starting daemon sent an extra heartbeat
 	unresponsive   map[string]bool // neighbours that did not answer a heartbeat
 	rumorBatch     rumorBatch
 	reports        chan heartbeatReport
--- a/node/cluster/coordinate.go
+++ b/node/cluster/coordinate.go
@@ -26,7 +26,7 @@
 	requester   string
 	pool        string
 	ticket      *blackboard.Ticket
-	answer      *placeAnswer // set when placed
+	answer      *placeAnswer // set when placed; empty if another daemon placed the call
 	lastRenewed time.Time
 	expires     time.Time
 }
@@ -188,8 +188,8 @@
 	}
 }
 
-// expiredCalls lists the attempts of requests that were not repeated, of calls whose time is over
-// and of dead daemons.
+// expiredCalls lists the attempts whose request was not repeated within placementRequestTTL,
+// whose expiry time has passed, or whose daemon is dead.
 func (p *Placer) expiredCalls(now time.Time) []string {
 	dead := map[string]bool{}
 	for _, m := range p.cluster.Board.Members.Members() {
--- a/node/cluster/explain.go
+++ b/node/cluster/explain.go
@@ -107,7 +107,8 @@
 	return admin.ParseExplanation(answer.JSON)
 }
 
-// notFoundNote explains why no records were found while so many daemons did not answer.
+// notFoundNote explains why no records were found; silent is the number of daemons that did
+// not answer.
 func notFoundNote(silent int) string {
 	if silent > 0 {
 		return "no daemon that answered has a record; " + strconv.Itoa(silent) + " daemon(s) did not answer, and their records are lost if they died"
--- a/node/cluster/fetch.go
+++ b/node/cluster/fetch.go
@@ -13,17 +13,17 @@
 // ones fetches the difference from the sender.
 
 const (
-	// fetchTimeout bounds a fetch from a peer. fetchIdleTimeout is how long nothing may
-	// arrive from a peer that has not failed lately: an overloaded or unreachable peer must
-	// not delay the fetch from another one, since settings have to be in force 2 s after
-	// their publication. An answer in transit is waited for, since the bytes already sent
-	// would be wasted otherwise.
+	// fetchTimeout bounds a fetch from a peer. fetchIdleTimeout ends it earlier if nothing
+	// arrives for so long, unless the peer has failed lately: an overloaded or unreachable
+	// peer must not delay the fetch from another one, since settings have to be in force 2 s
+	// after their publication. As long as parts of an answer arrive the fetch goes on, since
+	// the bytes already sent would be wasted otherwise.
 	fetchTimeout     = 5 * time.Second
 	fetchIdleTimeout = 600 * time.Millisecond
 	// slowPeerPenalty is how long a peer that did not answer a fetch ranks behind all
 	// others.
 	slowPeerPenalty = 5 * time.Second
-	// maxQueuedReports bounds the reports that wait for a loop.
+	// maxQueuedReports bounds the reports queued for processReports, and for each fetcher.
 	maxQueuedReports = 64
 )
 
--- a/node/cluster/fetch_test.go
+++ b/node/cluster/fetch_test.go
@@ -18,7 +18,7 @@
 )
 
 // TestFetcherTakesBestReportAndEmptiesQueue guards against a queue that grows while a
-// daemon acts on one peer's report: with one exchange for each report, the delay grew to
+// daemon acts on one peer's report: with one exchange for each report, reports waited up to
 // 3.5 s in a fleet of nine.
 func TestFetcherTakesBestReportAndEmptiesQueue(t *testing.T) {
 	c := newTestPlacer(t, 1).cluster
@@ -30,9 +30,9 @@
 	last := heartbeatReport{from: "b", revision: 7, targets: 200}
 	c.settingsFetcher.enqueue(last)
 	c.targetsFetcher.enqueue(last)
-	revision, targets := c.settingsFetcher.takeBest(<-c.settingsFetcher.reports), c.targetsFetcher.takeBest(<-c.targetsFetcher.reports)
-	if len(c.settingsFetcher.reports)+len(c.targetsFetcher.reports) != 0 || revision.revision != 19 || targets.targets != 200 || targets.from != "b" {
-		t.Fatalf("takeBest left %d reports and chose %+v for settings, %+v for targets; want none left, revision 19, position 200 of b", len(c.settingsFetcher.reports), revision, targets)
+	forSettings, forTargets := c.settingsFetcher.takeBest(<-c.settingsFetcher.reports), c.targetsFetcher.takeBest(<-c.targetsFetcher.reports)
+	if len(c.settingsFetcher.reports)+len(c.targetsFetcher.reports) != 0 || forSettings.revision != 19 || forTargets.targets != 200 || forTargets.from != "b" {
+		t.Fatalf("takeBest left %d reports and chose %+v for settings, %+v for targets; want none left, revision 19, position 200 of b", len(c.settingsFetcher.reports), forSettings, forTargets)
 	}
 }
 
@@ -111,7 +111,7 @@
 	f.slowUntil["slow"] = time.Now().Add(time.Minute)
 	f.reports <- heartbeatReport{from: "good", revision: 1}
 	f.reports <- heartbeatReport{from: "slow", revision: 5}
-	if revision := f.takeBest(<-f.reports); revision.from != "slow" {
-		t.Fatalf("takeBest() = %+v, want the report of the slow peer", revision)
+	if best := f.takeBest(<-f.reports); best.from != "slow" {
+		t.Fatalf("takeBest() = %+v, want the report of the slow peer", best)
 	}
 }
--- a/node/cluster/gossip.go
+++ b/node/cluster/gossip.go
@@ -13,7 +13,7 @@
 
 // rumorBatchInterval is the least time between two frames of rumors on a link. A single
 // rumor is sent at once; where hundreds of daemons start together, the rumors of an
-// interval share a frame. With 120 daemons that takes one of them from 960 frames to 180.
+// interval share a frame. With 120 daemons, each sends 180 frames instead of 960.
 const rumorBatchInterval = 20 * time.Millisecond
 
 // rumorBatch collects the rumors to be passed on to the neighbours.
--- a/node/cluster/leases.go
+++ b/node/cluster/leases.go
@@ -110,12 +110,13 @@
 	}
 }
 
-// maxLoadingShare is the share of a pool's targets that may load the model on an order at
-// the same time: the weight store is rate-limited, and the other targets must go on
+// maxLoadingShare is the fraction of a pool's targets that may be loading an ordered model
+// at the same time: the weight store is rate-limited, and the other targets must go on
 // serving.
 const maxLoadingShare = 0.25
 
-// maintainTarget does for a target what only its owner may do.
+// maintainTarget does for a target what only its owner may do: ordering its model and
+// releasing orphaned reservations.
 func (c *Cluster) maintainTarget(ctx context.Context, t *blackboard.TargetAddress, owned []blackboard.TargetAddress) {
 	c.orderModel(ctx, t, owned)
 	c.releaseOrphans(ctx, t)
@@ -166,7 +167,7 @@
 	return before < max(1, int(maxLoadingShare*float64(pool)))
 }
 
-// orphanGrace is how long after its request's deadline a reservation is kept even if its
+// orphanGrace is the time from its request's deadline to the release of a reservation whose
 // owner seems to be alive.
 const orphanGrace = 10 * time.Second
 
--- a/node/cluster/limits.go
+++ b/node/cluster/limits.go
@@ -23,14 +23,14 @@
 
 // ReportLimit tells the pool's coordinator what a target declared about its rate limit in the
 // answer to a call sent at the given time.
-func (p *Placer) ReportLimit(pool, target string, said forward.Limit, sent time.Time) {
+func (p *Placer) ReportLimit(pool, target string, declared forward.Limit, sent time.Time) {
 	now := time.Now()
 	c := p.coordinatorOf(pool, now)
 	if c.name == "" || c.name == p.cluster.Board.Self.Name {
 		return
 	}
-	state := blackboard.LimitState{Target: target, PerSecond: said.PerSecond, Lifted: said.Lifted}
-	if said.Lifted {
+	state := blackboard.LimitState{Target: target, PerSecond: declared.PerSecond, Lifted: declared.Lifted}
+	if declared.Lifted {
 		state.Age = now.Sub(sent)
 	}
 	p.notify(c.name, peer.KindLimit, limitNotice{Pool: pool, Limit: state})
--- a/node/cluster/members.go
+++ b/node/cluster/members.go
@@ -14,7 +14,8 @@
 )
 
 // heartbeat is sent over each link once a second and answered by the receiver's own
-// heartbeat. A link between neighbours of each other carries requests in both directions.
+// heartbeat. A daemon also sends heartbeats to the peers that recently sent it some, so both
+// ends of a link send them.
 type heartbeat struct {
 	Incarnation int64 `cbor:"1,keyasint"`
 	// SettingsRevision is the settings revision in force.
@@ -38,11 +39,11 @@
 // Intervals and timeouts of the heartbeat loop.
 const (
 	heartbeatTimeout = membership.HeartbeatInterval
-	// heartbeatsPerSync is the number of heartbeats of which one carries all rumors, to
-	// repair rumors that were lost.
+	// heartbeatsPerSync is the number of heartbeats from one that carries all rumors to the
+	// next; this repairs rumors that were lost.
 	heartbeatsPerSync = 10
 	// compareTimeout is how long a starting daemon waits for neighbours that do not answer
-	// before it relies on what it read itself.
+	// before it serves with the settings and targets that it has read itself.
 	compareTimeout = 5 * time.Second
 )
 
@@ -99,12 +100,12 @@
 	links := c.Board.Members.GossipPeers(now)
 	c.Hub.CloseIdle(func(name string) bool { return slices.Contains(links, name) })
 	if !c.DisableLeases {
-		c.Board.Claims.Counts(now)
+		c.Board.Claims.Counts(now) // Removes expired keys.
 	}
 }
 
-// newHeartbeat returns this daemon's heartbeat. In a listed fleet it carries the rumors if
-// withRumors is set; in an open fleet it carries a digest of the members instead.
+// newHeartbeat returns this daemon's heartbeat. In an open fleet it carries a digest of the
+// members; otherwise it carries all rumors if withRumors is set.
 func (c *Cluster) newHeartbeat(withRumors bool) heartbeat {
 	h := heartbeat{Leaving: c.Board.Phase() == blackboard.Draining, StartIncarnation: c.Board.Self.Incarnation, SettingsRevision: c.revision()}
 	c.Board.Members.WithLock(func(t *membership.Table) {
@@ -136,8 +137,9 @@
 }
 
 // recordNoAnswer lets a starting daemon of an open fleet stop waiting for a neighbour. The
-// store is never behind what a silent neighbour could report, and hosts that lost power
-// together with this one would delay its start by compareTimeout.
+// platform's store is never behind what a silent neighbour could report. After a loss of
+// power of several hosts, waiting for those that are still down would delay the start by
+// compareTimeout.
 func (c *Cluster) recordNoAnswer(name string) {
 	if !c.openFleet() || c.Board.Phase() != blackboard.Starting {
 		return
--- a/node/cluster/open.go
+++ b/node/cluster/open.go
@@ -19,7 +19,8 @@
 
 // Timeouts and intervals of the search for other daemons.
 const (
-	// joinTimeout bounds one introduction: a seed may be dead and its host silent.
+	// joinTimeout bounds one introduction: a seed's host may be down, so that nothing
+	// refuses the connection.
 	joinTimeout = 500 * time.Millisecond
 	// joinBackoffInitial is the pause after a first introduction without an answer, and
 	// joinBackoffMax the greatest pause: where all hosts start together the seeds may
@@ -30,8 +31,8 @@
 	// that is not a member. Such attempts join the parts of a fleet again after a network
 	// partition.
 	rejoinInterval = 2 * time.Second
-	// minReconcileInterval is the least time between two comparisons of members with one
-	// peer.
+	// minReconcileInterval is the least time between two transfers of the members' digests
+	// to one peer, and between two transfers of all verdicts to it.
 	minReconcileInterval = 2 * time.Second
 )
 
@@ -87,8 +88,8 @@
 	return alone
 }
 
-// discoveryDone reports whether this daemon knows other daemons, or has looked for them and
-// found none.
+// discoveryDone reports whether this daemon knows other daemons, or has found none at any
+// seed or within compareTimeout.
 func (c *Cluster) discoveryDone() bool {
 	others := 0
 	c.Board.Members.WithLock(func(t *membership.Table) { others, _ = t.CountOthers() })
@@ -96,8 +97,8 @@
 }
 
 // introduceToAll introduces this daemon at several addresses at the same time, so that an
-// unreachable seed does not delay the others. It returns the number that answered, to which
-// this daemon's own address counts.
+// unreachable seed does not delay the others. It returns the number that answered, counting
+// this daemon's own address as answered.
 func (c *Cluster) introduceToAll(ctx context.Context, addresses []string) int {
 	var answered atomic.Int64
 	var asking sync.WaitGroup
@@ -144,15 +145,15 @@
 
 // receiveRumors applies rumors and passes on those that are new here.
 func (c *Cluster) receiveRumors(ctx context.Context, in []membership.Rumor, from string) {
-	var news []membership.Rumor
+	var fresh []membership.Rumor
 	c.Board.Members.WithLock(func(t *membership.Table) {
 		for _, r := range in {
 			if next, isNew := t.Receive(r); isNew {
-				news = append(news, next)
+				fresh = append(fresh, next)
 			}
 		}
 	})
-	c.spreadRumors(ctx, news, from)
+	c.spreadRumors(ctx, fresh, from)
 }
 
 // reconcile sends the digests of all members to a peer whose members digest differs, so
--- a/node/cluster/placement.go
+++ b/node/cluster/placement.go
@@ -14,15 +14,16 @@
 	"github.com/go-faster/errors"
 )
 
-// One daemon of the fleet coordinates each pool: the first in the pool's rendezvous order
-// of the living ones. The others ask it where to send a call, so that each choice takes all
-// calls into account. Its placement is advice: a daemon that gets none in time decides from
-// the calls that it knows itself, and only the quality of the choice suffers.
+// One daemon of the fleet coordinates each pool: among the living daemons on strong hosts,
+// the first in the pool's rendezvous order. The others ask it where to send a call, so that
+// each choice takes all calls into account. Its placement is advice: a daemon that gets none
+// in time decides from the calls that it knows itself, and only the quality of the choice
+// suffers.
 
 // Timeouts and intervals of placement requests.
 const (
 	// placementTimeout is how long a daemon waits for the first answer: a round trip takes
-	// up to 2 ms, and a caller's shortest goal is 300 ms.
+	// up to 2 ms, and the shortest goal of a caller for the start of an answer is 300 ms.
 	placementTimeout = 40 * time.Millisecond
 	// maxAnswerDelay is how long the coordinator holds a request to answer it with a
 	// placement; later placements are sent as messages of their own.
@@ -33,10 +34,10 @@
 	// placementRequestTTL is the time after which a coordinator drops a request that is not
 	// repeated.
 	placementRequestTTL = time.Second
-	// avoidFailed is how long a coordinator that did not answer is passed over,
-	// avoidRefused one that answers that it does not coordinate: where all hosts start
-	// together it will some milliseconds later, and until all daemons ask the same
-	// coordinator several place the pool's calls.
+	// avoidFailed is how long a daemon passes over a coordinator that did not answer, and
+	// avoidRefused how long it passes over a coordinator that refused. Where all hosts start
+	// together, the refusing daemon will coordinate some milliseconds later. While daemons
+	// ask different coordinators, several of them place the pool's calls.
 	avoidFailed  = time.Second
 	avoidRefused = 100 * time.Millisecond
 	// callExpiryMargin is how long a coordinator counts a call beyond its deadline, in case
@@ -51,7 +52,8 @@
 	maxSuspectDuration = 5 * time.Second
 )
 
-// placeRequest asks the coordinator of a pool for a target.
+// placeRequest asks the coordinator of a pool for a target. Level is as in admission.Item;
+// the goals are in seconds, as in routing.Request.
 type placeRequest struct {
 	Attempt       string        `cbor:"1,keyasint"`
 	Request       string        `cbor:"2,keyasint"`
@@ -96,7 +98,7 @@
 	Limit *blackboard.LimitState `cbor:"10,keyasint,omitempty"`
 }
 
-// placeHelper is a helper of a placed call and its address.
+// placeHelper is a target that prefills a part of the prompt for the chosen target.
 type placeHelper struct {
 	Target  string `cbor:"1,keyasint"`
 	Address string `cbor:"2,keyasint"`
@@ -143,8 +145,9 @@
 	}
 }
 
-// coordinatorOf returns a pool's coordinator. Only strong daemons are considered, since a
-// coordinator handles two to four frames for each call of the fleet.
+// coordinatorOf returns a pool's coordinator. Only daemons on strong hosts are considered
+// (see membership.StrongMembers), since a coordinator handles two to four frames for each
+// call of the fleet.
 func (p *Placer) coordinatorOf(pool string, now time.Time) coordinator {
 	p.mu.Lock()
 	avoid := make(map[string]bool, len(p.avoidUntil))
@@ -171,7 +174,7 @@
 
 // Coordinates reports whether this daemon places a pool's calls for the fleet. A daemon
 // that has not found the others yet does not: where all hosts start together each would
-// take itself for the coordinator and poll every engine for its slowdown.
+// take itself for the coordinator and poll every engine for a report of how slow it is.
 func (p *Placer) Coordinates(pool string) bool {
 	return p.cluster.Board.Phase() == blackboard.Serving && p.cluster.discoveryDone() &&
 		p.coordinatorOf(pool, time.Now()).name == p.cluster.Board.Self.Name
@@ -205,8 +208,8 @@
 	return blackboard.Placement{}, false
 }
 
-// acceptAnswer returns a coordinator's placement, or false if a target would not get the
-// call by what this daemon knows.
+// acceptAnswer returns a coordinator's placement, or false if this daemon knows a reason
+// not to send the call to one of the targets.
 func (p *Placer) acceptAnswer(c coordinator, t *blackboard.Ticket, answer *placeAnswer) (blackboard.Placement, bool) {
 	if answer.Verdict == routing.Place && !p.targetsAccept(answer) {
 		// What this daemon knows of its targets takes precedence over the coordinator's
@@ -253,8 +256,8 @@
 )
 
 // recordLostCoordinator records that a coordinator failed to answer. For a while this
-// daemon asks another one, and the pool is placed by two that do not know of each other's
-// calls.
+// daemon asks another coordinator, and the two place calls of the pool without knowing of
+// each other's.
 func (p *Placer) recordLostCoordinator(name string, t *blackboard.Ticket, err error) {
 	reason, avoid := lostError, avoidFailed
 	var refused *peer.RemoteError
@@ -332,9 +335,9 @@
 }
 
 // handOverCalls lists this daemon's calls in a pool, without those that it coordinates for
-// others, for a coordinator that does not know them. From now on it gets the reports of
-// their ends; a call whose end is never reported would count there until the caller's
-// deadline.
+// others, for a coordinator that does not know them. From now on this daemon reports their
+// ends to that coordinator, where a call whose end is not reported would count for
+// adoptedCallTTL.
 func (p *Placer) handOverCalls(pool, coordinator string) []blackboard.CallState {
 	calls := p.cluster.Board.Targets.Calls(pool, time.Now())
 	p.mu.Lock()
@@ -389,13 +392,13 @@
 
 // notify sends a message about a call over an open link. Where the message is lost the
 // coordinator drops the call after its deadline.
-func (p *Placer) notify(name string, kind peer.Kind, news any) {
+func (p *Placer) notify(name string, kind peer.Kind, message any) {
 	if !slices.Contains(p.cluster.Hub.LinkedPeers(), name) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), placementTimeout)
 	defer cancel()
-	if err := p.cluster.Hub.Notify(ctx, p.cluster.address(name), kind, news); err != nil {
+	if err := p.cluster.Hub.Notify(ctx, p.cluster.address(name), kind, message); err != nil {
 		p.cluster.Recorder.Log.Debug("message could not be sent to a coordinator", "peer", name, "kind", kind.String(), "error", err.Error())
 	}
 }
--- a/node/cluster/placement_test.go
+++ b/node/cluster/placement_test.go
@@ -40,14 +40,14 @@
 	board := blackboard.New(blackboard.Identity{Name: "self", DataCentre: "dc", Region: "r"}, blackboard.DefaultLimits())
 	board.Members.OpenFleet()
 	board.Settings.Adopt(&blackboard.SettingsView{Tree: tree, Revision: 1})
-	facts := hostlist.Update{Full: true, AsOf: hostlist.Position(targets)}
+	update := hostlist.Update{Full: true, AsOf: hostlist.Position(targets)}
 	for i := range targets {
-		facts.Hosts = append(facts.Hosts, hostlist.Host{
+		update.Hosts = append(update.Hosts, hostlist.Host{
 			ID: fmt.Sprint("t", i), Role: hostlist.RoleTarget, Address: fmt.Sprint("10.0.0.1:", i+1), Pool: "svc",
 			DataCentre: "dc", Region: "r", State: hostlist.Live, Revision: hostlist.Position(i + 1),
 		})
 	}
-	board.MergeUpdate(facts, time.Now())
+	board.MergeUpdate(update, time.Now())
 	board.Serve()
 	record := &telemetry.Recorder{Board: board, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Metrics: metrics}
 	hub := peer.NewHub("self", []string{testSecret}, metrics)
@@ -122,20 +122,20 @@
 		}
 	}
 	if placed == 0 || p.runningCalls() != 1 {
-		t.Fatalf("%d answers place the call and %d calls count, want at least 1 and 1", placed, p.runningCalls())
+		t.Fatalf("servePlace() twice for one call: %d answers with a placement, %d running calls; want at least 1 answer, 1 call", placed, p.runningCalls())
 	}
 	handed := testRequest("b")
 	handed.Calls = []blackboard.CallState{{Attempt: "a", Target: "t0"}, {Attempt: "old", Target: "t1"}}
 	p.adoptCalls("requester", &handed, time.Now())
 	p.adoptCalls("requester", &handed, time.Now())
 	if p.runningCalls() != 2 {
-		t.Fatalf("%d calls count after two hand-overs of the same calls, want 2", p.runningCalls())
+		t.Fatalf("%d running calls after two hand-overs of the same calls, want 2", p.runningCalls())
 	}
 	for _, attempt := range []string{"a", "old", "a", "unknown"} {
 		p.endCall(attempt, blackboard.CallSucceeded)
 	}
 	if p.runningCalls() != 0 || len(p.coordinated) != 0 {
-		t.Fatalf("%d calls count and %d are coordinated after all ended, want none", p.runningCalls(), len(p.coordinated))
+		t.Fatalf("%d running calls and %d coordinated calls after all ended, want none", p.runningCalls(), len(p.coordinated))
 	}
 }
 
--- a/node/cluster/sharerequest.go
+++ b/node/cluster/sharerequest.go
@@ -58,9 +58,9 @@
 	return s, true
 }
 
-// awaitShareRequest waits for the answer of a request in flight, and reports whether there
-// is one. A request answered just now counts, since the answer may have come after the
-// caller was refused.
+// awaitShareRequest waits until a request is finished, and reports whether it finished
+// before ctx ended. A request that had finished before gives true as well: its lease may
+// have come after the limits refused the call, so they are worth checking again.
 func awaitShareRequest(ctx context.Context, s *shareRequest) bool {
 	select {
 	case <-s.done:
--- a/node/cluster/shares.go
+++ b/node/cluster/shares.go
@@ -13,7 +13,7 @@
 	"doorstack.dev/node/peer"
 )
 
-// renewal asks an account's owner to renew a lease, in wire form.
+// renewal asks an account's owner to renew a lease: a share.Renewal in wire form.
 type renewal struct {
 	Account       string  `cbor:"1,keyasint"`
 	Demand        float64 `cbor:"2,keyasint"`
--- a/node/cluster/targetsfetch.go
+++ b/node/cluster/targetsfetch.go
@@ -37,10 +37,10 @@
 	if h.targets <= own {
 		return
 	}
-	var facts hostlist.Update
-	if err := c.targetsFetcher.fetch(ctx, h.from, peer.KindFacts, targetsRequest{Since: own}, &facts); err != nil {
+	var update hostlist.Update
+	if err := c.targetsFetcher.fetch(ctx, h.from, peer.KindFacts, targetsRequest{Since: own}, &update); err != nil {
 		c.Recorder.Log.Warn("targets could not be fetched from a peer", "peer", h.from, "revision", h.targets.String(), "error", err.Error())
 		return
 	}
-	c.Directory.MergeFromPeer(h.from, facts)
+	c.Directory.MergeFromPeer(h.from, update)
 }
--- a/node/cluster/verdicts.go
+++ b/node/cluster/verdicts.go
@@ -12,9 +12,9 @@
 
 // The same request can come to any daemon, so the crashes of targets under it are counted
 // in one place: at its trackers, the first daemons of its rendezvous order. Most crashes
-// lead to no verdict, since they are reported for sound requests that ran beside the cause.
-// So a crash costs one frame to each tracker, whatever the size of the fleet, and only
-// verdicts, which are rare, go to all daemons.
+// lead to no verdict, since a crash is also reported for the harmless requests that ran
+// beside the one that caused it. So a crash costs one frame to each tracker, whatever the
+// size of the fleet, and only verdicts, which are rare, go to all daemons.
 
 const (
 	// trackerCount is how many daemons count the crashes under a request. Two of them may
@@ -22,8 +22,8 @@
 	trackerCount = 3
 	// crashTimeout bounds a report to a tracker, to which there may be no link yet.
 	crashTimeout = time.Second
-	// trialTimeout bounds the request for a trial. The caller waits for it, and is refused
-	// after it.
+	// trialTimeout bounds the question whether a quarantined request may be sent as a trial.
+	// The caller waits for the answer, and is refused if none comes.
 	trialTimeout = 100 * time.Millisecond
 )
 
@@ -107,18 +107,18 @@
 
 // serveVerdicts merges a peer's verdicts and passes on those that were not known here.
 func (c *Cluster) serveVerdicts(_ context.Context, from string, in []poison.Verdict) (empty, error) {
-	news := c.Board.Poison.Merge(in, time.Now())
-	if len(news) == 0 {
+	fresh := c.Board.Poison.Merge(in, time.Now())
+	if len(fresh) == 0 {
 		return empty{}, nil
 	}
-	for _, v := range news {
+	for _, v := range fresh {
 		c.Recorder.Log.Warn("verdict on a call received", "call", v.Request.String(), "lifted", v.Lifted, "count", v.Count,
 			"age_s", v.Age.Seconds(), "peer", from)
 	}
-	if slices.ContainsFunc(news, func(v poison.Verdict) bool { return !slices.Contains(in, v) }) {
+	if slices.ContainsFunc(fresh, func(v poison.Verdict) bool { return !slices.Contains(in, v) }) {
 		from = "" // The peer also gets verdicts that supersede its own.
 	}
-	c.sendVerdicts(news, from)
+	c.sendVerdicts(fresh, from)
 	return empty{}, nil
 }
 
