--- a/node/blackboard/blackboard.go
+++ b/node/blackboard/blackboard.go
@@ -35,7 +35,7 @@
 
 // The phases of a daemon.
 const (
-	// Starting daemons have no trusted settings yet.
+	// Starting daemons have no settings yet, or still compare theirs with those of their peers.
 	Starting Phase = iota
 	// Serving daemons accept requests.
 	Serving
@@ -83,7 +83,7 @@
 	PrefixEntries int
 }
 
-// DefaultLimits returns limits under which the tables take some 24 MB.
+// DefaultLimits returns limits under which the decision and prefix tables take some 24 MB.
 func DefaultLimits() Limits {
 	return Limits{DecisionBytes: 16 << 20, PrefixEntries: 100_000}
 }
@@ -113,8 +113,8 @@
 }
 
 // SyncTargets applies the current host list and settings to the target table. The lock
-// makes reading and applying them atomic: of two concurrent calls, after a new list and
-// after new settings, the older view must not be applied last.
+// makes reading and applying them atomic. Otherwise, of two concurrent calls, the one that
+// read an older list or older settings could apply them last.
 func (b *Blackboard) SyncTargets() {
 	b.syncMu.Lock()
 	defer b.syncMu.Unlock()
@@ -161,10 +161,11 @@
 	return false
 }
 
-// BeginForward counts a forwarded call as in flight and reports whether the daemon accepts
-// it. A draining daemon accepts forwarded calls until CloseForward, since callers learn of
-// the draining only from their next answer. A daemon that was drained before it had any
-// settings accepts none. Each call that returned true needs one EndRequest.
+// BeginForward counts a forwarded call (which the daemon passes on unchanged to a target) as
+// in flight and reports whether the daemon accepts it. A draining daemon accepts forwarded
+// calls until CloseForward, since the senders of these calls learn only from its next answer
+// to them that it is draining. A daemon that was drained before it had any settings accepts
+// none. Each call that returned true needs one EndRequest.
 func (b *Blackboard) BeginForward() bool {
 	b.inFlight.Add(1)
 	if b.Phase() != Starting && !b.forwardClosed.Load() && b.Settings.Current() != nil {
--- a/node/blackboard/claims.go
+++ b/node/blackboard/claims.go
@@ -9,15 +9,16 @@
 	"doorstack.dev/node/target"
 )
 
-// Outcome is how a claimed call ended.
+// Outcome is how a claimed call ended. A claimed call has an idempotency key and is sent to a
+// target at most once in the fleet; see package claim.
 type Outcome struct {
 	Execution fault.Execution       `cbor:"1,keyasint"`
 	Answer    *target.ServiceAnswer `cbor:"2,keyasint,omitempty"`
 }
 
 // ClaimTable holds the claims that this daemon granted as a witness (one of the daemons
-// that remember which attempt holds a key), the outcomes of claimed calls, and this
-// daemon's own claimed calls in progress.
+// that remember which attempt holds an idempotency key), the outcomes of claimed calls,
+// and this daemon's own claimed calls in progress.
 type ClaimTable struct {
 	mu       Mutex
 	witness  *claim.Witness
--- a/node/blackboard/directory.go
+++ b/node/blackboard/directory.go
@@ -38,7 +38,7 @@
 	return t.table.Incomplete()
 }
 
-// Since returns the changes above a position, for a peer.
+// Since returns the changes after a position in the store's history, for a peer.
 func (t *DirectoryTable) Since(revision hostlist.Position) hostlist.Update {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -47,12 +47,12 @@
 
 // MergeUpdate merges an update into the directory and publishes the list of targets if
 // it has changed. It reports whether it has changed.
-func (b *Blackboard) MergeUpdate(f hostlist.Update, at time.Time) bool {
-	return b.updateDirectory(at, func(t *hostlist.Table) bool { return t.Merge(f, at) })
+func (b *Blackboard) MergeUpdate(update hostlist.Update, at time.Time) bool {
+	return b.updateDirectory(at, func(t *hostlist.Table) bool { return t.Merge(update, at) })
 }
 
-// ConfirmRemovals applies the delayed removals of targets whose confirmation time has
-// passed. It reports whether the list of targets has changed.
+// ConfirmRemovals applies the removals of targets whose grace period has ended. It reports
+// whether the list of targets has changed.
 func (b *Blackboard) ConfirmRemovals(at time.Time) bool {
 	return b.updateDirectory(at, func(t *hostlist.Table) bool { return t.Tick(at) })
 }
--- a/node/blackboard/lag.go
+++ b/node/blackboard/lag.go
@@ -6,7 +6,8 @@
 	"doorstack.dev/core/admission"
 )
 
-// LagTable holds the daemon's event lag, measured by admission.Lag.
+// LagTable holds the daemon's event lag, measured by admission.Lag: how long events queue
+// until the daemon handles them.
 type LagTable struct {
 	mu  Mutex
 	lag admission.Lag
@@ -14,7 +15,7 @@
 
 func newLagTable() *LagTable { return &LagTable{mu: NewMutex(RankLag)} }
 
-// Begin records that a sample was sent.
+// Begin records that the daemon has sent itself an event, as a sample.
 func (t *LagTable) Begin(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/blackboard/leases.go
+++ b/node/blackboard/leases.go
@@ -47,8 +47,9 @@
 	return o != nil && o.AddGrant(at)
 }
 
-// MayOrder reports whether this daemon may send an order to a target now, and returns
-// its fencing token. A new owner has to wait first if the target does not check tokens.
+// MayOrder reports whether this daemon may now order a target to load models or to change
+// its role, and returns the fencing token for the order. A new owner has to wait first if
+// the target does not check tokens.
 func (t *LeaseTable) MayOrder(id string, checksFencing bool, at time.Time) (fence int64, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/blackboard/members.go
+++ b/node/blackboard/members.go
@@ -80,8 +80,8 @@
 	return list
 }
 
-// daemonsOfRegion returns the daemons of this daemon's region, which are the witnesses
-// for its keys, sorted by name.
+// daemonsOfRegion returns the daemons of this daemon's region, sorted by name. The witnesses
+// of its idempotency keys are chosen from them.
 func (t *MemberTable) daemonsOfRegion(hosts []hostlist.Host) []string {
 	var names []string
 	for _, h := range hosts {
@@ -163,8 +163,9 @@
 	return names
 }
 
-// WitnessSets returns the sets of witnesses for a claim, or nil if the host list has not
-// been confirmed recently enough.
+// WitnessSets returns the sets of witnesses in which a claim needs a majority, one for each
+// host list that may have been in force at an earlier claim of the key. It returns nil if the
+// host list has not been confirmed recently enough.
 func (t *MemberTable) WitnessSets(r claim.Request, at time.Time) [][]string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/blackboard/poison.go
+++ b/node/blackboard/poison.go
@@ -62,11 +62,11 @@
 func (t *PoisonTable) RecordCrash(c poison.Crash, at time.Time) poison.CrashResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	f := t.table.RecordCrash(c, at)
-	if f.Quarantined {
+	result := t.table.RecordCrash(c, at)
+	if result.Quarantined {
 		t.cancelSends(c.Request)
 	}
-	return f
+	return result
 }
 
 // RecordSuccess records that a target has answered a request. It returns the new verdict
--- a/node/blackboard/prefill_test.go
+++ b/node/blackboard/prefill_test.go
@@ -8,8 +8,8 @@
 	"doorstack.dev/core/routing"
 )
 
-// TestDisturbedCallsLeaveDecodeGroups checks that calls whose gap goal is already missed by
-// a part no longer count against the next part, while calls that begin later do.
+// TestDisturbedCallsLeaveDecodeGroups checks that calls that miss their gap goal because of one
+// part of a prompt do not count when the next part is placed, while calls that begin later do.
 func TestDisturbedCallsLeaveDecodeGroups(t *testing.T) {
 	now := time.Now()
 	s := &targetState{pool: &targetPool{}, calls: map[string]*activeCall{}}
@@ -39,8 +39,8 @@
 }
 
 // TestPrefillSlackOfPendingPrompts checks that the slack is the shortest of all pending
-// prompts, and that a prompt that misses its goal anyway still has the slack until its
-// caller gives up.
+// prompts, and that a prompt that misses its goal anyway still has slack, since its caller
+// waits for longer than the goal.
 func TestPrefillSlackOfPendingPrompts(t *testing.T) {
 	now := time.Now()
 	s := &targetState{pool: &targetPool{}, calls: map[string]*activeCall{}}
@@ -70,7 +70,7 @@
 	add("late", 1_000, 1, 2, 0.09)
 	s.refreshPrefill(&view, now)
 	if !slackIs(extraGoalsWhenLate - 1 - view.PendingPrefill - secondsToFirstEvent) {
-		t.Errorf("a late prompt: %+v, want the slack of its extra goals", view)
+		t.Errorf("a late prompt: %+v, want the slack that extraGoalsWhenLate leaves", view)
 	}
 	add("no goal", 1_000, 0, 0, 0.09)
 	before := view.PendingPromptTokens
@@ -92,9 +92,9 @@
 	}
 }
 
-// TestRecentPrefillCoversOnePass checks RecentPrefill. A decoding engine starts new prompts with its
-// next pass and prefills them all in it: two prompts that arrive 30 ms apart make one gap of both,
-// although an engine that prefills all the time would have finished the first meanwhile.
+// TestRecentPrefillCoversOnePass checks RecentPrefill. A decoding engine prefills new prompts in its
+// next pass, all of them together. Two prompts that arrive 30 ms apart thus cause one gap as long as
+// both prefills, although an engine that only prefills would have finished the first in these 30 ms.
 func TestRecentPrefillCoversOnePass(t *testing.T) {
 	timing := engine.Timing{Step: 1e-3, StepsPerPass: 50}
 	now := time.Now()
--- a/node/blackboard/prefixes.go
+++ b/node/blackboard/prefixes.go
@@ -90,7 +90,8 @@
 	Tokens int64
 }
 
-// Lookup returns the targets that probably have the longest prefixes of a prompt cached.
+// Lookup returns the targets that probably have the longest prefixes of a prompt cached. The
+// hashes are those of target.PrefixHashes, the shortest prefix first.
 func (t *PrefixTable) Lookup(hashes []uint64) []Holder {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/blackboard/queues.go
+++ b/node/blackboard/queues.go
@@ -37,7 +37,7 @@
 	Holders []Holder
 	// Deadline is when the request must be complete.
 	Deadline time.Time
-	// Params are the pool's routing parameters at the time of the last dispatch.
+	// Params are the pool's routing parameters when the ticket was created.
 	Params routing.Params
 	// placed receives the placement, once.
 	placed chan Placement
@@ -87,8 +87,8 @@
 
 // After the dispatch of a queue of throttleMinLength requests or more, the next dispatch
 // waits for throttleInterval: each dispatch looks at every request, and under overload
-// events arrive faster than that. The interval is short against the smallest first-event
-// goal of callers, 300 ms.
+// events arrive faster than such dispatches are done. The interval is short against the
+// smallest first-event goal of callers, 300 ms.
 const (
 	throttleMinLength = 8
 	throttleInterval  = 8 * time.Millisecond
@@ -177,8 +177,8 @@
 }
 
 // noTargetGrace is how long a request waits while its pool has no target at all:
-// longer than a target's restart is usually visible on the host list, and short enough
-// that the caller gets the error early.
+// longer than a target's restart usually shows on the host list, and short enough that
+// the caller gets the error early.
 const noTargetGrace = 3 * time.Second
 
 // Dispatch offers the waiting requests of a pool to its targets, delivers each placement
@@ -260,11 +260,12 @@
 	return true
 }
 
-// candidateRecordInterval is how often the candidates of a decision to wait are recorded, since every
-// event of its pool makes a new decision for a ticket.
+// candidateRecordInterval is the least time between two decisions to wait of a ticket whose candidates
+// are recorded. Not all are recorded, since every event of the pool leads to a new decision.
 const candidateRecordInterval = 100 * time.Millisecond
 
-// recordWait keeps a decision to wait that has its candidates, for the explanation.
+// recordWait keeps a decision to wait, for the explanation, if its candidates are recorded or
+// if it is the ticket's first.
 func (t *Ticket) recordWait(d *routing.Decision, at time.Time) {
 	if !t.Request.OmitCandidates || t.waitDecision == nil {
 		t.waitDecision, t.candidatesRecorded = d, at
@@ -287,8 +288,8 @@
 const reserveAfterSteps = 2
 
 // reserveTargetForOldest reserves a target for the longest-waiting long request once that
-// has waited too long, so that new short requests cannot fill every gap before it forever.
-// One target of a pool is reserved at a time.
+// request has waited for reserveAfterSteps ageing steps. Otherwise new short requests could
+// take all free capacity before it forever. One target of a pool is reserved at a time.
 func (t *QueueTable) reserveTargetForOldest(p *poolQueue, pool string, targets *TargetTable, at time.Time) {
 	oldest := p.queue.Oldest(true)
 	if oldest == nil || p.queue.AgeingPerLevel <= 0 || at.Sub(oldest.Arrived) < reserveAfterSteps*p.queue.AgeingPerLevel {
--- a/node/blackboard/repeats.go
+++ b/node/blackboard/repeats.go
@@ -6,7 +6,8 @@
 	"doorstack.dev/core/admission"
 )
 
-// RepeatTable limits, by pool, how many sends of calls go beyond each call's first.
+// RepeatTable limits the repeats of the calls to each pool. A repeat is any send of a call
+// after its first.
 type RepeatTable struct {
 	mu    Mutex
 	limit admission.RepeatLimit
--- a/node/blackboard/shares.go
+++ b/node/blackboard/shares.go
@@ -17,9 +17,9 @@
 	holders       map[string]*share.Holder
 	owners        map[string]*share.Owner
 	leasesKnown   bool
-	adoptedLeases map[string][]adoptedLease // reported by holders before their first renewal
+	adoptedLeases map[string][]adoptedLease // by account; reported for accounts not yet in owners
 	listedDaemons int
-	adoptUntil    time.Time
+	adoptUntil    time.Time // when the last adopted lease expires
 }
 
 // adoptedLease is a lease that a previous owner granted.
@@ -91,7 +91,8 @@
 	}
 }
 
-// Renew answers a renewal as the owner of the account.
+// Renew answers a renewal as the owner of the account. alive is the number of daemons that
+// this one believes alive, and published the number on the host list.
 func (t *ShareTable) Renew(account string, r share.Renewal, alive, published int, at time.Time) share.Grant {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -159,7 +160,9 @@
 	}
 }
 
-// Invalidate ends all leases, after a pause of the process.
+// Invalidate ends the leases that this daemon holds, after a pause of the process. As an
+// owner, the daemon raises no fraction until the leases that others may have granted
+// meanwhile have expired.
 func (t *ShareTable) Invalidate(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/blackboard/startup.go
+++ b/node/blackboard/startup.go
@@ -10,12 +10,12 @@
 
 // The stages, in their usual order.
 const (
-	StageStore       Stage = iota // the store has answered
+	StageStore       Stage = iota // the platform's store has answered
 	StagePeer                     // another daemon is known
 	StageSettings                 // settings are in force
 	StageTargets                  // targets are known
 	StageServing                  // calls are accepted
-	StageCoordinator              // a coordinator has answered
+	StageCoordinator              // the coordinator of a pool, another daemon, has answered
 	StagePlaced                   // a call has a target
 	StageAnswered                 // a caller has its whole answer
 	stageCount
--- a/node/blackboard/target_calls.go
+++ b/node/blackboard/target_calls.go
@@ -114,9 +114,9 @@
 	return c.gone
 }
 
-// BeginPart counts a part of a group call at a target that the caller chose. The channel
-// is closed if the target is considered gone before the part ends; it is nil if the target
-// is not known.
+// BeginPart counts, at a target that the caller chose, one part of a request that a group of
+// targets serves (see routing.Group). The channel is closed if the target is considered gone
+// before the part ends; it is nil if the target is not known.
 func (t *TargetTable) BeginPart(id, attempt string, load routing.Load, at time.Time) <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -209,7 +209,8 @@
 	s.refresh(at)
 }
 
-// Reserve excludes all other requests from a target, for one long request; "" ends that.
+// Reserve reserves a target for one long request, so that no other request is placed there.
+// An empty request ends the reservation.
 func (t *TargetTable) Reserve(id, request string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/blackboard/target_limits.go
+++ b/node/blackboard/target_limits.go
@@ -18,7 +18,8 @@
 	Age time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// TimedNotice converts the state to a notice of the target, received at the given time.
+// TimedNotice converts the state, received from another daemon at the given time, to the
+// target's notice.
 func (l *LimitState) TimedNotice(at time.Time) forward.TimedNotice {
 	then := at.Add(-max(0, l.Age))
 	if l.Lifted {
@@ -28,11 +29,11 @@
 }
 
 // routingRateLimit converts a target's rate limiter to the input of routing; nil if it has none.
-func routingRateLimit(s *forward.RateLimiter, at time.Time) *routing.RateLimit {
-	if s == nil {
+func routingRateLimit(limiter *forward.RateLimiter, at time.Time) *routing.RateLimit {
+	if limiter == nil {
 		return nil
 	}
-	return &routing.RateLimit{PerSecond: s.Rate(), Wait: s.Wait(at).Seconds(), SinceLastCall: s.SinceLastCall(at).Seconds()}
+	return &routing.RateLimit{PerSecond: limiter.Rate(), Wait: limiter.Wait(at).Seconds(), SinceLastCall: limiter.SinceLastCall(at).Seconds()}
 }
 
 // limit returns the rate limit that the target has declared.
@@ -95,7 +96,7 @@
 	return &state
 }
 
-// RecordLimitedCall counts a call that another daemon placed against its target's rate limit.
+// RecordLimitedCall counts, toward the rate limit of its target, a call that another daemon placed.
 func (t *TargetTable) RecordLimitedCall(id string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -105,8 +106,9 @@
 	}
 }
 
-// overLimitTolerance is how far this daemon's own calls may be ahead of a rate limit when another daemon,
-// which knows of all calls, places one more: calls may be reordered on their way to this daemon.
+// overLimitTolerance is the longest wait for a target's rate limit, computed from this daemon's own
+// calls, at which this daemon still accepts another daemon's placement. That daemon knows of all
+// calls, and its placements may arrive in another order than it made them.
 const overLimitTolerance = 500 * time.Millisecond
 
 // OverLimit reports whether one more call would exceed a target's rate limit, counting this daemon's own calls alone.
--- a/node/blackboard/target_notices.go
+++ b/node/blackboard/target_notices.go
@@ -48,10 +48,10 @@
 	return ids
 }
 
-// BackoffLeft reports whether no live target of a pool takes a call at the moment because of backoff,
-// and returns the shortest backoff left. That is so if all targets that the call has not tried yet
-// are in backoff; if it has tried them all, one in backoff is enough.
-func (t *TargetTable) BackoffLeft(pool string, exclude []string, at time.Time) (left time.Duration, all bool) {
+// BackoffLeft returns the shortest backoff left at the live targets of a pool, and reports whether
+// a call has to wait for it. exclude lists the targets that the call has tried. The call has to wait
+// if all other live targets are in backoff; if it has tried them all, one in backoff is enough.
+func (t *TargetTable) BackoffLeft(pool string, exclude []string, at time.Time) (left time.Duration, mustWait bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.pools[pool]
--- a/node/blackboard/target_prefill.go
+++ b/node/blackboard/target_prefill.go
@@ -16,7 +16,8 @@
 	reservedTokens int64 // memory reserved for the call at a helper, in tokens
 }
 
-// prefillState is the known outstanding prefill of a target of known timing.
+// prefillState is the outstanding prefill of a target of known timing, as far as this daemon
+// knows it.
 type prefillState struct {
 	// doneAt is when the target will have prefilled all its parts.
 	doneAt time.Time
@@ -84,7 +85,8 @@
 	return t.addParts(c, d.Helpers, d.Reservations, d.PrefillTime/float64(1+len(d.Helpers)), at)
 }
 
-// setFirstEventGoal sets the goal in seconds, of which the call has already waited some.
+// setFirstEventGoal sets the goal for the time to the first event; waited is the part of it
+// that has elapsed. Both are in seconds.
 func (c *activeCall) setFirstEventGoal(goal, waited float64, at time.Time) {
 	c.firstEventGoal = goal
 	c.firstEventDue = at.Add(engine.Duration(goal - waited))
@@ -95,8 +97,8 @@
 	// secondsToFirstEvent is the time from the end of prefill to the first event, in seconds:
 	// one and a half passes of a target that is decoding.
 	secondsToFirstEvent = 0.1
-	// extraGoalsWhenLate is how many more times its goal a call that misses the goal may take:
-	// callers give up after four times their goal.
+	// extraGoalsWhenLate is how many more times its goal a call that misses the goal may take,
+	// which makes three times in all: callers give up after four times their goal.
 	extraGoalsWhenLate = 2
 )
 
@@ -173,8 +175,8 @@
 	c.parts = nil
 }
 
-// markDisturbed marks the calls at a target whose gap goal the pending prefill makes them
-// miss. Further prefill there costs these calls nothing more.
+// markDisturbed marks the calls at a target, except the added one, that the pending prefill
+// makes miss their gap goal. Further prefill there costs these calls nothing more.
 func (s *targetState) markDisturbed(added *activeCall, at time.Time) {
 	gap := s.prefill.doneAt.Sub(at).Seconds()
 	for _, c := range s.calls {
--- a/node/blackboard/target_remote.go
+++ b/node/blackboard/target_remote.go
@@ -42,9 +42,9 @@
 	return state
 }
 
-// Adopt counts a call that another daemon placed or makes. The channel is closed if
-// the target is considered gone; it is nil if the target is not known or the call is
-// already counted.
+// Adopt counts a call of this daemon that another daemon placed, or a call that another
+// daemon makes. The channel is closed if the target is considered gone; it is nil if the
+// target is not known or the call is already counted.
 func (t *TargetTable) Adopt(c CallState, at time.Time) <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/blackboard/target_views.go
+++ b/node/blackboard/target_views.go
@@ -111,8 +111,10 @@
 	// Backoff is for how much longer the target wants no calls from this daemon.
 	Backoff time.Duration `json:"rest_ns,omitempty"`
 	// Limit is the rate limit that the target has declared, with its unit; empty if it has declared none.
-	Limit    string `json:"limit,omitempty"`
-	OwnCalls int    `json:"own_calls"`
+	Limit string `json:"limit,omitempty"`
+	// OwnCalls is the number of calls in progress that this daemon counts at the target,
+	// including those that other daemons reported.
+	OwnCalls int `json:"own_calls"`
 }
 
 // Status returns the status of all targets, sorted by pool and id.
--- a/node/blackboard/targets.go
+++ b/node/blackboard/targets.go
@@ -89,7 +89,7 @@
 	endedSinceReport routing.Load // load of calls ended after reportAt, sent before
 	calls            map[string]*activeCall
 	breaker          admission.Breaker
-	reservedFor      string
+	reservedFor      string // id of the long request that the target is reserved for
 	failures         int64
 	recentFailures   failureCount
 	prefill          prefillState
