--- a/node/internal/processes/processes_test.go
+++ b/node/internal/processes/processes_test.go
@@ -22,12 +22,12 @@
 	"golang.org/x/sys/unix"
 )
 
-const patience = 60 * time.Second
+const waitTimeout = 60 * time.Second
 
-type world struct {
-	t    *testing.T
-	dir  string
-	file string // the settings
+type testEnv struct {
+	t            *testing.T
+	dir          string
+	settingsFile string // the settings
 }
 
 // daemonProcess is a doorstackd with the addresses of its file.
@@ -37,7 +37,7 @@
 	peer                string
 }
 
-func build(t *testing.T) *world {
+func buildPrograms(t *testing.T) *testEnv {
 	t.Helper()
 	dir := t.TempDir()
 	if out, err := exec.Command("go", "build", "-o", dir+"/", "doorstack.dev/node/cmd/...").CombinedOutput(); err != nil {
@@ -47,11 +47,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &world{t: t, dir: dir, file: file}
+	return &testEnv{t: t, dir: dir, settingsFile: file}
 }
 
 // run starts a program and returns once it has printed a line that contains text.
-func (w *world) run(text, program string, args ...string) (*exec.Cmd, string) {
+func (w *testEnv) startProgram(text, program string, args ...string) (*exec.Cmd, string) {
 	w.t.Helper()
 	cmd := exec.Command(filepath.Join(w.dir, program), args...)
 	cmd.Stderr = os.Stderr
@@ -76,7 +76,7 @@
 	}
 }
 
-func (w *world) daemon(name, platform, peer string) *daemonProcess {
+func (w *testEnv) startDaemon(name, platform, peer string) *daemonProcess {
 	w.t.Helper()
 	d := &daemonProcess{name: name, listen: testaddr.Free(w.t), admin: testaddr.Free(w.t), peer: peer}
 	path := filepath.Join(w.dir, name+".yaml")
@@ -85,14 +85,14 @@
 	if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
 		w.t.Fatal(err)
 	}
-	d.cmd, _ = w.run(`"msg":"serving"`, "doorstackd", "--config", path)
+	d.cmd, _ = w.startProgram(`"msg":"serving"`, "doorstackd", "--config", path)
 	return d
 }
 
 // stop stops the process and returns once all of its threads are stopped. The signal
 // alone is not enough: on a busy host the process can still answer a call before the
 // thread that takes the signal runs, and a SIGCONT that comes first removes it.
-func (d *daemonProcess) stop(t *testing.T) {
+func (d *daemonProcess) suspend(t *testing.T) {
 	t.Helper()
 	if err := d.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
@@ -108,12 +108,12 @@
 	}
 }
 
-// stream asks for a long answer and returns once its first event has come; the
+// startStream asks for a long answer and returns once its first event has come; the
 // rest is read by rest.
-func stream(t *testing.T, d *daemonProcess, tokens int) (resp *http.Response, lines *bufio.Scanner) {
+func startStream(t *testing.T, d *daemonProcess, tokens int) (resp *http.Response, lines *bufio.Scanner) {
 	t.Helper()
 	body := fmt.Sprintf(`{"model":"assistant","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"a long answer, please"}]}`, tokens)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	t.Cleanup(cancel)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.listen+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
@@ -132,8 +132,8 @@
 	return resp, lines
 }
 
-// rest reads to the end and counts events; whole tells whether the end mark came.
-func rest(lines *bufio.Scanner) (events int, whole bool) {
+// readRest reads to the end and counts events; whole tells whether the end mark came.
+func readRest(lines *bufio.Scanner) (events int, whole bool) {
 	for lines.Scan() {
 		switch {
 		case lines.Text() == "data: [DONE]":
@@ -145,14 +145,14 @@
 	return events, whole
 }
 
-func (w *world) doorstack(args ...string) string {
+func (w *testEnv) runDoorstack(args ...string) string {
 	cmd := exec.Command(filepath.Join(w.dir, "doorstack"), args...)
 	out, _ := cmd.CombinedOutput()
 	return string(bytes.TrimSpace(out))
 }
 
 // metric reads a metric without labels.
-func (w *world) metric(d *daemonProcess, name string) string {
+func (w *testEnv) metric(d *daemonProcess, name string) string {
 	resp, err := http.Get("http://" + d.admin + "/metrics")
 	if err != nil {
 		w.t.Fatal(err)
@@ -168,8 +168,8 @@
 
 // reached reads a metric until it has the value. The daemon notices a pause at its next
 // tick, on a busy host after the first calls.
-func (w *world) reached(d *daemonProcess, name, value string) bool {
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); {
+func (w *testEnv) awaitMetric(d *daemonProcess, name, value string) bool {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); {
 		if w.metric(d, name) == value {
 			return true
 		}
@@ -177,36 +177,36 @@
 	return false
 }
 
-// TestProcesses: a request end to end through processes of their own; a killed
+// TestDaemonProcessesUnderSignals: a request end to end through processes of their own; a killed
 // daemon gives no answer that looks whole; a signalled one finishes its stream; a
 // stopped and continued one goes on.
-func TestProcesses(t *testing.T) {
-	w := build(t)
+func TestDaemonProcessesUnderSignals(t *testing.T) {
+	w := buildPrograms(t)
 	peers := []string{testaddr.Free(t), testaddr.Free(t)}
-	_, line := w.run("platform at", "doorstack", "standin", "--settings", w.file, "--listen", "127.0.0.1:0",
+	_, line := w.startProgram("platform at", "doorstack", "standin", "--settings", w.settingsFile, "--listen", "127.0.0.1:0",
 		"--daemon", "d1="+peers[0], "--daemon", "d2="+peers[1])
 	platform := strings.TrimSuffix(strings.Fields(line)[2], ",")
-	first := w.daemon("d1", platform, peers[0])
-	second := w.daemon("d2", platform, peers[1])
+	first := w.startDaemon("d1", platform, peers[0])
+	second := w.startDaemon("d2", platform, peers[1])
 
 	// Killed in the middle: no end mark.
-	resp, lines := stream(t, first, 2000)
+	resp, lines := startStream(t, first, 2000)
 	id := resp.Header.Get("X-Request-Id")
-	if out := w.doorstack("explain", id, "--admin", second.admin, "--replay"); !strings.Contains(out, "chosen") {
+	if out := w.runDoorstack("explain", id, "--admin", second.admin, "--replay"); !strings.Contains(out, "chosen") {
 		t.Errorf("explain from the other host: %s", out)
 	}
 	if err := first.cmd.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	if _, whole := rest(lines); whole {
+	if _, whole := readRest(lines); whole {
 		t.Error("a killed daemon's stream ended as if it were whole")
 	}
-	if out := w.doorstack("explain", id, "--admin", second.admin); !strings.Contains(out, "did not answer") {
+	if out := w.runDoorstack("explain", id, "--admin", second.admin); !strings.Contains(out, "did not answer") {
 		t.Errorf("explain of a dead daemon's request: %s", out)
 	}
 
 	// Stopped for longer than the pause detector allows, then continued.
-	second.stop(t)
+	second.suspend(t)
 	// A stopped process does not answer; finding that out takes longer than the
 	// gap that its pause detector allows.
 	impatient := &http.Client{Timeout: 1500 * time.Millisecond}
@@ -217,11 +217,11 @@
 	if err := second.cmd.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	_, lines = stream(t, second, 400)
-	if !w.reached(second, "doorstack_pauses_total", "1") {
+	_, lines = startStream(t, second, 400)
+	if !w.awaitMetric(second, "doorstack_pauses_total", "1") {
 		t.Error("the pause was not noticed")
 	}
-	if out := w.doorstack("status", "--admin", second.admin); !strings.Contains(out, "serving") || !strings.Contains(out, "this daemon") {
+	if out := w.runDoorstack("status", "--admin", second.admin); !strings.Contains(out, "serving") || !strings.Contains(out, "this daemon") {
 		t.Errorf("status: %s", out)
 	}
 
@@ -229,7 +229,7 @@
 	if err := second.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if events, whole := rest(lines); !whole || events != 400 {
+	if events, whole := readRest(lines); !whole || events != 400 {
 		t.Errorf("a drained daemon's stream: %d events, whole %v", events, whole)
 	}
 	if err := second.cmd.Wait(); err != nil {
--- a/node/onplatform/answers_test.go
+++ b/node/onplatform/answers_test.go
@@ -15,20 +15,20 @@
 	"doorstack.dev/platform/standin"
 )
 
-func TestACallGoesThroughUnchanged(t *testing.T) {
+func TestCallIsForwardedUnchanged(t *testing.T) {
 	f := newFleet(t, 1, 1)
-	a := f.ask(unsafe)
+	a := f.newRequest(unsafePath)
 	a.Body = "the body"
 	got := f.do(a)
 	if got.Err != nil || got.Status != 200 || got.Body != "ok" || !got.Signed() || got.Header.Get("X-Request-Id") != a.ID {
 		t.Fatalf("%+v", got)
 	}
-	calls := f.calls(a.ID)
+	calls := f.callsWithID(a.ID)
 	if len(calls) != 1 {
 		t.Fatalf("%d calls", len(calls))
 	}
 	c := calls[0]
-	if c.Method != "POST" || c.URI != unsafe+"x?q=1" || c.Body != a.Body || c.Account() != "a" || c.APIKey() != "" || c.TargetID() != "t1" {
+	if c.Method != "POST" || c.URI != unsafePath+"x?q=1" || c.Body != a.Body || c.Account() != "a" || c.APIKey() != "" || c.TargetID() != "t1" {
 		t.Fatalf("%+v account %q key %q for %q", c, c.Account(), c.APIKey(), c.TargetID())
 	}
 	if left, err := strconv.Atoi(c.DeadlineMS()); err != nil || left > a.DeadlineMS || left < a.DeadlineMS-1000 {
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestRoutesAndKeys(t *testing.T) {
+func TestRoutingAndAuthentication(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	for name, c := range map[string]struct {
 		change func(*standin.CallerRequest)
@@ -46,9 +46,9 @@
 		"unknown host": {func(a *standin.CallerRequest) { a.Host = "other.example" }, 404},
 		"unknown key":  {func(a *standin.CallerRequest) { a.APIKey = "wrong" }, 401},
 		"no key":       {func(a *standin.CallerRequest) { a.APIKey = "" }, 401},
-		"open route":   {func(a *standin.CallerRequest) { a.Path, a.APIKey = open, "" }, 200},
+		"open route":   {func(a *standin.CallerRequest) { a.Path, a.APIKey = noAuthPath, "" }, 200},
 	} {
-		a := f.ask(safe)
+		a := f.newRequest(safePath)
 		c.change(a)
 		if got := f.do(a); got.Status != c.status || got.Signed() != (c.status == 200) {
 			t.Errorf("%s: %d signed %v, want %d", name, got.Status, got.Signed(), c.status)
@@ -56,14 +56,14 @@
 	}
 }
 
-// TestWithoutAConfigurationNothingIsDenied: a daemon that knows none says that it
+// TestDaemonWithoutConfigurationAnswers503: a daemon that knows none says that it
 // cannot serve, not that the caller is wrong.
-func TestWithoutAConfigurationNothingIsDenied(t *testing.T) {
+func TestDaemonWithoutConfigurationAnswers503(t *testing.T) {
 	f := &fleet{t: t, store: standin.NewStore(), client: http.DefaultClient, targets: map[string]*standin.Target{}}
 	d := f.addDaemon(0)
 	var got standin.CallerResponse
 	f.eventually("an answer", func() bool {
-		got = f.do(f.ask(safe))
+		got = f.do(f.newRequest(safePath))
 		return got.Err == nil
 	})
 	if got.Status != 503 || got.Header.Get("Retry-After") == "" || f.ready(d) {
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestUnsafeRunsOnce(t *testing.T) {
+func TestUnsafeCallIsSentOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		script func(http.ResponseWriter, *http.Request, standin.Call)
 		status int
@@ -87,20 +87,20 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 1, 2)
 			f.scriptAll(c.script)
-			a := f.ask(unsafe)
+			a := f.newRequest(unsafePath)
 			got := f.do(a)
 			if got.Err != nil || got.Status != c.status || got.Signed() != c.signed {
 				t.Errorf("%+v, want %d signed %v", got, c.status, c.signed)
 			}
-			if n := len(f.calls(a.ID)); n != 1 {
+			if n := len(f.callsWithID(a.ID)); n != 1 {
 				t.Errorf("%d runs", n)
 			}
 		})
 	}
 }
 
-// TestConnectionsToTargetsAreKept: calls in turn go over one connection.
-func TestConnectionsToTargetsAreKept(t *testing.T) {
+// TestTargetConnectionsAreReused: calls in turn go over one connection.
+func TestTargetConnectionsAreReused(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	var mu sync.Mutex
 	from := map[string]bool{}
@@ -108,15 +108,15 @@
 		mu.Lock()
 		from[r.RemoteAddr] = true
 		mu.Unlock()
-		if strings.HasPrefix(c.URI, stream) {
+		if strings.HasPrefix(c.URI, streamPath) {
 			standin.AnswerStream(1, 3, false)(w, r, c)
 			return
 		}
 		standin.Succeed("ok")(w, r, c)
 	})
 	for range 3 {
-		for _, path := range []string{safe, unsafe, stream} {
-			if got := f.do(f.ask(path)); got.Status != 200 {
+		for _, path := range []string{safePath, unsafePath, streamPath} {
+			if got := f.do(f.newRequest(path)); got.Status != 200 {
 				t.Fatalf("%+v", got)
 			}
 		}
@@ -128,104 +128,104 @@
 	}
 }
 
-func TestSafeGoesToAnotherTarget(t *testing.T) {
+func TestSafeCallIsRetriedAtAnotherTarget(t *testing.T) {
 	for name, first := range map[string]func(http.ResponseWriter, *http.Request, standin.Call){
 		"cut": standin.CloseConnection, "own failure": standin.Answer(500, "no"), "truncated": standin.Truncate,
 		"full": standin.Reject, "503 without a word": standin.Answer(503, "no"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 1, 2)
-			f.scriptOnce(first, standin.Succeed("second"))
-			a := f.ask(safe)
+			f.scriptFirstCall(first, standin.Succeed("second"))
+			a := f.newRequest(safePath)
 			if got := f.do(a); got.Status != 200 || got.Body != "second" {
 				t.Errorf("%+v", got)
 			}
-			if calls := f.calls(a.ID); len(calls) != 2 || calls[0].TargetID() == calls[1].TargetID() {
+			if calls := f.callsWithID(a.ID); len(calls) != 2 || calls[0].TargetID() == calls[1].TargetID() {
 				t.Errorf("%d calls", len(calls))
 			}
 		})
 	}
 }
 
-// TestAFailureIsTheTargetsOwn: where every target fails, the caller gets what the last
+// TestLastTargetFailureIsReturnedUnchanged: where every target fails, the caller gets what the last
 // one said, unchanged.
-func TestAFailureIsTheTargetsOwn(t *testing.T) {
+func TestLastTargetFailureIsReturnedUnchanged(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	f.scriptAll(standin.Answer(500, "broken"))
-	if got := f.do(f.ask(safe)); got.Status != 500 || got.Body != "broken" || !got.Signed() {
+	if got := f.do(f.newRequest(safePath)); got.Status != 500 || got.Body != "broken" || !got.Signed() {
 		t.Fatalf("%+v", got)
 	}
 }
 
-// TestNotRunIsSaidOnlyWhereItIsTrue: a call that every target turned away is refused
+// TestNotExecutedStatusOnlyForUnexecutedCalls: a call that every target turned away is refused
 // with the time to come back; one that may have run at the first is not.
-func TestNotRunIsSaidOnlyWhereItIsTrue(t *testing.T) {
+func TestNotExecutedStatusOnlyForUnexecutedCalls(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	f.scriptAll(standin.Reject)
-	got := f.do(f.ask(unsafe))
+	got := f.do(f.newRequest(unsafePath))
 	if got.Status != 503 || got.Signed() || got.Header.Get("Retry-After") == "" {
 		t.Fatalf("turned away by all: %+v", got)
 	}
 	g := newFleet(t, 1, 2)
-	g.scriptOnce(standin.CloseConnection, standin.Reject)
-	if got := g.do(g.ask(safe)); got.Status == 503 || got.Status == 429 {
+	g.scriptFirstCall(standin.CloseConnection, standin.Reject)
+	if got := g.do(g.newRequest(safePath)); got.Status == 503 || got.Status == 429 {
 		t.Fatalf("it may have run, and the caller is told that it has not: %+v", got)
 	}
 }
 
-func TestAStreamGoesOnElsewhere(t *testing.T) {
+func TestBrokenStreamResumesAtAnotherTarget(t *testing.T) {
 	f := newFleet(t, 1, 2)
-	f.scriptOnce(standin.AnswerStream(1, 3, true), standin.AnswerStream(4, 6, false))
-	a := f.ask(stream)
+	f.scriptFirstCall(standin.AnswerStream(1, 3, true), standin.AnswerStream(4, 6, false))
+	a := f.newRequest(streamPath)
 	got := f.do(a)
-	if got.Err != nil || got.Status != 200 || got.Body != events(1, 6) || got.Signature() != "sign from 1" {
+	if got.Err != nil || got.Status != 200 || got.Body != eventTexts(1, 6) || got.Signature() != "sign from 1" {
 		t.Fatalf("%+v", got)
 	}
-	calls := f.calls(a.ID)
+	calls := f.callsWithID(a.ID)
 	if len(calls) != 2 || calls[0].LastEventID()+calls[1].LastEventID() != "3" {
 		t.Fatalf("%d calls, asked to go on after %q and %q", len(calls), calls[0].LastEventID(), calls[1].LastEventID())
 	}
 }
 
-// TestABrokenStreamLooksBroken: one that may not be resumed ends without its end, and
+// TestNonResumableStreamEndsWithError: one that may not be resumed ends without its end, and
 // never in the middle of an event.
-func TestABrokenStreamLooksBroken(t *testing.T) {
+func TestNonResumableStreamEndsWithError(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	f.scriptAll(standin.AnswerStream(1, 3, true))
-	a := f.ask(once)
+	a := f.newRequest(nonResumablePath)
 	got := f.do(a)
-	if got.Err == nil || got.Body != events(1, 3) {
+	if got.Err == nil || got.Body != eventTexts(1, 3) {
 		t.Fatalf("err %v, body %q", got.Err, got.Body)
 	}
-	if n := len(f.calls(a.ID)); n != 1 {
+	if n := len(f.callsWithID(a.ID)); n != 1 {
 		t.Fatalf("%d runs", n)
 	}
 }
 
-// TestAStreamOutOfOrderIsNotJoined: a target that begins again from the first event
+// TestRestartedStreamIsNotJoined: a target that begins again from the first event
 // does not make the caller get events twice.
-func TestAStreamOutOfOrderIsNotJoined(t *testing.T) {
+func TestRestartedStreamIsNotJoined(t *testing.T) {
 	f := newFleet(t, 1, 2)
-	f.scriptOnce(standin.AnswerStream(1, 3, true), standin.AnswerStream(1, 6, false))
-	got := f.do(f.ask(stream))
-	if got.Err == nil || got.Body != events(1, 3) {
+	f.scriptFirstCall(standin.AnswerStream(1, 3, true), standin.AnswerStream(1, 6, false))
+	got := f.do(f.newRequest(streamPath))
+	if got.Err == nil || got.Body != eventTexts(1, 3) {
 		t.Fatalf("err %v, body %q", got.Err, got.Body)
 	}
 }
 
-func TestACallersStreamGoesOnFromItsLastEvent(t *testing.T) {
+func TestLastEventIDIsForwarded(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	f.scriptAll(standin.AnswerStream(8, 9, false))
-	a := f.ask(stream)
+	a := f.newRequest(streamPath)
 	a.LastEventID = "7"
 	got := f.do(a)
-	if calls := f.calls(a.ID); got.Body != events(8, 9) || len(calls) != 1 || calls[0].LastEventID() != "7" {
+	if calls := f.callsWithID(a.ID); got.Body != eventTexts(8, 9) || len(calls) != 1 || calls[0].LastEventID() != "7" {
 		t.Fatalf("%+v", got)
 	}
 }
 
-// rawTarget answers each call on a connection with fixed bytes.
-func rawTarget(t *testing.T, f *fleet, id string, answer func(call string, n int) string) {
+// startRawTarget answers each call on a connection with fixed bytes.
+func startRawTarget(t *testing.T, f *fleet, id string, answer func(call string, n int) string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -252,33 +252,33 @@
 			}()
 		}
 	}()
-	f.store.PutAddress(id, listener.Addr().String(), plain, 6)
+	f.store.PutAddress(id, listener.Addr().String(), plainService, 6)
 	f.eventually("the raw target", func() bool { return len(f.daemons[0].Board.Targets.Addresses()) == len(f.targets)+1 })
 }
 
-// TestAnswersOfOthersAreSkipped: an extra answer after a whole one belongs to nobody,
+// TestAnswersToOtherCallsAreSkipped: an extra answer after a whole one belongs to nobody,
 // before the right one and behind it.
-func TestAnswersOfOthersAreSkipped(t *testing.T) {
+func TestAnswersToOtherCallsAreSkipped(t *testing.T) {
 	f := newFleet(t, 1, 0)
-	rawTarget(t, f, "raw", func(id string, n int) string {
+	startRawTarget(t, f, "raw", func(id string, n int) string {
 		if n == 2 {
 			return standin.RawAnswer("somebody-else", "not yours") + standin.RawAnswer(id, "right")
 		}
 		return standin.RawAnswer(id, "right") + standin.RawAnswer(id, "again")
 	})
 	for range 4 {
-		if got := f.do(f.ask(unsafe)); got.Err != nil || got.Status != 200 || got.Body != "right" {
+		if got := f.do(f.newRequest(unsafePath)); got.Err != nil || got.Status != 200 || got.Body != "right" {
 			t.Fatalf("%+v", got)
 		}
 	}
 }
 
-// TestAnAnswerThatNeverEndsIsCut: the route's timeout ends a stalled answer, and a
+// TestCallTimesOutWithoutAnswer: the route's timeout ends a stalled answer, and a
 // caller that waits for the first byte hears of it.
-func TestAnAnswerThatNeverEndsIsCut(t *testing.T) {
+func TestCallTimesOutWithoutAnswer(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	f.scriptAll(func(_ http.ResponseWriter, r *http.Request, _ standin.Call) { <-r.Context().Done() })
-	a := f.ask(unsafe)
+	a := f.newRequest(unsafePath)
 	a.DeadlineMS = 300
 	began := time.Now()
 	got := f.do(a)
@@ -287,31 +287,31 @@
 	}
 }
 
-func TestAnotherTargetAtTheAddress(t *testing.T) {
+func TestWrongTargetAtAddress(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	f.targets["t1"].ID = "somebody-else"
 	for range 4 {
-		if got := f.do(f.ask(unsafe)); got.Status != 200 {
+		if got := f.do(f.newRequest(unsafePath)); got.Status != 200 {
 			t.Fatalf("%+v", got)
 		}
 	}
 }
 
-// TestLargePromptsSetMemoryAside: a prompt over one engine's memory is read by
+// TestLargePromptReservesAndReleasesMemory: a prompt over one engine's memory is read by
 // several; what it sets aside is given back.
-func TestLargePromptsSetMemoryAside(t *testing.T) {
+func TestLargePromptReservesAndReleasesMemory(t *testing.T) {
 	f := newFleet(t, 1, 0)
 	for i := range 4 {
-		f.addTarget(fmt.Sprint("e", i+1), engines, 16)
+		f.addTarget(fmt.Sprint("e", i+1), engineService, 16)
 	}
 	f.waitReady(f.daemons[0])
 	f.scriptAll(standin.AnswerStream(1, 3, false))
-	a := f.ask(prompt)
+	a := f.newRequest(promptPath)
 	a.TokenCounts = "150000,50"
-	if got := f.do(a); got.Status != 200 || got.Body != events(1, 3) {
+	if got := f.do(a); got.Status != 200 || got.Body != eventTexts(1, 3) {
 		t.Fatalf("%+v", got)
 	}
-	calls := f.calls(a.ID)
+	calls := f.callsWithID(a.ID)
 	if len(calls) != 1 || !strings.Contains(calls[0].Helpers(), "/") {
 		t.Fatalf("%d calls, helpers %q", len(calls), calls[0].Helpers())
 	}
@@ -331,9 +331,9 @@
 	}
 }
 
-// hang reads a call and says nothing until its caller leaves; after says what is written
+// hangAfter reads a call and says nothing until its caller leaves; after says what is written
 // first.
-func hang(after func(http.ResponseWriter, *http.Request, standin.Call)) func(http.ResponseWriter, *http.Request, standin.Call) {
+func hangAfter(after func(http.ResponseWriter, *http.Request, standin.Call)) func(http.ResponseWriter, *http.Request, standin.Call) {
 	return func(w http.ResponseWriter, r *http.Request, c standin.Call) {
 		if after != nil {
 			after(w, r, c)
@@ -342,26 +342,26 @@
 	}
 }
 
-// TestASilentTargetIsLeft: a call goes to another target when the first has said nothing
+// TestRepeatableCallLeavesSilentTarget: a call goes to another target when the first has said nothing
 // for much longer than the route's goal, if it may run twice; the wait for one that may
 // not goes on.
-func TestASilentTargetIsLeft(t *testing.T) {
+func TestRepeatableCallLeavesSilentTarget(t *testing.T) {
 	for name, c := range map[string]struct {
 		path        string
 		first, then func(http.ResponseWriter, *http.Request, standin.Call)
 		body        string
 		sends       int
 	}{
-		"plain":         {safe, hang(nil), standin.Succeed("second"), "second", 2},
-		"before events": {stream, hang(nil), standin.AnswerStream(1, 3, false), events(1, 3), 2},
-		"after events":  {stream, hang(standin.AnswerStream(1, 3, false)), standin.AnswerStream(4, 6, false), events(1, 6), 2},
-		"unsafe":        {unsafe, hang(nil), standin.Succeed("second"), "", 1},
-		"not resumable": {once, hang(nil), standin.AnswerStream(1, 3, false), "", 1},
+		"plain":         {safePath, hangAfter(nil), standin.Succeed("second"), "second", 2},
+		"before events": {streamPath, hangAfter(nil), standin.AnswerStream(1, 3, false), eventTexts(1, 3), 2},
+		"after events":  {streamPath, hangAfter(standin.AnswerStream(1, 3, false)), standin.AnswerStream(4, 6, false), eventTexts(1, 6), 2},
+		"unsafe":        {unsafePath, hangAfter(nil), standin.Succeed("second"), "", 1},
+		"not resumable": {nonResumablePath, hangAfter(nil), standin.AnswerStream(1, 3, false), "", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 1, 2)
-			f.scriptOnce(c.first, c.then)
-			a := f.ask(c.path)
+			f.scriptFirstCall(c.first, c.then)
+			a := f.newRequest(c.path)
 			got := f.do(a)
 			if served := got.Err == nil && got.Status == 200 && got.Body == c.body; served != (c.sends == 2) {
 				t.Errorf("%+v", got)
@@ -369,7 +369,7 @@
 			if got.Status == 503 || got.Status == 429 {
 				t.Errorf("a call that may have run is said not to have: %+v", got)
 			}
-			if n := len(f.calls(a.ID)); n != c.sends {
+			if n := len(f.callsWithID(a.ID)); n != c.sends {
 				t.Errorf("%d sends, want %d", n, c.sends)
 			}
 		})
--- a/node/onplatform/calm_test.go
+++ b/node/onplatform/calm_test.go
@@ -15,30 +15,30 @@
 )
 
 const (
-	// calmFor is how long a fleet without calls and changes is watched: ten rounds of
+	// idlePeriod is how long a fleet without calls and changes is watched: ten rounds of
 	// heartbeats, the slowest thing that daemons repeat.
-	calmFor = 10 * time.Second
-	// controlBudget is what a daemon may exchange for control, in bytes a second.
-	controlBudget = 6000
-	// calmGrowth is how much more a daemon of a fleet may say on average than one of a fleet a
+	idlePeriod = 10 * time.Second
+	// maxControlRate is what a daemon may exchange for control, in bytes a second.
+	maxControlRate = 6000
+	// maxIdleGrowth is how much more a daemon of a fleet may say on average than one of a fleet a
 	// third of its size: a share of the fleet in each message would make it three times as much.
-	calmGrowth = 1.3
-	// smallestPlays is how often the smallest fleet is played: whom its daemons link to is drawn,
+	maxIdleGrowth = 1.3
+	// smallestFleetRuns is how often the smallest fleet is played: whom its daemons link to is drawn,
 	// and one link more or less is a tenth of what each of them says.
-	smallestPlays = 4
+	smallestFleetRuns = 4
 	// allKinds stands for messages of every kind.
 	allKinds = "all"
 )
 
-// exchanged is what daemons send and receive in a calm second by one kind of message, in bytes.
-type exchanged struct {
+// trafficRate is what daemons send and receive in a calm second by one kind of message, in bytes.
+type trafficRate struct {
 	kind             string
 	average, busiest float64
 }
 
-// TestACalmFleetSaysLittle: while nothing happens, what a daemon exchanges with the others does
+// TestIdleTrafficDoesNotGrowWithFleet: while nothing happens, what a daemon exchanges with the others does
 // not grow with the fleet. FLEETS names other sizes than those that every run plays.
-func TestACalmFleetSaysLittle(t *testing.T) {
+func TestIdleTrafficDoesNotGrowWithFleet(t *testing.T) {
 	sizes := cmp.Or(os.Getenv("FLEETS"), "20 60")
 	smallest := 0.0 // the average of the smallest fleet's plays
 	for _, field := range strings.Fields(sizes) {
@@ -49,13 +49,13 @@
 		t.Run(fmt.Sprint(size, " daemons"), func(t *testing.T) {
 			plays, average := 1, 0.0
 			if smallest == 0 {
-				plays = smallestPlays
+				plays = smallestFleetRuns
 			}
 			for range plays {
 				synctest.Test(t, func(t *testing.T) {
-					all := playCalm(t, size)
-					if all.busiest > controlBudget {
-						t.Errorf("the busiest daemon exchanges %.0f bytes a second, want %d at most", all.busiest, controlBudget)
+					all := measureIdleTraffic(t, size)
+					if all.busiest > maxControlRate {
+						t.Errorf("the busiest daemon exchanges %.0f bytes a second, want %d at most", all.busiest, maxControlRate)
 					}
 					average += all.average / float64(plays)
 				})
@@ -63,29 +63,29 @@
 			if smallest == 0 {
 				smallest = average
 			}
-			if average > calmGrowth*smallest {
+			if average > maxIdleGrowth*smallest {
 				t.Errorf("a daemon exchanges %.0f bytes a second on average, one of the smallest fleet %.0f", average, smallest)
 			}
 		})
 	}
 }
 
-// playCalm starts a fleet, lets it settle and returns what its daemons exchange then.
-func playCalm(t *testing.T, size int) exchanged {
+// measureIdleTraffic starts a fleet, lets it settle and returns what its daemons exchange then.
+func measureIdleTraffic(t *testing.T, size int) trafficRate {
 	strong := max(1, size/20)
-	f := startSpreadFleet(t, strong, size-strong, herdStarts)
+	f := startSimFleet(t, strong, size-strong, restartPeriod)
 	defer f.close()
-	f.restart(func(int) bool { return true })
-	f.until("all others", func(d *spreadDaemon) bool {
+	f.deliverStoreContent(func(int) bool { return true })
+	f.waitAll("all others", func(d *simDaemon) bool {
 		known := 0
 		d.board.Members.WithLock(func(members *membership.Table) { known = members.AliveCount() })
 		return known == size
 	})
-	pass(calmFor)
-	before := f.exchangedSoFar()
-	pass(calmFor)
-	var all exchanged
-	for _, kind := range difference(before, f.exchangedSoFar()) {
+	passTime(idlePeriod)
+	before := f.trafficByDaemon()
+	passTime(idlePeriod)
+	var all trafficRate
+	for _, kind := range trafficRates(before, f.trafficByDaemon()) {
 		if kind.busiest > 0 {
 			t.Logf("%-12s average %6.0f, busiest %6.0f bytes a second", kind.kind, kind.average, kind.busiest)
 		}
@@ -97,7 +97,7 @@
 }
 
 // exchangedSoFar is what each daemon has sent and received, in bytes by kind and in all.
-func (f *spreadFleet) exchangedSoFar() []map[string]int64 {
+func (f *simFleet) trafficByDaemon() []map[string]int64 {
 	var list []map[string]int64
 	for _, d := range f.daemons {
 		kinds := map[string]int64{}
@@ -110,23 +110,23 @@
 	return list
 }
 
-// difference compares two looks at a fleet, calmFor apart; the kind that says most comes first.
-func difference(before, after []map[string]int64) []exchanged {
+// trafficRates compares two looks at a fleet, idlePeriod apart; the kind that says most comes first.
+func trafficRates(before, after []map[string]int64) []trafficRate {
 	rates := map[string][]float64{}
 	for i := range after {
 		for kind, bytes := range after[i] {
-			rates[kind] = append(rates[kind], float64(bytes-before[i][kind])/calmFor.Seconds())
+			rates[kind] = append(rates[kind], float64(bytes-before[i][kind])/idlePeriod.Seconds())
 		}
 	}
-	var list []exchanged
+	var list []trafficRate
 	for kind, of := range rates {
 		sum := 0.0
 		for _, rate := range of {
 			sum += rate
 		}
-		list = append(list, exchanged{kind, sum / float64(len(of)), slices.Max(of)})
+		list = append(list, trafficRate{kind, sum / float64(len(of)), slices.Max(of)})
 	}
-	slices.SortFunc(list, func(a, b exchanged) int {
+	slices.SortFunc(list, func(a, b trafficRate) int {
 		return cmp.Or(cmp.Compare(b.busiest, a.busiest), cmp.Compare(a.kind, b.kind))
 	})
 	return list
--- a/node/onplatform/findings_test.go
+++ b/node/onplatform/findings_test.go
@@ -17,9 +17,9 @@
 	"doorstack.dev/platform/standin"
 )
 
-// TestAdviceIsCheckedAgainstWhatIsKnown: a coordinator that lags behind placed calls on
+// TestStalePlacementIsCheckedAgainstOwnState: a coordinator that lags behind placed calls on
 // a target that the asking daemon knew to leave, and the daemon followed.
-func TestAdviceIsCheckedAgainstWhatIsKnown(t *testing.T) {
+func TestStalePlacementIsCheckedAgainstOwnState(t *testing.T) {
 	for asker := range 2 { // One of the two coordinates the pool.
 		f := newFleet(t, 2, 2)
 		f.eventually("both daemons known", func() bool {
@@ -32,22 +32,22 @@
 		})
 		d := f.daemons[asker]
 		leaving := hostlist.Host{
-			ID: "t1", Role: hostlist.RoleTarget, Address: f.targets["t1"].Address(), Pool: plain,
+			ID: "t1", Role: hostlist.RoleTarget, Address: f.targets["t1"].Address(), Pool: plainService,
 			DataCentre: "z1", Region: "r1", State: hostlist.Leaving, Slots: 6, Revision: hostlist.NewPosition(1, 1000),
 		}
 		d.Board.MergeUpdate(hostlist.Update{AsOf: hostlist.NewPosition(1, 1000), Hosts: []hostlist.Host{leaving}}, time.Now())
 		for range 6 {
-			a := f.ask(safe)
+			a := f.newRequest(safePath)
 			a.Daemon = d.boot.CallerAddress
-			if got := f.do(a); got.Status != 200 || f.calls(a.ID)[0].TargetID() != "t2" {
-				t.Fatalf("%+v by %+v", got, f.calls(a.ID))
+			if got := f.do(a); got.Status != 200 || f.callsWithID(a.ID)[0].TargetID() != "t2" {
+				t.Fatalf("%+v by %+v", got, f.callsWithID(a.ID))
 			}
 		}
 	}
 }
 
-// TestAWatchThatIsCutWithoutAWord: the change that it missed is found by the next one.
-func TestAWatchThatIsCutWithoutAWord(t *testing.T) {
+// TestChangeMissedByStalledWatchIsFound: the change that it missed is found by the next one.
+func TestChangeMissedByStalledWatchIsFound(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	d := f.daemons[0]
 	f.eventually("it watches", func() bool { return f.store.WaitingWatches() == 1 })
@@ -55,19 +55,19 @@
 	f.store.PutConfig(testConfig(5))
 	f.store.DropHistory()
 	f.store.StallWatches(false)
-	f.eventually("version 5", func() bool { return f.revision(d) == 5 })
+	f.eventually("version 5", func() bool { return f.settingsRevision(d) == 5 })
 }
 
-// TestAnyWatcherFindsAMissedChange: all watches are cut without a word, and one daemon is
+// TestAnyDaemonFindsMissedChangeInTime: all watches are cut without a word, and one daemon is
 // cut off from the store while its peers reach it. Where that was the one daemon that
 // looked often, the change came 3.6 s late; it has to come within the 3 s in which the
 // store settles, whichever daemon it is, and half a second for a busy machine.
-func TestAnyWatcherFindsAMissedChange(t *testing.T) {
+func TestAnyDaemonFindsMissedChangeInTime(t *testing.T) {
 	const within = 3500 * time.Millisecond
 	f := newFleet(t, 2, 1)
 	for i, cutOff := range f.daemons {
 		f.eventually("both watch", func() bool { return f.store.WaitingWatches() == len(f.daemons) })
-		cutOff.door.Refuse(true)
+		cutOff.storeEndpoint.Refuse(true)
 		f.eventually("one watches", func() bool { return f.store.WaitingWatches() == 1 })
 		version := 5 + i
 		f.store.StallWatches(true)
@@ -76,18 +76,18 @@
 		f.store.StallWatches(false)
 		began := time.Now()
 		for _, d := range f.daemons {
-			f.eventually("the version", func() bool { return f.revision(d) == int64(version) })
+			f.eventually("the version", func() bool { return f.settingsRevision(d) == int64(version) })
 		}
 		if took := time.Since(began); took > within {
 			t.Errorf("%s cut off: the change is known after %v", cutOff.boot.Name, took)
 		}
-		cutOff.door.Refuse(false)
+		cutOff.storeEndpoint.Refuse(false)
 	}
 }
 
-// TestTheSettingsFileChangesWhileItRuns: SIGHUP used to end the process. A file that
+// TestSettingsFileReload: SIGHUP used to end the process. A file that
 // cannot be read changes nothing.
-func TestTheSettingsFileChangesWhileItRuns(t *testing.T) {
+func TestSettingsFileReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boot.toml")
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -135,10 +135,10 @@
 }
 
 // coordinatorOf finds who places the calls of the plain service, by the log.
-func (f *fleet) coordinatorOf() int {
+func (f *fleet) findCoordinator() int {
 	f.t.Helper()
 	for i, d := range f.daemons {
-		a := f.ask(safe)
+		a := f.newRequest(safePath)
 		a.Daemon = d.boot.CallerAddress
 		if got := f.do(a); got.Status != 200 {
 			f.t.Fatalf("%+v", got)
@@ -158,7 +158,7 @@
 	return 0
 }
 
-func (f *fleet) allKnown() {
+func (f *fleet) awaitAllMembers() {
 	f.t.Helper()
 	f.eventually("all daemons known", func() bool {
 		for _, d := range f.daemons {
@@ -170,22 +170,22 @@
 	})
 }
 
-// TestANewCoordinatorHearsOfTheEnd: it was told of the calls in progress, but their ends
+// TestNewCoordinatorLearnsOfFinishedCalls: it was told of the calls in progress, but their ends
 // were told to the one before, so their slots stayed taken until the callers' deadlines.
-func TestANewCoordinatorHearsOfTheEnd(t *testing.T) {
+func TestNewCoordinatorLearnsOfFinishedCalls(t *testing.T) {
 	f := newFleet(t, 3, 1)
-	f.allKnown()
-	first := f.coordinatorOf() // The same in every fleet of these names.
+	f.awaitAllMembers()
+	first := f.findCoordinator() // The same in every fleet of these names.
 	for asker := range 3 {
 		if asker == first {
 			continue
 		}
 		f := newFleet(t, 3, 0)
-		f.addTarget("one", plain, 1)
+		f.addTarget("one", plainService, 1)
 		for _, d := range f.daemons {
 			f.waitReady(d)
 		}
-		f.allKnown()
+		f.awaitAllMembers()
 		started, release := make(chan struct{}), make(chan struct{})
 		f.scriptAll(func(w http.ResponseWriter, r *http.Request, c standin.Call) {
 			if c.Body == "long" {
@@ -195,7 +195,7 @@
 			standin.Succeed("ok")(w, r, c)
 		})
 		ask := func(body string) chan standin.CallerResponse {
-			a := f.ask(unsafe)
+			a := f.newRequest(unsafePath)
 			a.Daemon, a.Body, a.DeadlineMS = f.daemons[asker].boot.CallerAddress, body, 0
 			answer := make(chan standin.CallerResponse, 1)
 			go func() { answer <- f.do(a) }()
@@ -204,12 +204,12 @@
 		long := ask("long")
 		<-started
 		f.daemons[first].stop()
-		<-f.daemons[first].ended
+		<-f.daemons[first].exited
 		second := ask("second")
 		f.eventually("the second call waits", func() bool {
 			waiting := 0
 			for _, d := range f.daemons {
-				waiting += d.Board.Queues.Len(plain)
+				waiting += d.Board.Queues.Len(plainService)
 			}
 			return waiting > 0
 		})
@@ -226,16 +226,16 @@
 	}
 }
 
-// TestSlowEnginesAreKnown: an engine that turns slow answers its calls all the same and is
+// TestCoordinatorLearnsEngineSlowdown: an engine that turns slow answers its calls all the same and is
 // in nobody's list. Its coordinator asks and learns of it, and of its recovery.
-func TestSlowEnginesAreKnown(t *testing.T) {
+func TestCoordinatorLearnsEngineSlowdown(t *testing.T) {
 	f := newFleet(t, 1, 1)
-	f.addTarget("slow", engines, 16).SetSlowdown(4.5)
-	f.addTarget("sound", engines, 16)
+	f.addTarget("slow", engineService, 16).SetSlowdown(4.5)
+	f.addTarget("sound", engineService, 16)
 	d := f.daemons[0]
 	f.waitReady(d)
 	pace := func(id string) float64 {
-		for _, v := range d.Board.Targets.Views(engines, time.Now()) {
+		for _, v := range d.Board.Targets.Views(engineService, time.Now()) {
 			if v.ID == id {
 				return v.Slowdown
 			}
--- a/node/onplatform/fleet_test.go
+++ b/node/onplatform/fleet_test.go
@@ -14,26 +14,26 @@
 	"doorstack.dev/platform/standin"
 )
 
-func (f *fleet) revision(d *testDaemon) int64 {
+func (f *fleet) settingsRevision(d *testDaemon) int64 {
 	if view := d.Board.Settings.Current(); view != nil {
 		return view.Revision
 	}
 	return 0
 }
 
-func TestANewConfigurationIsInForceAndNeverGoesBack(t *testing.T) {
+func TestConfigurationIsNeverReplacedByOlderOne(t *testing.T) {
 	f := newFleet(t, 2, 1)
 	next := testConfig(7)
 	next.Routes = next.Routes[1:]
 	next.Tenants[0].APIKeys = []string{"new-key"}
 	f.store.PutConfig(next)
 	for _, d := range f.daemons {
-		f.eventually("version 7 at "+d.boot.Name, func() bool { return f.revision(d) == 7 })
+		f.eventually("version 7 at "+d.boot.Name, func() bool { return f.settingsRevision(d) == 7 })
 	}
-	if got := f.do(f.ask(unsafe)); got.Status != 401 {
+	if got := f.do(f.newRequest(unsafePath)); got.Status != 401 {
 		t.Errorf("a key that was taken away: %+v", got)
 	}
-	a := f.ask(safe)
+	a := f.newRequest(safePath)
 	a.APIKey = "new-key"
 	if got := f.do(a); got.Status != 404 {
 		t.Errorf("a route that was taken away: %+v", got)
@@ -44,27 +44,27 @@
 	last := testConfig(11)
 	f.store.PutConfig(last)
 	for _, d := range f.daemons {
-		f.eventually("version 11 at "+d.boot.Name, func() bool { return f.revision(d) == 11 })
+		f.eventually("version 11 at "+d.boot.Name, func() bool { return f.settingsRevision(d) == 11 })
 		if log := d.log.String(); strings.Contains(log, `"outcome":"adopted","reason":"from configuration service, 1 parts, 1 accounts","revision":5`) {
 			t.Error("an older version was adopted")
 		}
 	}
-	if got := f.do(f.ask(safe)); got.Status != 200 {
+	if got := f.do(f.newRequest(safePath)); got.Status != 200 {
 		t.Errorf("%+v", got)
 	}
 }
 
-// TestNewsComesThroughPeers: a daemon that the store turns away learns of versions and
+// TestUpdatesArriveThroughPeers: a daemon that the store turns away learns of versions and
 // of targets that leave from those that it serves.
-func TestNewsComesThroughPeers(t *testing.T) {
+func TestUpdatesArriveThroughPeers(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	cut := f.daemons[0]
-	cut.door.Refuse(true)
+	cut.storeEndpoint.Refuse(true)
 	next := testConfig(3)
 	next.Tenants[0].APIKeys = nil
 	f.store.PutConfig(next)
-	f.store.PutTarget(f.targets["t1"], plain, "draining", 6)
-	f.eventually("version 3 through peers", func() bool { return f.revision(cut) == 3 })
+	f.store.PutTarget(f.targets["t1"], plainService, "draining", 6)
+	f.eventually("version 3 through peers", func() bool { return f.settingsRevision(cut) == 3 })
 	f.eventually("the leaving target through peers", func() bool {
 		hosts, _ := cut.Board.Members.Hosts()
 		for _, h := range hosts.Hosts {
@@ -75,24 +75,24 @@
 		return false
 	})
 	for range 6 {
-		a := f.ask(open)
-		if got := f.do(a); got.Status != 200 || f.calls(a.ID)[0].TargetID() != "t2" {
-			t.Fatalf("%+v by %+v", got, f.calls(a.ID))
+		a := f.newRequest(noAuthPath)
+		if got := f.do(a); got.Status != 200 || f.callsWithID(a.ID)[0].TargetID() != "t2" {
+			t.Fatalf("%+v by %+v", got, f.callsWithID(a.ID))
 		}
 	}
-	if got := f.do(f.ask(safe)); got.Status != 401 {
+	if got := f.do(f.newRequest(safePath)); got.Status != 401 {
 		t.Errorf("a key that was taken away: %+v", got)
 	}
 }
 
-// TestLimitsOfCallers: the settings bound bodies and idle connections.
-func TestLimitsOfCallers(t *testing.T) {
+// TestCallerLimitsFromConfiguration: the settings bound bodies and idle connections.
+func TestCallerLimitsFromConfiguration(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	next := testConfig(2)
 	next.Limits = standin.Limits{IdleTimeoutMS: 50, MaxBodyBytes: 10}
 	f.store.PutConfig(next)
-	f.eventually("version 2", func() bool { return f.revision(f.daemons[0]) == 2 })
-	a := f.ask(safe)
+	f.eventually("version 2", func() bool { return f.settingsRevision(f.daemons[0]) == 2 })
+	a := f.newRequest(safePath)
 	a.Body = "eleven byte"
 	if got := f.do(a); got.Status != 413 {
 		t.Errorf("%+v", got)
@@ -102,10 +102,10 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	if err := f.ask(safe).HTTPRequest(context.Background()).Write(conn); err != nil {
+	if err := f.newRequest(safePath).HTTPRequest(context.Background()).Write(conn); err != nil {
 		t.Fatal(err)
 	}
-	if err := conn.SetReadDeadline(time.Now().Add(waitMost)); err != nil {
+	if err := conn.SetReadDeadline(time.Now().Add(waitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.Copy(io.Discard, conn); err != nil {
@@ -113,9 +113,9 @@
 	}
 }
 
-func TestTargetsLeave(t *testing.T) {
+func TestDrainingAndRemovedTargetsGetNoCalls(t *testing.T) {
 	f := newFleet(t, 1, 3)
-	f.store.PutTarget(f.targets["t1"], plain, "draining", 6)
+	f.store.PutTarget(f.targets["t1"], plainService, "draining", 6)
 	f.store.RemoveTarget(f.targets["t2"])
 	d := f.daemons[0]
 	f.eventually("two targets gone or leaving", func() bool {
@@ -123,48 +123,48 @@
 		return len(hosts.Hosts) == 2
 	})
 	for range 8 {
-		a := f.ask(safe)
-		if got := f.do(a); got.Status != 200 || f.calls(a.ID)[0].TargetID() != "t3" {
-			t.Fatalf("%+v by %+v", got, f.calls(a.ID))
+		a := f.newRequest(safePath)
+		if got := f.do(a); got.Status != 200 || f.callsWithID(a.ID)[0].TargetID() != "t3" {
+			t.Fatalf("%+v by %+v", got, f.callsWithID(a.ID))
 		}
 	}
 }
 
-// TestTheStoreForgetsItsHistory: the whole is read anew, and what left meanwhile is gone.
-func TestTheStoreForgetsItsHistory(t *testing.T) {
+// TestFullReadAfterStoreDropsHistory: the whole is read anew, and what left meanwhile is gone.
+func TestFullReadAfterStoreDropsHistory(t *testing.T) {
 	f := newFleet(t, 1, 3)
 	d := f.daemons[0]
-	d.door.Refuse(true)
+	d.storeEndpoint.Refuse(true)
 	f.eventually("the loss in the log", func() bool { return strings.Contains(d.log.String(), "dependency is lost") })
 	f.store.RemoveTarget(f.targets["t2"])
 	f.store.PutConfig(testConfig(4))
 	f.store.DropHistory()
-	d.door.Refuse(false)
-	f.eventually("version 4", func() bool { return f.revision(d) == 4 })
+	d.storeEndpoint.Refuse(false)
+	f.eventually("version 4", func() bool { return f.settingsRevision(d) == 4 })
 	f.eventually("t2 gone", func() bool { return len(d.Board.Targets.Addresses()) == 2 })
 	if !strings.Contains(d.log.String(), "dependency is back") {
 		t.Error("the store's return is not in the log")
 	}
 }
 
-// TestAFreshDaemonTakesTheNewestFromPeers: one that the store turns away serves with
+// TestNewDaemonTakesSettingsFromPeers: one that the store turns away serves with
 // what its peers know, and never with less.
-func TestAFreshDaemonTakesTheNewestFromPeers(t *testing.T) {
+func TestNewDaemonTakesSettingsFromPeers(t *testing.T) {
 	f := newFleet(t, 2, 1)
 	f.store.PutConfig(testConfig(6))
 	for _, d := range f.daemons {
-		f.eventually("version 6", func() bool { return f.revision(d) == 6 })
+		f.eventually("version 6", func() bool { return f.settingsRevision(d) == 6 })
 	}
 	fresh := f.addDaemon(2)
-	fresh.door.Refuse(true)
+	fresh.storeEndpoint.Refuse(true)
 	f.waitReady(fresh)
-	if got := f.revision(fresh); got != 6 {
+	if got := f.settingsRevision(fresh); got != 6 {
 		t.Fatalf("serves with version %d", got)
 	}
 }
 
-// TestEverybodyFindsEverybody: from one seed each, and again after a daemon restarted.
-func TestEverybodyFindsEverybody(t *testing.T) {
+// TestMembershipConverges: from one seed each, and again after a daemon restarted.
+func TestMembershipConverges(t *testing.T) {
 	f := newFleet(t, 4, 1)
 	all := func() bool {
 		for _, d := range f.daemons {
@@ -177,23 +177,23 @@
 	f.eventually("four daemons that know each other", all)
 	gone := f.daemons[3]
 	gone.stop()
-	<-gone.ended
+	<-gone.exited
 	f.daemons = f.daemons[:3]
 	f.eventually("three daemons that know of the loss", all)
 	f.waitReady(f.addDaemon(3))
 	f.eventually("four daemons again", all)
 }
 
-// passedOver is somewhat longer than a coordinator that did not answer is passed over.
-const passedOver = 1200 * time.Millisecond
+// coordinatorSkipTime is somewhat longer than a coordinator that did not answer is passed over.
+const coordinatorSkipTime = 1200 * time.Millisecond
 
-// TestDaemonsChooseAsOne: with one slot at each of four targets, four calls through
+// TestDaemonsShareOneViewOfTargets: with one slot at each of four targets, four calls through
 // three daemons find a target each, in every round in which no daemon lost its
 // coordinator; without a common view some would meet.
-func TestDaemonsChooseAsOne(t *testing.T) {
+func TestDaemonsShareOneViewOfTargets(t *testing.T) {
 	f := newFleet(t, 3, 0)
 	for i := range 4 {
-		f.addTarget(fmt.Sprint("s", i+1), plain, 1)
+		f.addTarget(fmt.Sprint("s", i+1), plainService, 1)
 	}
 	for _, d := range f.daemons {
 		f.waitReady(d)
@@ -217,7 +217,7 @@
 		if round == 100 {
 			t.Fatal("in a hundred rounds the coordinator did not answer five times in time")
 		}
-		f.eventually("all ask the same coordinator again", func() bool { return time.Since(lastLoss) > passedOver })
+		f.eventually("all ask the same coordinator again", func() bool { return time.Since(lastLoss) > coordinatorSkipTime })
 		before := lost()
 		release := make(chan struct{})
 		var working sync.WaitGroup
@@ -230,7 +230,7 @@
 		ids := map[string]bool{}
 		var answers sync.WaitGroup
 		for i := range 4 {
-			a := f.ask(safe)
+			a := f.newRequest(safePath)
 			a.Daemon = f.daemons[i%3].boot.CallerAddress
 			ids[a.ID] = true
 			answers.Go(func() {
@@ -242,7 +242,7 @@
 		working.Wait()
 		used := map[string]int{}
 		for id := range ids {
-			for _, c := range f.calls(id) {
+			for _, c := range f.callsWithID(id) {
 				used[c.TargetID()]++
 			}
 		}
@@ -262,28 +262,28 @@
 	}
 }
 
-// TestACoordinatorsEndCostsNoCall: while daemons come and go, calls are placed by
+// TestCallsSurviveDaemonShutdowns: while daemons come and go, calls are placed by
 // whoever is left.
-func TestACoordinatorsEndCostsNoCall(t *testing.T) {
+func TestCallsSurviveDaemonShutdowns(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	for i := range 3 {
 		if i > 0 {
 			last := f.daemons[len(f.daemons)-1]
 			last.stop()
-			<-last.ended
+			<-last.exited
 			f.daemons = f.daemons[:len(f.daemons)-1]
 		}
 		for range 6 {
-			if got := f.do(f.ask(safe)); got.Status != 200 {
+			if got := f.do(f.newRequest(safePath)); got.Status != 200 {
 				t.Fatalf("after %d ends: %+v", i, got)
 			}
 		}
 	}
 }
 
-// TestLeavingLosesNothing: from the request to end on, the daemon is not ready, still
+// TestDrainCompletesCallsInProgress: from the request to end on, the daemon is not ready, still
 // serves, tells callers to close, then refuses; what runs ends whole.
-func TestLeavingLosesNothing(t *testing.T) {
+func TestDrainCompletesCallsInProgress(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	d := f.daemons[0]
 	started, release := make(chan struct{}), make(chan struct{})
@@ -294,7 +294,7 @@
 		}
 		standin.Succeed("whole")(w, r, c)
 	})
-	slow := f.ask(unsafe)
+	slow := f.newRequest(unsafePath)
 	slow.Body, slow.DeadlineMS = "slow", 10_000
 	answer := make(chan standin.CallerResponse, 1)
 	go func() { answer <- f.do(slow) }()
@@ -303,16 +303,16 @@
 	if f.ready(d) {
 		t.Error("ready while it leaves")
 	}
-	first := f.do(f.ask(safe))
+	first := f.do(f.newRequest(safePath))
 	if first.Status != 200 || !first.ClosesConnection {
 		t.Errorf("just after: %+v", first)
 	}
 	f.eventually("refusals", func() bool {
-		got := f.do(f.ask(safe))
+		got := f.do(f.newRequest(safePath))
 		return got.Status == 503 && got.Header.Get("Retry-After") != ""
 	})
 	select {
-	case <-d.ended:
+	case <-d.exited:
 		t.Fatal("it ended before its last answer")
 	default:
 	}
@@ -321,18 +321,18 @@
 		t.Errorf("the call under way: %+v", got)
 	}
 	select {
-	case <-d.ended:
-	case <-time.After(waitMost):
+	case <-d.exited:
+	case <-time.After(waitTimeout):
 		t.Fatal("it does not end")
 	}
 }
 
-// TestLogsLeadFromAnIDToTheCause: what happened to a failed call can be read from the
+// TestLogLinesOfFailedCallCarryItsID: what happened to a failed call can be read from the
 // lines with its id.
-func TestLogsLeadFromAnIDToTheCause(t *testing.T) {
+func TestLogLinesOfFailedCallCarryItsID(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	f.scriptAll(standin.Reject)
-	a := f.ask(unsafe)
+	a := f.newRequest(unsafePath)
 	f.do(a)
 	kinds := map[string]int{}
 	for line := range strings.Lines(f.daemons[0].log.String()) {
@@ -348,13 +348,13 @@
 	if kinds["route"] < 2 || kinds["attempt"] < 2 || kinds["answer"] != 1 {
 		t.Fatalf("%v", kinds)
 	}
-	if strings.Contains(f.daemons[0].log.String(), key) {
+	if strings.Contains(f.daemons[0].log.String(), apiKey) {
 		t.Error("the API key is in the log")
 	}
 }
 
-// TestCallsOfTheStoreAreFew: a quiet second costs no call but the watches.
-func TestCallsOfTheStoreAreFew(t *testing.T) {
+// TestIdleDaemonMakesFewStoreCalls: a quiet second costs no call but the watches.
+func TestIdleDaemonMakesFewStoreCalls(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	before := f.store.Calls()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
--- a/node/onplatform/harness_test.go
+++ b/node/onplatform/harness_test.go
@@ -27,49 +27,49 @@
 	daemons []*testDaemon
 	client  *http.Client
 	config  standin.Config
-	next    int
+	lastID  int
 }
 
 type testDaemon struct {
 	*daemon.Daemon
-	door  *standin.Endpoint
-	boot  *platform.Boot
-	log   *testlog.Buffer
-	ended chan struct{}
-	stop  context.CancelFunc
+	storeEndpoint *standin.Endpoint
+	boot          *platform.Boot
+	log           *testlog.Buffer
+	exited        chan struct{}
+	stop          context.CancelFunc
 }
 
 // The routes of the test configuration.
 const (
-	host     = "calls.example"
-	safe     = "/safe/"
-	unsafe   = "/unsafe/"
-	stream   = "/stream/"
-	once     = "/once/"
-	prompt   = "/prompt/"
-	open     = "/open/"
-	key      = "key-of-a"
-	plain    = "svc"
-	engines  = "llm"
-	waitMost = 20 * time.Second
+	routeHost        = "calls.example"
+	safePath         = "/safe/"
+	unsafePath       = "/unsafe/"
+	streamPath       = "/stream/"
+	nonResumablePath = "/once/"
+	promptPath       = "/prompt/"
+	noAuthPath       = "/open/"
+	apiKey           = "key-of-a"
+	plainService     = "svc"
+	engineService    = "llm"
+	waitTimeout      = 20 * time.Second
 )
 
 func testConfig(version int) standin.Config {
 	route := func(prefix, kind, service string, attempts int) standin.Route {
 		return standin.Route{
-			Name: "r" + prefix, Host: host, Prefix: prefix, Kind: kind, Service: service,
+			Name: "r" + prefix, Host: routeHost, Prefix: prefix, Kind: kind, Service: service,
 			TimeoutMS: 5000, TargetLatencyMS: 300, MaxAttempts: attempts, UnknownField: "x",
 		}
 	}
 	c := standin.Config{
 		Version: version,
 		Routes: []standin.Route{
-			route(safe, "safe", plain, 2), route(unsafe, "unsafe", plain, 1),
-			route(stream, "streaming", plain, 2), route(once, "streaming", plain, 2),
-			route(prompt, "streaming", engines, 2), route(open, "safe", plain, 2),
+			route(safePath, "safe", plainService, 2), route(unsafePath, "unsafe", plainService, 1),
+			route(streamPath, "streaming", plainService, 2), route(nonResumablePath, "streaming", plainService, 2),
+			route(promptPath, "streaming", engineService, 2), route(noAuthPath, "safe", plainService, 2),
 		},
-		Services: []standin.Service{{Name: plain}, {Name: engines, Engine: standin.Engine(100_000)}},
-		Tenants:  []standin.Tenant{{Name: "a", APIKeys: []string{key}}},
+		Services: []standin.Service{{Name: plainService}, {Name: engineService, Engine: standin.Engine(100_000)}},
+		Tenants:  []standin.Tenant{{Name: "a", APIKeys: []string{apiKey}}},
 	}
 	c.Routes[2].Resumable, c.Routes[2].GapGoalMS = true, 100
 	c.Routes[4].Resumable, c.Routes[4].GapGoalMS, c.Routes[4].TargetLatencyMS = true, 250, 3000
@@ -81,9 +81,9 @@
 func newFleet(t *testing.T, daemons, plainTargets int) *fleet {
 	t.Helper()
 	f := &fleet{t: t, store: standin.NewStore(), targets: map[string]*standin.Target{}, config: testConfig(1)}
-	f.client = newFleetClient(t)
+	f.client = newCallerClient(t)
 	for i := range plainTargets {
-		f.addTarget(fmt.Sprint("t", i+1), plain, 6)
+		f.addTarget(fmt.Sprint("t", i+1), plainService, 6)
 	}
 	f.store.PutConfig(f.config)
 	for i := range daemons {
@@ -95,8 +95,8 @@
 	return f
 }
 
-// newFleetClient returns a client of callers.
-func newFleetClient(t *testing.T) *http.Client {
+// newCallerClient returns a client of callers.
+func newCallerClient(t *testing.T) *http.Client {
 	transport := &http.Transport{DisableCompression: true}
 	t.Cleanup(transport.CloseIdleConnections)
 	return &http.Client{Transport: transport}
@@ -127,25 +127,25 @@
 	for _, other := range f.daemons {
 		boot.Seeds = append(boot.Seeds, other.boot.PeerAddress)
 	}
-	d := &testDaemon{door: door, boot: boot, log: &testlog.Buffer{}, ended: make(chan struct{})}
+	d := &testDaemon{storeEndpoint: door, boot: boot, log: &testlog.Buffer{}, exited: make(chan struct{})}
 	// The store's address differs by daemon here; the fleet's key must not.
-	file := fileOf(boot, metrics)
+	file := configFileOf(boot, metrics)
 	file.PeerKeys = []string{"the key of the fleet under test"}
 	log := slog.New(slog.NewJSONHandler(d.log, nil))
-	if d.Daemon, err = daemon.NewWithAdapter(&file, adapterOf(boot, log), log); err != nil {
+	if d.Daemon, err = daemon.NewWithAdapter(&file, newAdapter(boot, log), log); err != nil {
 		f.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	d.stop = cancel
 	go func() {
-		defer close(d.ended)
+		defer close(d.exited)
 		if err := d.Run(ctx); err != nil {
 			f.t.Error(err)
 		}
 	}()
 	f.t.Cleanup(func() {
 		cancel()
-		<-d.ended
+		<-d.exited
 	})
 	f.daemons = append(f.daemons, d)
 	return d
@@ -154,7 +154,7 @@
 // eventually waits until a condition holds.
 func (f *fleet) eventually(what string, holds func() bool) {
 	f.t.Helper()
-	deadline := time.After(waitMost)
+	deadline := time.After(waitTimeout)
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
 	for !holds() {
@@ -183,19 +183,19 @@
 	})
 }
 
-func (f *fleet) ask(path string) *standin.CallerRequest {
-	f.next++
-	return &standin.CallerRequest{Daemon: f.daemons[0].boot.CallerAddress, Host: host, Path: path + "x?q=1", ID: fmt.Sprint("id-", f.next), APIKey: key, DeadlineMS: 4000}
+func (f *fleet) newRequest(path string) *standin.CallerRequest {
+	f.lastID++
+	return &standin.CallerRequest{Daemon: f.daemons[0].boot.CallerAddress, Host: routeHost, Path: path + "x?q=1", ID: fmt.Sprint("id-", f.lastID), APIKey: apiKey, DeadlineMS: 4000}
 }
 
 func (f *fleet) do(a *standin.CallerRequest) standin.CallerResponse {
-	ctx, cancel := context.WithTimeout(context.Background(), waitMost)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	return a.Do(ctx, f.client)
 }
 
 // calls counts the calls with an id over all targets.
-func (f *fleet) calls(id string) []standin.Call {
+func (f *fleet) callsWithID(id string) []standin.Call {
 	var list []standin.Call
 	for _, t := range f.targets {
 		for _, c := range t.Calls() {
@@ -215,7 +215,7 @@
 
 // scriptOnce lets the first call of all targets go to one script and later ones to
 // another.
-func (f *fleet) scriptOnce(first, later func(http.ResponseWriter, *http.Request, standin.Call)) {
+func (f *fleet) scriptFirstCall(first, later func(http.ResponseWriter, *http.Request, standin.Call)) {
 	var mu sync.Mutex
 	used := false
 	f.scriptAll(func(w http.ResponseWriter, r *http.Request, c standin.Call) {
@@ -231,7 +231,7 @@
 	})
 }
 
-func events(from, to int) string {
+func eventTexts(from, to int) string {
 	var b strings.Builder
 	for i := from; i <= to; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: piece %d\n\n", i, i)
--- a/node/onplatform/herd_test.go
+++ b/node/onplatform/herd_test.go
@@ -17,21 +17,21 @@
 
 // A fleet whose hosts lost power together, five data centres of two kinds of host.
 const (
-	herdStrong, herdWeak = 15, 105
-	// herdStarts is the time over which the daemons start.
-	herdStarts = 450 * time.Millisecond
-	// herdReads is when a daemon has read the store: 0.08 s after its start in the median of
+	restartStrongHosts, restartWeakHosts = 15, 105
+	// restartPeriod is the time over which the daemons start.
+	restartPeriod = 450 * time.Millisecond
+	// storeReadTime is when a daemon has read the store: 0.08 s after its start in the median of
 	// 123 that were played.
-	herdReads = 80 * time.Millisecond
-	// herdFrames bounds the frames of rumors that a daemon sends while all come to know each
+	storeReadTime = 80 * time.Millisecond
+	// maxRumorFrames bounds the frames of rumors that a daemon sends while all come to know each
 	// other: some 20 on each of its links.
-	herdFrames = 300
+	maxRumorFrames = 300
 )
 
 // restart gives all daemons the settings and the targets, as their first read of the store
 // does, or, where the store turns the others away, one of them.
-func (f *spreadFleet) restart(storeAnswers func(i int) bool) {
-	changes, err := platform.ConfigChanges(configuration(1, 240))
+func (f *simFleet) deliverStoreContent(storeAnswers func(i int) bool) {
+	changes, err := platform.ConfigChanges(configText(1, 240))
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 			continue
 		}
 		go func() {
-			pass(d.starts + herdReads)
+			passTime(d.startDelay + storeReadTime)
 			if err := d.settings.Apply(changes, "store"); err != nil && !errors.Is(err, settings.ErrNotNewer) {
 				f.t.Error(err)
 			}
@@ -52,7 +52,7 @@
 }
 
 // rumorFrames is the number of frames of rumors that a daemon has sent.
-func (d *spreadDaemon) rumorFrames(t *testing.T) int {
+func (d *simDaemon) rumorFramesSent(t *testing.T) int {
 	for _, kind := range d.traffic(t) {
 		if kind.Kind == peer.KindRumor.String() {
 			return int(kind.FramesOut)
@@ -62,7 +62,7 @@
 }
 
 // traffic is what a daemon has exchanged with its peers, by kind of message.
-func (d *spreadDaemon) traffic(t *testing.T) []telemetry.Traffic {
+func (d *simDaemon) traffic(t *testing.T) []telemetry.Traffic {
 	traffic, err := d.metrics.Traffic()
 	if err != nil {
 		t.Fatal(err)
@@ -70,91 +70,91 @@
 	return traffic
 }
 
-// TestAllRestartedServeSoon: 120 daemons start together and know nobody. Whoever has read the
+// TestWholeFleetRestartServesSoon: 120 daemons start together and know nobody. Whoever has read the
 // store serves at once; the others as soon as they have the settings from a peer and have
 // compared them with their neighbours; and all know each other soon after. With neighbours
 // compared at the next heartbeat, and by all, the last of them served after 1.4 s; with each
 // rumor in a frame of its own a daemon sent 806 of them.
-func TestAllRestartedServeSoon(t *testing.T) {
+func TestWholeFleetRestartServesSoon(t *testing.T) {
 	for _, c := range []struct {
 		what    string
 		answers func(i int) bool
 		serve   time.Duration // until the last of them serves
 	}{
-		{"the store answers all", func(int) bool { return true }, herdStarts + herdReads + 100*time.Millisecond},
-		{"the store answers one in ten", func(i int) bool { return i%10 == 0 }, herdStarts + 400*time.Millisecond},
+		{"the store answers all", func(int) bool { return true }, restartPeriod + storeReadTime + 100*time.Millisecond},
+		{"the store answers one in ten", func(i int) bool { return i%10 == 0 }, restartPeriod + 400*time.Millisecond},
 	} {
 		t.Run(c.what, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { restartHerd(t, c.answers, c.serve) })
+			synctest.Test(t, func(t *testing.T) { runFleetRestart(t, c.answers, c.serve) })
 		})
 	}
 }
 
-func restartHerd(t *testing.T, answers func(i int) bool, serve time.Duration) {
-	f := startSpreadFleet(t, herdStrong, herdWeak, herdStarts)
+func runFleetRestart(t *testing.T, answers func(i int) bool, serve time.Duration) {
+	f := startSimFleet(t, restartStrongHosts, restartWeakHosts, restartPeriod)
 	defer f.close()
-	f.restart(answers)
-	serving := f.until("service", func(d *spreadDaemon) bool { return d.board.Phase() == blackboard.Serving })
-	whole := f.until("all others", func(d *spreadDaemon) bool {
+	f.deliverStoreContent(answers)
+	serving := f.waitAll("service", func(d *simDaemon) bool { return d.board.Phase() == blackboard.Serving })
+	whole := f.waitAll("all others", func(d *simDaemon) bool {
 		size := 0
 		d.board.Members.WithLock(func(members *membership.Table) { size = members.AliveCount() })
 		return size == len(f.daemons)
 	})
 	most := 0
 	for _, d := range f.daemons {
-		most = max(most, d.rumorFrames(t))
+		most = max(most, d.rumorFramesSent(t))
 	}
-	t.Logf("all serve after %v and know each other %v later, %d KB sent, %d frames of rumors by one daemon", serving, whole, f.sent()>>10, most)
+	t.Logf("all serve after %v and know each other %v later, %d KB sent, %d frames of rumors by one daemon", serving, whole, f.bytesSent()>>10, most)
 	if serving > serve {
 		t.Errorf("the last daemon serves after %v, want %v", serving, serve)
 	}
-	if most > herdFrames {
-		t.Errorf("a daemon sent %d frames of rumors, want %d at most", most, herdFrames)
+	if most > maxRumorFrames {
+		t.Errorf("a daemon sent %d frames of rumors, want %d at most", most, maxRumorFrames)
 	}
 }
 
-// TestWhoKnowsNobodyDoesNotCoordinate: a daemon whose seeds do not answer serves, but takes
+// TestIsolatedDaemonDelaysCoordinating: a daemon whose seeds do not answer serves, but takes
 // itself for the coordinator only once it has looked for the others for long enough. Each of a
 // herd did at once, and asked all engines how fast they work.
-func TestWhoKnowsNobodyDoesNotCoordinate(t *testing.T) {
+func TestIsolatedDaemonDelaysCoordinating(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := startSpreadFleet(t, 1, 0, time.Second)
+		f := startSimFleet(t, 1, 0, time.Second)
 		defer f.close()
 		d := f.daemons[0]
 		d.cluster.SetSeeds([]string{"10.9.9.9:8229"}) // Nobody is there.
-		f.restart(func(int) bool { return true })
-		f.until("service", func(d *spreadDaemon) bool { return d.board.Phase() == blackboard.Serving })
+		f.deliverStoreContent(func(int) bool { return true })
+		f.waitAll("service", func(d *simDaemon) bool { return d.board.Phase() == blackboard.Serving })
 		if d.cluster.Placer.Coordinates("svc") {
 			t.Error("it coordinates though it has not found anybody")
 		}
-		pass(5 * time.Second)
+		passTime(5 * time.Second)
 		if !d.cluster.Placer.Coordinates("svc") {
 			t.Error("it does not coordinate though nobody else is there")
 		}
 	})
 }
 
-// TestRumorsOutliveTheLinkTheyCameOver: a peer tells of two daemons one after the other and its
+// TestRumorsSpreadAfterTheirLinkCloses: a peer tells of two daemons one after the other and its
 // link ends while the second rumor waits for its frame. All others hear of both at once, not at
 // the next comparison of members, 1 s and more later.
-func TestRumorsOutliveTheLinkTheyCameOver(t *testing.T) {
+func TestRumorsSpreadAfterTheirLinkCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := startSpreadFleet(t, 4, 0, 0)
+		f := startSimFleet(t, 4, 0, 0)
 		defer f.close()
-		pass(5 * time.Second)
-		leaver := f.network.AddHost("10.0.1.1:8229", strongLink)
+		passTime(5 * time.Second)
+		leaver := f.network.AddHost("10.0.1.1:8229", strongLinkRate)
 		hub := peer.NewHub("leaver", []string{fleetKey}, telemetry.NewMetrics())
 		hub.SetHTTPClient(leaver.Client())
 		for _, name := range []string{"first", "second"} {
 			rumors := []membership.Rumor{{Name: name, Incarnation: 1, Address: "10.0.1.2:8229", DataCentre: "dc0", Region: "r"}}
-			if err := hub.Notify(t.Context(), peer.Address{Name: "edge-0", Address: fleetSeed}, peer.KindRumor, rumors); err != nil {
+			if err := hub.Notify(t.Context(), peer.Address{Name: "edge-0", Address: seedAddress}, peer.KindRumor, rumors); err != nil {
 				t.Fatal(err)
 			}
-			pass(5 * time.Millisecond)
+			passTime(5 * time.Millisecond)
 		}
 		hub.Close()
 		const soon = 100 * time.Millisecond
-		took := f.until("both daemons", func(d *spreadDaemon) bool {
+		took := f.waitAll("both daemons", func(d *simDaemon) bool {
 			size := 0
 			d.board.Members.WithLock(func(members *membership.Table) { size = members.AliveCount() })
 			return size == len(f.daemons)+2
--- a/node/onplatform/leaving_callers_test.go
+++ b/node/onplatform/leaving_callers_test.go
@@ -10,8 +10,8 @@
 	"doorstack.dev/platform/standin"
 )
 
-// TestATargetStopsWhenItsCallerLeaves: the target's connection ends with the caller's.
-func TestATargetStopsWhenItsCallerLeaves(t *testing.T) {
+// TestCallerDisconnectCancelsTargetCall: the target's connection ends with the caller's.
+func TestCallerDisconnectCancelsTargetCall(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	started, stopped := make(chan struct{}), make(chan struct{})
 	f.scriptAll(func(_ http.ResponseWriter, r *http.Request, _ standin.Call) {
@@ -24,23 +24,23 @@
 		<-started
 		cancel()
 	}()
-	if got := f.ask(safe).Do(ctx, f.client); got.Err == nil {
+	if got := f.newRequest(safePath).Do(ctx, f.client); got.Err == nil {
 		t.Fatal("the caller had left")
 	}
 	select {
 	case <-stopped:
-	case <-time.After(waitMost):
+	case <-time.After(waitTimeout):
 		t.Fatal("the target still works")
 	}
 }
 
-// TestNothingIsSentForACallerThatLeft: a caller leaves while its call waits for a slot, here
+// TestQueuedCallOfDisconnectedCallerIsNotSent: a caller leaves while its call waits for a slot, here
 // or at the coordinator. When the slot comes free the call is not sent, and whoever came
 // after it is.
-func TestNothingIsSentForACallerThatLeft(t *testing.T) {
+func TestQueuedCallOfDisconnectedCallerIsNotSent(t *testing.T) {
 	f := newFleet(t, 2, 1)
-	f.allKnown()
-	target := f.addTarget("one", engines, 1)
+	f.awaitAllMembers()
+	target := f.addTarget("one", engineService, 1)
 	for _, d := range f.daemons {
 		f.waitReady(d)
 	}
@@ -54,7 +54,7 @@
 			standin.AnswerStream(1, 2, false)(w, r, c)
 		})
 		ask := func(ctx context.Context, body string) (*standin.CallerRequest, chan standin.CallerResponse) {
-			a := f.ask(prompt)
+			a := f.newRequest(promptPath)
 			a.Daemon, a.Body, a.TokenCounts = d.boot.CallerAddress, body, "1000,50"
 			got := make(chan standin.CallerResponse, 1)
 			go func() { got <- a.Do(ctx, f.client) }()
@@ -64,7 +64,7 @@
 			return func() bool {
 				waiting := 0
 				for _, other := range f.daemons {
-					waiting += other.Board.Queues.Len(engines)
+					waiting += other.Board.Queues.Len(engineService)
 				}
 				return waiting == n
 			}
@@ -88,14 +88,14 @@
 		if got := <-last; got.Status != 200 {
 			t.Errorf("%+v", got)
 		}
-		if calls := f.calls(left.ID); len(calls) != 0 {
+		if calls := f.callsWithID(left.ID); len(calls) != 0 {
 			t.Errorf("through %s: sent %d times for a caller that had left", d.boot.Name, len(calls))
 		}
 	}
 }
 
-// TestAStreamStopsWhenItsCallerLeaves: in the middle of a stream, and before its first event.
-func TestAStreamStopsWhenItsCallerLeaves(t *testing.T) {
+// TestCallerDisconnectCancelsStream: in the middle of a stream, and before its first event.
+func TestCallerDisconnectCancelsStream(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	for _, before := range []func(http.ResponseWriter, *http.Request, standin.Call){
 		nil,
@@ -119,16 +119,16 @@
 			<-started
 			leave()
 		}()
-		a := f.ask(stream)
+		a := f.newRequest(streamPath)
 		if got := a.Do(ctx, f.client); got.Err == nil {
 			t.Error("the caller had left")
 		}
 		select {
 		case <-stopped:
-		case <-time.After(waitMost):
+		case <-time.After(waitTimeout):
 			t.Fatal("the target still works")
 		}
-		if calls := f.calls(a.ID); len(calls) != 1 {
+		if calls := f.callsWithID(a.ID); len(calls) != 1 {
 			t.Errorf("sent %d times", len(calls))
 		}
 	}
--- a/node/onplatform/limit_fleet_test.go
+++ b/node/onplatform/limit_fleet_test.go
@@ -22,59 +22,59 @@
 	"github.com/go-faster/errors"
 )
 
-// The platform's rule on limits: from learnTime after a limit was first named, its target gets in any
+// The platform's rule on limits: from limitLearnTime after a limit was first named, its target gets in any
 // limitWindow at most limitShare of what the limit allows and limitSlack more calls, by daemons that had
-// passed the word on toldBefore earlier.
+// passed the word on relayLeadTime earlier.
 const (
-	learnTime   = 3 * time.Second
-	limitWindow = 4 * time.Second
-	limitShare  = 1.5
-	limitSlack  = 5
-	toldBefore  = 500 * time.Millisecond
+	limitLearnTime = 3 * time.Second
+	limitWindow    = 4 * time.Second
+	limitShare     = 1.5
+	limitSlack     = 5
+	relayLeadTime  = 500 * time.Millisecond
 )
 
 // limitedTarget is a target in virtual time that names a limit, and judges what it gets.
 type limitedTarget struct {
-	perSecond float64
-	mu        sync.Mutex
-	told      map[string]time.Time // when each daemon first passed the limit on
-	arrivals  []arrival
+	perSecond    float64
+	mu           sync.Mutex
+	firstRelayed map[string]time.Time // when each daemon first passed the limit on
+	arrivals     []arrival
 }
 
 type arrival struct {
-	at time.Time
-	by string
+	at     time.Time
+	daemon string
 }
 
 // arrive counts a call.
-func (l *limitedTarget) arrive(by string) {
+func (l *limitedTarget) recordCall(by string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.arrivals = append(l.arrivals, arrival{time.Now(), by})
 }
 
 // tell notes that a daemon has passed the limit on.
-func (l *limitedTarget) tell(by string) {
+func (l *limitedTarget) recordRelay(by string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if _, known := l.told[by]; !known {
-		l.told[by] = time.Now()
+	if _, known := l.firstRelayed[by]; !known {
+		l.firstRelayed[by] = time.Now()
 	}
 }
 
 // most is the most calls in a window that count.
-func (l *limitedTarget) most() int {
+func (l *limitedTarget) maxCallsInWindow() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var counted []arrival
 	first := time.Time{}
-	for _, at := range l.told {
+	for _, at := range l.firstRelayed {
 		if first.IsZero() || at.Before(first) {
 			first = at
 		}
 	}
 	for _, a := range l.arrivals {
-		if at, told := l.told[a.by]; told && a.at.Sub(at) >= toldBefore && a.at.Sub(first) >= learnTime {
+		if at, told := l.firstRelayed[a.daemon]; told && a.at.Sub(at) >= relayLeadTime && a.at.Sub(first) >= limitLearnTime {
 			counted = append(counted, a)
 		}
 	}
@@ -90,31 +90,31 @@
 
 // limitFleet is a fleet whose daemons place calls at targets in virtual time.
 type limitFleet struct {
-	*spreadFleet
-	targets map[string]*limitedTarget // those that name a limit
-	calls   sync.WaitGroup
-	workers sync.WaitGroup
-	mu      sync.Mutex
-	ends    map[string]func() // by daemon: ends its process
-	served  int
-	refused []time.Duration // after how long each refused call was
+	*simFleet
+	targets      map[string]*limitedTarget // those that name a limit
+	calls        sync.WaitGroup
+	workers      sync.WaitGroup
+	mu           sync.Mutex
+	shutdowns    map[string]func() // by daemon: ends its process
+	served       int
+	refusalTimes []time.Duration // after how long each refused call was
 }
 
-// pathGoal is the goal of the calls, and leave when their callers go.
+// callGoal is the goal of the calls, and leave when their callers go.
 const (
-	pathGoal = 300 * time.Millisecond
-	leave    = 3 * time.Second
+	callGoal    = 300 * time.Millisecond
+	callTimeout = 3 * time.Second
 )
 
-// lateRefusals is how many refusals there are at least for each that comes after a third of the goal:
+// minRefusalsPerLateOne is how many refusals there are at least for each that comes after a third of the goal:
 // those of questions whose coordinator ended.
-const lateRefusals = 50
+const minRefusalsPerLateOne = 50
 
 // begin starts so many targets, workers and callers; each daemon gets a call in each pause. Once ctx
 // has ended, end waits for the last of them.
-func (f *limitFleet) begin(ctx context.Context, targets int, pause time.Duration) (end func()) {
+func (f *limitFleet) startLoad(ctx context.Context, targets int, pause time.Duration) (end func()) {
 	working, stopWork := context.WithCancel(context.Background())
-	changes, err := platform.ConfigChanges(configuration(1, 10))
+	changes, err := platform.ConfigChanges(configText(1, 10))
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -132,31 +132,31 @@
 		life, end := context.WithCancel(ctx)
 		workers := worker.Pool{Board: d.board, Size: 1}
 		f.workers.Go(func() { workers.Run(working) })
-		f.ends[d.name] = func() { end(); f.stop[1+2*i](); f.stop[2+2*i]() }
+		f.shutdowns[d.name] = func() { end(); f.stopFuncs[1+2*i](); f.stopFuncs[2+2*i]() }
 		f.calls.Go(func() {
-			pass(5 * time.Second) // All know each other.
+			passTime(5 * time.Second) // All know each other.
 			for n := 0; life.Err() == nil; n++ {
-				f.calls.Go(func() { f.call(life, d, fmt.Sprintf("%s-%d", d.name, n)) })
-				pass(pause)
+				f.calls.Go(func() { f.placeCall(life, d, fmt.Sprintf("%s-%d", d.name, n)) })
+				passTime(pause)
 			}
 		})
 	}
 	return func() {
 		f.calls.Wait()
-		pass(leave) // Questions to coordinators that ended are dropped.
+		passTime(callTimeout) // Questions to coordinators that ended are dropped.
 		stopWork()
 		f.workers.Wait()
 	}
 }
 
 // call places a call as a daemon does, and answers it.
-func (f *limitFleet) call(ctx context.Context, d *spreadDaemon, id string) {
-	ctx, cancel := context.WithTimeout(ctx, leave)
+func (f *limitFleet) placeCall(ctx context.Context, d *simDaemon, id string) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	began := time.Now()
 	ticket := &blackboard.Ticket{
-		Attempt: id, Pool: d.board.Settings.Current().Tree.Pool("svc"), Deadline: began.Add(leave),
-		Request: routing.Request{ID: id, DataCentre: d.centre, Goal: pathGoal.Seconds()},
+		Attempt: id, Pool: d.board.Settings.Current().Tree.Pool("svc"), Deadline: began.Add(callTimeout),
+		Request: routing.Request{ID: id, DataCentre: d.dataCentre, Goal: callGoal.Seconds()},
 		Item:    &admission.Item{ID: id, Account: "/t1", Tokens: 1, Arrived: began},
 	}
 	placement, ok := d.cluster.Placer.Place(ctx, ticket)
@@ -172,25 +172,25 @@
 	}
 	if placement.Decision.Verdict != routing.Place {
 		f.mu.Lock()
-		f.refused = append(f.refused, time.Since(began))
+		f.refusalTimes = append(f.refusalTimes, time.Since(began))
 		f.mu.Unlock()
 		return
 	}
-	f.answer(d, placement.Decision.Chosen, id)
+	f.answerCall(d, placement.Decision.Chosen, id)
 }
 
 // answer lets a target answer a call.
-func (f *limitFleet) answer(d *spreadDaemon, id, attempt string) {
+func (f *limitFleet) answerCall(d *simDaemon, id, attempt string) {
 	sent, target := time.Now(), f.targets[id]
-	pass(time.Millisecond)
+	passTime(time.Millisecond)
 	said := forward.Limit{Lifted: true}
 	if target != nil {
-		target.arrive(d.name)
+		target.recordCall(d.name)
 		said = forward.DeclaredLimit(target.perSecond)
 	}
-	pass(20 * time.Millisecond)
+	passTime(20 * time.Millisecond)
 	if target != nil {
-		target.tell(d.name)
+		target.recordRelay(d.name)
 	}
 	record := telemetry.Recorder{Board: d.board, Log: slog.New(slog.DiscardHandler), Metrics: d.metrics}
 	if news := record.RecordNotice("svc", id, forward.Notice{Limit: said}, sent); said.Declared || news {
@@ -205,10 +205,10 @@
 }
 
 // endCoordinator ends the process of the daemon that places the pool's calls.
-func (f *limitFleet) endCoordinator() {
+func (f *limitFleet) stopCoordinator() {
 	for _, d := range f.daemons {
-		if end := f.ends[d.name]; end != nil && d.cluster.Placer.Coordinates("svc") {
-			delete(f.ends, d.name)
+		if end := f.shutdowns[d.name]; end != nil && d.cluster.Placer.Coordinates("svc") {
+			delete(f.shutdowns, d.name)
 			end()
 			return
 		}
@@ -216,9 +216,9 @@
 	f.t.Error("nobody coordinates")
 }
 
-// TestNoTargetGetsMoreThanItsLimitWhoeverCoordinates: fleets of two sizes whose coordinators end one
+// TestTargetLimitHoldsAcrossCoordinatorChanges: fleets of two sizes whose coordinators end one
 // after the other, with one target that names a limit or all of them.
-func TestNoTargetGetsMoreThanItsLimitWhoeverCoordinates(t *testing.T) {
+func TestTargetLimitHoldsAcrossCoordinatorChanges(t *testing.T) {
 	for _, c := range []struct {
 		strong, weak, targets, limited int
 		perSecond                      float64
@@ -233,32 +233,32 @@
 	} {
 		t.Run(fmt.Sprintf("%d hosts, %d of %d targets name %v", c.strong+c.weak, c.limited, c.targets, c.perSecond), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := &limitFleet{spreadFleet: startSpreadFleet(t, c.strong, c.weak, 0), targets: map[string]*limitedTarget{}, ends: map[string]func(){}}
+				f := &limitFleet{simFleet: startSimFleet(t, c.strong, c.weak, 0), targets: map[string]*limitedTarget{}, shutdowns: map[string]func(){}}
 				defer f.close()
 				for i := range c.limited {
-					f.targets[fmt.Sprint("t", i)] = &limitedTarget{perSecond: c.perSecond, told: map[string]time.Time{}}
+					f.targets[fmt.Sprint("t", i)] = &limitedTarget{perSecond: c.perSecond, firstRelayed: map[string]time.Time{}}
 				}
 				ctx, cancel := context.WithCancel(t.Context())
-				end := f.begin(ctx, c.targets, c.pause)
-				pass(12 * time.Second)
-				f.endCoordinator()
-				pass(4 * time.Second)
-				f.endCoordinator()
-				pass(6 * time.Second)
+				end := f.startLoad(ctx, c.targets, c.pause)
+				passTime(12 * time.Second)
+				f.stopCoordinator()
+				passTime(4 * time.Second)
+				f.stopCoordinator()
+				passTime(6 * time.Second)
 				cancel()
 				end()
 				allowed := int(limitShare*c.perSecond*limitWindow.Seconds() + limitSlack)
 				for id, target := range f.targets {
-					if most := target.most(); most > allowed {
+					if most := target.maxCallsInWindow(); most > allowed {
 						t.Errorf("%s got %d calls in %v, allowed %d", id, most, limitWindow, allowed)
 					}
-					t.Logf("%s got %d calls, %d in a window, allowed %d", id, len(target.arrivals), target.most(), allowed)
+					t.Logf("%s got %d calls, %d in a window, allowed %d", id, len(target.arrivals), target.maxCallsInWindow(), allowed)
 				}
-				late := len(slices.DeleteFunc(slices.Clone(f.refused), func(after time.Duration) bool { return after <= pathGoal/3 }))
-				if late*lateRefusals > len(f.refused) {
-					t.Errorf("%d of %d refusals came late", late, len(f.refused))
+				late := len(slices.DeleteFunc(slices.Clone(f.refusalTimes), func(after time.Duration) bool { return after <= callGoal/3 }))
+				if late*minRefusalsPerLateOne > len(f.refusalTimes) {
+					t.Errorf("%d of %d refusals came late", late, len(f.refusalTimes))
 				}
-				t.Logf("%d calls served, %d refused, %d of them late", f.served, len(f.refused), late)
+				t.Logf("%d calls served, %d refused, %d of them late", f.served, len(f.refusalTimes), late)
 			})
 		})
 	}
--- a/node/onplatform/limits_test.go
+++ b/node/onplatform/limits_test.go
@@ -13,20 +13,20 @@
 
 const limitHeader = "Server-Limit"
 
-// herd is callers that send one call after the other, some by each daemon, until they are stopped.
-type herd struct {
+// loadGenerator is callers that send one call after the other, some by each daemon, until they are stopped.
+type loadGenerator struct {
 	stop chan struct{}
 	done sync.WaitGroup
 }
 
-// callersOfEach is the number of callers at each daemon.
-const callersOfEach = 2
+// callersPerDaemon is the number of callers at each daemon.
+const callersPerDaemon = 2
 
 // send starts callers of a path at the daemons; got is told of each answer.
-func (f *fleet) send(daemons []*testDaemon, path string, got func(*testDaemon, standin.CallerResponse)) *herd {
-	h := &herd{stop: make(chan struct{})}
+func (f *fleet) startLoad(daemons []*testDaemon, path string, got func(*testDaemon, standin.CallerResponse)) *loadGenerator {
+	h := &loadGenerator{stop: make(chan struct{})}
 	for _, d := range daemons {
-		for caller := range callersOfEach {
+		for caller := range callersPerDaemon {
 			h.done.Go(func() {
 				for n := 0; ; n++ {
 					select {
@@ -35,8 +35,8 @@
 					default:
 					}
 					a := &standin.CallerRequest{
-						Daemon: d.boot.CallerAddress, Host: host, Path: path + "x", ID: fmt.Sprintf("%s-%d-%d-%s", d.boot.Name, caller, n, path[1:2]),
-						APIKey: key, DeadlineMS: 4000, Body: beside, TokenCounts: "100,10",
+						Daemon: d.boot.CallerAddress, Host: routeHost, Path: path + "x", ID: fmt.Sprintf("%s-%d-%d-%s", d.boot.Name, caller, n, path[1:2]),
+						APIKey: apiKey, DeadlineMS: 4000, Body: soundBody, TokenCounts: "100,10",
 					}
 					got(d, f.do(a))
 				}
@@ -47,7 +47,7 @@
 }
 
 // end stops the callers and waits for their last calls.
-func (h *herd) end() {
+func (h *loadGenerator) stopAndWait() {
 	close(h.stop)
 	h.done.Wait()
 }
@@ -55,107 +55,109 @@
 // addEngines adds model engines and waits until all daemons know them.
 func (f *fleet) addEngines(n int) {
 	for i := range n {
-		f.addTarget(fmt.Sprint("e", i+1), engines, 16)
+		f.addTarget(fmt.Sprint("e", i+1), engineService, 16)
 	}
 	for _, d := range f.daemons {
 		f.waitReady(d)
 	}
 }
 
-// told notes which daemons have passed on an answer of a target.
-type told struct {
-	mu   sync.Mutex
-	seen map[string]bool
+// daemonSet notes which daemons have passed on an answer of a target.
+type daemonSet struct {
+	mu    sync.Mutex
+	names map[string]bool
 }
 
-func (l *told) by(d *testDaemon) {
+func (l *daemonSet) add(d *testDaemon) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.seen[d.boot.Name] = true
+	l.names[d.boot.Name] = true
 }
 
-func (l *told) count() int {
+func (l *daemonSet) count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.seen)
+	return len(l.names)
 }
 
-// allowedIn is the most calls that a target with a limit may get in some time: what the platform
+// maxAllowedCalls is the most calls that a target with a limit may get in some time: what the platform
 // allows in 4 s, for any time.
-func allowedIn(d time.Duration, perSecond float64) int { return int(1.5*perSecond*d.Seconds() + 5) }
+func maxAllowedCalls(d time.Duration, perSecond float64) int {
+	return int(1.5*perSecond*d.Seconds() + 5)
+}
 
-// TestATargetGetsNoMoreThanTheLimitThatItNames: from all daemons together, whichever coordinates.
-func TestATargetGetsNoMoreThanTheLimitThatItNames(t *testing.T) {
+// TestTargetLimitHoldsForWholeFleet: from all daemons together, whichever coordinates.
+func TestTargetLimitHoldsForWholeFleet(t *testing.T) {
 	const perSecond, calls, window = 2.0, 600, time.Second
-	for path, target := range map[string]string{safe: "t1", prompt: "e1"} {
+	for path, target := range map[string]string{safePath: "t1", promptPath: "e1"} {
 		t.Run(path[1:len(path)-1], func(t *testing.T) {
 			f := newFleet(t, 3, 3)
 			f.addEngines(3)
-			f.eventuallyAcquainted()
+			f.awaitMembership()
 			answer := standin.Succeed("ok")
-			if path == prompt {
+			if path == promptPath {
 				answer = standin.AnswerStream(1, 3, false)
 			}
 			f.scriptAll(answer)
-			f.targets[target].Script(words(limitHeader, fmt.Sprint(perSecond), answer))
-			heard := told{seen: map[string]bool{}}
+			f.targets[target].Script(withHeader(limitHeader, fmt.Sprint(perSecond), answer))
+			heard := daemonSet{names: map[string]bool{}}
 			var answered atomic.Int64
-			callers := f.send(f.daemons, path, func(d *testDaemon, got standin.CallerResponse) {
+			callers := f.startLoad(f.daemons, path, func(d *testDaemon, got standin.CallerResponse) {
 				answered.Add(1)
 				if got.Header.Get(limitHeader) != "" {
-					heard.by(d)
+					heard.add(d)
 				}
 			})
-			defer callers.end()
+			defer callers.stopAndWait()
 			f.eventually("each daemon has been told", func() bool { return heard.count() == len(f.daemons) })
-			began, before, until := time.Now(), f.callsAt(target), answered.Load()+calls
+			began, before, until := time.Now(), f.callCount(target), answered.Load()+calls
 			f.eventually("more calls", func() bool { return answered.Load() >= until && time.Since(began) >= window })
-			if got, allowed := f.callsAt(target)-before, allowedIn(time.Since(began), perSecond); got > allowed {
+			if got, allowed := f.callCount(target)-before, maxAllowedCalls(time.Since(began), perSecond); got > allowed {
 				t.Errorf("%d calls in %v, allowed %d", got, time.Since(began), allowed)
 			}
 		})
 	}
 }
 
-// TestATargetThatNamesNoLimitAnyMoreIsUsedAgain: by all daemons, at once.
-func TestATargetThatNamesNoLimitAnyMoreIsUsedAgain(t *testing.T) {
+// TestTargetIsUsedAgainAfterLimitIsLifted: by all daemons, at once.
+func TestTargetIsUsedAgainAfterLimitIsLifted(t *testing.T) {
 	f := newFleet(t, 2, 2)
-	f.eventuallyAcquainted()
-	f.targets["t1"].Script(words(limitHeader, "2", standin.Succeed("ok")))
+	f.awaitMembership()
+	f.targets["t1"].Script(withHeader(limitHeader, "2", standin.Succeed("ok")))
 	var answered atomic.Int64
-	callers := f.send(f.daemons, safe, func(*testDaemon, standin.CallerResponse) { answered.Add(1) })
-	defer callers.end()
-	limited := func(d *testDaemon) bool { return len(d.Board.Targets.Limits(plain, time.Now())) > 0 }
+	callers := f.startLoad(f.daemons, safePath, func(*testDaemon, standin.CallerResponse) { answered.Add(1) })
+	defer callers.stopAndWait()
+	limited := func(d *testDaemon) bool { return len(d.Board.Targets.Limits(plainService, time.Now())) > 0 }
 	f.eventually("all know the limit", func() bool { return limited(f.daemons[0]) && limited(f.daemons[1]) })
 	f.targets["t1"].Script(standin.Succeed("ok"))
 	f.eventually("all know that it is lifted", func() bool { return !limited(f.daemons[0]) && !limited(f.daemons[1]) })
 	const calls = 200
-	before, until := f.callsAt("t1"), answered.Load()+calls
+	before, until := f.callCount("t1"), answered.Load()+calls
 	f.eventually("more calls", func() bool { return answered.Load() >= until })
-	if got := f.callsAt("t1") - before; got < calls/4 {
+	if got := f.callCount("t1") - before; got < calls/4 {
 		t.Errorf("it gets %d of %d calls", got, calls)
 	}
 }
 
-// TestWhereAllTargetsNameLimitsCallsAreRefusedAtOnce: those whose turn comes too late, with the time of
+// TestCallsAreRefusedAtOnceWhenAllTargetsAreLimited: those whose turn comes too late, with the time of
 // their turn; none of them runs, and each target gets what it names.
-func TestWhereAllTargetsNameLimitsCallsAreRefusedAtOnce(t *testing.T) {
+func TestCallsAreRefusedAtOnceWhenAllTargetsAreLimited(t *testing.T) {
 	const perSecond = 2.0
 	f := newFleet(t, 2, 2)
-	f.eventuallyAcquainted()
-	f.scriptAll(words(limitHeader, fmt.Sprint(perSecond), standin.Succeed("ok")))
+	f.awaitMembership()
+	f.scriptAll(withHeader(limitHeader, fmt.Sprint(perSecond), standin.Succeed("ok")))
 	f.eventually("a refusal by each daemon", func() bool {
 		for _, d := range f.daemons {
-			if f.do(f.askOf(d, safe, beside)).Status != 503 {
+			if f.do(f.newRequestTo(d, safePath, soundBody)).Status != 503 {
 				return false
 			}
 		}
 		return true
 	})
 	refused, late := 0, 0
-	began, before := time.Now(), f.callsAt("t1")+f.callsAt("t2")
+	began, before := time.Now(), f.callCount("t1")+f.callCount("t2")
 	for n := 0; time.Since(began) < time.Second; n++ {
-		a := f.askOf(f.daemons[n%2], safe, beside)
+		a := f.newRequestTo(f.daemons[n%2], safePath, soundBody)
 		sent := time.Now()
 		got := f.do(a)
 		if got.Status == 200 {
@@ -166,11 +168,11 @@
 			late++
 		}
 		back, err := strconv.ParseFloat(got.RetryAfter(), 64)
-		if got.Status != 503 || got.Signed() || err != nil || back <= 0 || back > 4/perSecond || len(f.calls(a.ID)) > 0 {
-			t.Fatalf("%+v, at targets %d times", got, len(f.calls(a.ID)))
+		if got.Status != 503 || got.Signed() || err != nil || back <= 0 || back > 4/perSecond || len(f.callsWithID(a.ID)) > 0 {
+			t.Fatalf("%+v, at targets %d times", got, len(f.callsWithID(a.ID)))
 		}
 	}
-	if ran, allowed := f.callsAt("t1")+f.callsAt("t2")-before, 2*allowedIn(time.Since(began), perSecond); ran > allowed || ran == 0 {
+	if ran, allowed := f.callCount("t1")+f.callCount("t2")-before, 2*maxAllowedCalls(time.Since(began), perSecond); ran > allowed || ran == 0 {
 		t.Errorf("%d calls ran, allowed %d", ran, allowed)
 	}
 	if refused == 0 || late > refused/10 {
--- a/node/onplatform/long_list_test.go
+++ b/node/onplatform/long_list_test.go
@@ -7,14 +7,14 @@
 	"doorstack.dev/platform/standin"
 )
 
-// TestADaemonServesWithTheFirstPageOfALongList: while the store does not give the others, and it
+// TestDaemonServesWithFirstPageOfHostList: while the store does not give the others, and it
 // knows all targets once it does.
-func TestADaemonServesWithTheFirstPageOfALongList(t *testing.T) {
+func TestDaemonServesWithFirstPageOfHostList(t *testing.T) {
 	f := &fleet{t: t, store: standin.NewStore(), targets: map[string]*standin.Target{}, config: testConfig(1)}
-	f.client = newFleetClient(t)
+	f.client = newCallerClient(t)
 	const targets, page = 6, 3
 	for i := range targets {
-		f.addTarget(fmt.Sprint("t", i+1), plain, 6)
+		f.addTarget(fmt.Sprint("t", i+1), plainService, 6)
 	}
 	f.store.PutConfig(f.config)
 	rest := make(chan struct{})
@@ -22,7 +22,7 @@
 	f.addDaemon(0)
 	d := f.daemons[0]
 	f.eventually("the daemon ready", func() bool { return f.ready(d) })
-	if got := f.do(f.ask(safe)); got.Status != 200 || !got.Signed() {
+	if got := f.do(f.newRequest(safePath)); got.Status != 200 || !got.Signed() {
 		t.Fatalf("%+v", got)
 	}
 	if known := len(d.Board.Targets.Addresses()); known != page-1 || f.store.LaterPages() == 0 {
--- a/node/onplatform/onplatform.go
+++ b/node/onplatform/onplatform.go
@@ -28,15 +28,15 @@
 	return platform.LoadBoot(path)
 }
 
-// reloadEvery is how often the settings file is looked at: it may change without any
+// reloadInterval is how often the settings file is looked at: it may change without any
 // signal, and nothing in it is urgent.
-const reloadEvery = 2 * time.Second
+const reloadInterval = 2 * time.Second
 
 // Reload takes over what changes in the settings file while the daemon runs, at each
 // signal and every few seconds, until ctx ends. A file that cannot be read changes
 // nothing.
 func Reload(ctx context.Context, d *daemon.Daemon, boot *platform.Boot, signals <-chan os.Signal, log *slog.Logger) {
-	ticker := time.NewTicker(reloadEvery)
+	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	failed := ""
 	for {
@@ -56,7 +56,7 @@
 			}
 			failed = err.Error()
 		case !reflect.DeepEqual(next, boot):
-			apply(d, boot, next, log)
+			applyChanges(d, boot, next, log)
 			boot, failed = next, ""
 		case signalled:
 			log.Info("reload", "outcome", "unchanged")
@@ -64,22 +64,22 @@
 	}
 }
 
-// apply puts changed settings in force.
-func apply(d *daemon.Daemon, old, next *platform.Boot, log *slog.Logger) {
-	d.UpdatePlatformSettings(next.Seeds, repeatsOf(next), next.Bounds.ShutdownGrace)
+// applyChanges puts changed settings in force.
+func applyChanges(d *daemon.Daemon, old, next *platform.Boot, log *slog.Logger) {
+	d.UpdatePlatformSettings(next.Seeds, repeatLimitOf(next), next.Bounds.ShutdownGrace)
 	restart := next.CallerAddress != old.CallerAddress || next.ReadyAddress != old.ReadyAddress || next.PeerAddress != old.PeerAddress || next.Name != old.Name || next.StoreAddress != old.StoreAddress
 	log.Info("reload", "outcome", "adopted", "seeds", next.Seeds, "needs_restart", restart)
 }
 
-func repeatsOf(boot *platform.Boot) admission.RepeatLimit {
+func repeatLimitOf(boot *platform.Boot) admission.RepeatLimit {
 	return admission.RepeatLimit{Share: boot.Bounds.RepeatShare, Slack: boot.Bounds.RepeatSlack, Window: boot.Bounds.RepeatWindow}
 }
 
 // New provisions a daemon from what the platform gives. An empty port for operators
 // and metrics means the default one.
 func New(boot *platform.Boot, metricsPort string, log *slog.Logger) (*daemon.Daemon, error) {
-	file := fileOf(boot, metricsPort)
-	return daemon.NewWithAdapter(&file, adapterOf(boot, log), log)
+	file := configFileOf(boot, metricsPort)
+	return daemon.NewWithAdapter(&file, newAdapter(boot, log), log)
 }
 
 // The memory that a daemon may use on the platform's small hosts, where memory is
@@ -93,8 +93,8 @@
 // defaultMetricsPort serves operators where the command line names no port.
 const defaultMetricsPort = "9464"
 
-// fileOf makes the daemon's own file from what the platform gives.
-func fileOf(boot *platform.Boot, metricsPort string) config.File {
+// configFileOf makes the daemon's own file from what the platform gives.
+func configFileOf(boot *platform.Boot, metricsPort string) config.File {
 	if metricsPort == "" {
 		metricsPort = defaultMetricsPort
 	}
@@ -109,38 +109,38 @@
 	return file
 }
 
-func adapterOf(boot *platform.Boot, log *slog.Logger) *daemon.Adapter {
-	foreign := &foreignLog{log: log}
+func newAdapter(boot *platform.Boot, log *slog.Logger) *daemon.Adapter {
+	foreign := &invalidEntryLog{log: log}
 	parser := platform.NewParser()
 	parser.Yield = runtime.Gosched
 	feed := platform.NewFeed(platform.NewStore(boot.StoreAddress), boot.Regions, foreign.warn)
 	return &daemon.Adapter{
 		Settings: feed, Targets: feed, Parse: parser.Parse, Dialect: platform.Headers{},
 		ReadyAddress: boot.ReadyAddress, Seeds: boot.Seeds, ShutdownGrace: boot.Bounds.ShutdownGrace,
-		RepeatLimit: repeatsOf(boot), Cores: boot.Cores, StoreSettleTime: boot.Bounds.StoreSettleTime,
+		RepeatLimit: repeatLimitOf(boot), Cores: boot.Cores, StoreSettleTime: boot.Bounds.StoreSettleTime,
 	}
 }
 
-// foreignEvery is the least time between two lines about entries of other writers, which may
+// invalidEntryLogInterval is the least time between two lines about entries of other writers, which may
 // come many at a time and again and again.
-const foreignEvery = time.Second
+const invalidEntryLogInterval = time.Second
 
-// foreignLog tells of entries in the store that name no target to use.
-type foreignLog struct {
+// invalidEntryLog tells of entries in the store that name no target to use.
+type invalidEntryLog struct {
 	log *slog.Logger
 
-	mu      sync.Mutex
-	last    time.Time
-	leftOut int
+	mu         sync.Mutex
+	lastLogged time.Time
+	suppressed int
 }
 
-func (f *foreignLog) warn(err error) {
+func (f *invalidEntryLog) warn(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if time.Since(f.last) < foreignEvery {
-		f.leftOut++
+	if time.Since(f.lastLogged) < invalidEntryLogInterval {
+		f.suppressed++
 		return
 	}
-	f.log.Warn("an entry of the store names no target", "error", err.Error(), "left_out", f.leftOut)
-	f.last, f.leftOut = time.Now(), 0
+	f.log.Warn("an entry of the store names no target", "error", err.Error(), "left_out", f.suppressed)
+	f.lastLogged, f.suppressed = time.Now(), 0
 }
--- a/node/onplatform/promises_test.go
+++ b/node/onplatform/promises_test.go
@@ -7,9 +7,9 @@
 	"doorstack.dev/platform/standin"
 )
 
-// promised tells whether callers take a status as the word that their call has not run and never
+// meansNotExecuted tells whether callers take a status as the word that their call has not run and never
 // will.
-func promised(status int) bool {
+func meansNotExecuted(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -17,31 +17,31 @@
 	return false
 }
 
-// TestNoPromiseAfterARunThatWasLost: a target runs a call to its end and its answer is lost; every
+// TestNoNotExecutedStatusAfterLostAnswer: a target runs a call to its end and its answer is lost; every
 // other target then has no room, wants rest, cannot be reached, or is gone. Whatever ends the second
 // attempt, the caller is not told that its call has not run: the work of the first would be done
 // again, or lost where the caller believes the word.
-func TestNoPromiseAfterARunThatWasLost(t *testing.T) {
+func TestNoNotExecutedStatusAfterLostAnswer(t *testing.T) {
 	lost := map[string]func(http.ResponseWriter, *http.Request, standin.Call){
 		"cut":       standin.CloseConnection,
 		"truncated": standin.Truncate,
 		"unsigned":  standin.AnswerUnsigned,
 	}
 	then := map[string]func(http.ResponseWriter, *http.Request, standin.Call){
-		"wants rest":       words(restHeader, "5", standin.Reject),
-		"leaves":           words(leavingHeader, "1", standin.Reject),
+		"wants rest":       withHeader(retryAfterHeader, "5", standin.Reject),
+		"leaves":           withHeader(drainingHeader, "1", standin.Reject),
 		"503 without word": standin.Answer(503, "no"),
 	}
 	try := func(name string, run, refuse func(http.ResponseWriter, *http.Request, standin.Call)) {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 1, 2)
-			f.scriptOnce(run, refuse)
-			a := f.ask(safe)
+			f.scriptFirstCall(run, refuse)
+			a := f.newRequest(safePath)
 			got := f.do(a)
-			if got.Err == nil && promised(got.Status) {
-				t.Errorf("the caller is told %d after %d sends", got.Status, len(f.calls(a.ID)))
+			if got.Err == nil && meansNotExecuted(got.Status) {
+				t.Errorf("the caller is told %d after %d sends", got.Status, len(f.callsWithID(a.ID)))
 			}
-			if len(f.calls(a.ID)) < 1 {
+			if len(f.callsWithID(a.ID)) < 1 {
 				t.Error("no target got the call")
 			}
 		})
@@ -54,14 +54,14 @@
 	}
 }
 
-// TestAPromiseWhereNothingRan: where every target turned the call away the caller is told so, and when
+// TestNotExecutedStatusWhenAllTargetsReject: where every target turned the call away the caller is told so, and when
 // to come back.
-func TestAPromiseWhereNothingRan(t *testing.T) {
+func TestNotExecutedStatusWhenAllTargetsReject(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	f.scriptAll(standin.Reject)
-	for _, path := range []string{safe, unsafe} {
-		got := f.do(f.ask(path))
-		if got.Err != nil || !promised(got.Status) || got.RetryAfter() == "" {
+	for _, path := range []string{safePath, unsafePath} {
+		got := f.do(f.newRequest(path))
+		if got.Err != nil || !meansNotExecuted(got.Status) || got.RetryAfter() == "" {
 			t.Errorf("%s: %+v", path, got)
 		}
 	}
--- a/node/onplatform/spread_test.go
+++ b/node/onplatform/spread_test.go
@@ -42,53 +42,53 @@
 // Cause: a change costs the size of the settings, not of what changes.
 
 const (
-	strongHosts, weakHosts = 6, 53
-	strongLink, weakLink   = 200e6 / 8, 20e6 / 8 // bytes a second
+	strongHosts, weakHosts       = 6, 53
+	strongLinkRate, weakLinkRate = 200e6 / 8, 20e6 / 8 // bytes a second
 	// Time to read and check a byte of settings, in seconds: 0.25 s for 0.86 MB was seen on a
 	// fifth of a core, 0.05 s on four fifths.
-	strongCheck, weakCheck = 0.05 / 0.86e6, 0.25 / 0.86e6
+	strongParseSecondsPerByte, weakParseSecondsPerByte = 0.05 / 0.86e6, 0.25 / 0.86e6
 
-	moreRoutes = 1400
-	// inForce is the time in which a change has to be in force at all hosts once the watchers
+	addedRoutes = 1400
+	// propagationLimit is the time in which a change has to be in force at all hosts once the watchers
 	// have it: 3 s after the store took it, less 1 s in which the slowest of them reads it.
-	inForce = 2 * time.Second
+	propagationLimit = 2 * time.Second
 )
 
-// spreadFleet is a fleet of daemons' clusters on a slow network.
-type spreadFleet struct {
-	t       *testing.T
-	daemons []*spreadDaemon
-	parsed  sync.Map // trees by the number of parts: all daemons of the test may share one
-	dead    *deadLines
-	network *slownet.Network
-	stop    []func()
+// simFleet is a fleet of daemons' clusters on a slow network.
+type simFleet struct {
+	t            *testing.T
+	daemons      []*simDaemon
+	parsedTrees  sync.Map // trees by the number of parts: all daemons of the test may share one
+	deathCounter *deathCounter
+	network      *slownet.Network
+	stopFuncs    []func()
 }
 
-type spreadDaemon struct {
-	name, centre string
-	board        *blackboard.Blackboard
-	settings     *controller.Settings
-	directory    *controller.Directory
-	cluster      *cluster.Cluster
-	host         *slownet.Host
-	starts       time.Duration
-	metrics      *telemetry.Metrics
+type simDaemon struct {
+	name, dataCentre string
+	board            *blackboard.Blackboard
+	settings         *controller.Settings
+	directory        *controller.Directory
+	cluster          *cluster.Cluster
+	netHost          *slownet.Host
+	startDelay       time.Duration
+	metrics          *telemetry.Metrics
 }
 
-// deadLines is a log that counts the lines that tell of a dead member.
-type deadLines struct {
+// deathCounter is a log that counts the lines that tell of a dead member.
+type deathCounter struct {
 	slog.Handler
-	mu    sync.Mutex
-	lines int
+	mu     sync.Mutex
+	deaths int
 }
 
-func (d *deadLines) Enabled(context.Context, slog.Level) bool { return true }
+func (d *deathCounter) Enabled(context.Context, slog.Level) bool { return true }
 
-func (d *deadLines) Handle(_ context.Context, r slog.Record) error {
+func (d *deathCounter) Handle(_ context.Context, r slog.Record) error {
 	r.Attrs(func(a slog.Attr) bool {
 		if r.Message == "membership" && a.Key == "state" && a.Value.String() == "dead" {
 			d.mu.Lock()
-			d.lines++
+			d.deaths++
 			d.mu.Unlock()
 		}
 		return true
@@ -96,79 +96,79 @@
 	return nil
 }
 
-// startSpreadFleet starts a fleet of so many strong and weak hosts, one after the other in an
+// startSimFleet starts a fleet of so many strong and weak hosts, one after the other in an
 // order of their names' hashes, over so much time.
-func startSpreadFleet(t *testing.T, strong, weak int, over time.Duration) *spreadFleet {
-	f := &spreadFleet{t: t, dead: &deadLines{Handler: slog.DiscardHandler}, network: &slownet.Network{Delay: time.Millisecond}}
+func startSimFleet(t *testing.T, strong, weak int, over time.Duration) *simFleet {
+	f := &simFleet{t: t, deathCounter: &deathCounter{Handler: slog.DiscardHandler}, network: &slownet.Network{Delay: time.Millisecond}}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	for i := range strong + weak {
 		d := f.newDaemon(i, i < strong)
 		server := &http.Server{Handler: d.cluster.Hub.Handler()}
 		place := settings.HashKey(d.name)
-		d.starts = over * time.Duration(place[0]) / 255
+		d.startDelay = over * time.Duration(place[0]) / 255
 		running.Go(func() {
-			pass(d.starts)
-			running.Go(func() { _ = server.Serve(d.host) })
+			passTime(d.startDelay)
+			running.Go(func() { _ = server.Serve(d.netHost) })
 			d.cluster.Run(ctx)
 		})
 		f.daemons = append(f.daemons, d)
-		f.stop = append(f.stop, d.cluster.Hub.Close, func() { _ = server.Close() })
+		f.stopFuncs = append(f.stopFuncs, d.cluster.Hub.Close, func() { _ = server.Close() })
 	}
-	f.stop = append([]func(){cancel}, append(f.stop, running.Wait)...)
+	f.stopFuncs = append([]func(){cancel}, append(f.stopFuncs, running.Wait)...)
 	return f
 }
 
-// closing is longer than the handshake that closes a link may take.
-const closing = 20 * time.Second
+// linkCloseTimeout is longer than the handshake that closes a link may take.
+const linkCloseTimeout = 20 * time.Second
 
-func (f *spreadFleet) close() {
-	for _, stop := range f.stop {
+func (f *simFleet) close() {
+	for _, stop := range f.stopFuncs {
 		stop()
 	}
-	pass(closing)
+	passTime(linkCloseTimeout)
 }
 
-// pass lets virtual time pass.
-func pass(d time.Duration) { controller.Sleep(context.Background(), d) }
+// passTime lets virtual time pass.
+func passTime(d time.Duration) { controller.Sleep(context.Background(), d) }
 
 // fleetKey is what daemons of the fleet know each other by.
 const fleetKey = "a-shared-secret-of-the-fleet"
 
-// fleetSeed is the address of the first daemon, which the others introduce themselves to.
-const fleetSeed = "10.0.0.0:8229"
+// seedAddress is the address of the first daemon, which the others introduce themselves to.
+const seedAddress = "10.0.0.0:8229"
 
-func (f *spreadFleet) newDaemon(i int, strong bool) *spreadDaemon {
-	cores, link, check := 0.192, weakLink, weakCheck
+func (f *simFleet) newDaemon(i int, strong bool) *simDaemon {
+	cores, link, check := 0.192, weakLinkRate, weakParseSecondsPerByte
 	if strong {
-		cores, link, check = 0.8, strongLink, strongCheck
+		cores, link, check = 0.8, strongLinkRate, strongParseSecondsPerByte
 	}
-	d := &spreadDaemon{name: fmt.Sprint("edge-", i), centre: fmt.Sprint("dc", i%3)}
+	d := &simDaemon{name: fmt.Sprint("edge-", i), dataCentre: fmt.Sprint("dc", i%3)}
 	address := fmt.Sprintf("10.0.0.%d:8229", i)
-	d.host = f.network.AddHost(address, link)
+	d.netHost = f.network.AddHost(address, link)
 	d.board = blackboard.New(blackboard.Identity{
-		Name: d.name, Incarnation: 1, DataCentre: d.centre, Region: "r", PeerAddress: address, Cores: cores,
+		Name: d.name, Incarnation: 1, DataCentre: d.dataCentre, Region: "r", PeerAddress: address, Cores: cores,
 	}, blackboard.DefaultLimits())
 	d.metrics = telemetry.NewMetrics()
-	record := &telemetry.Recorder{Board: d.board, Log: slog.New(f.dead), Metrics: d.metrics}
+	record := &telemetry.Recorder{Board: d.board, Log: slog.New(f.deathCounter), Metrics: d.metrics}
 	hub := peer.NewHub(d.name, []string{fleetKey}, d.metrics)
-	hub.SetHTTPClient(d.host.Client())
+	hub.SetHTTPClient(d.netHost.Client())
 	d.settings = &controller.Settings{
-		Board: d.board, Recorder: record, ShouldWatch: func() bool { return f.watches(d) },
-		Parse:   f.parseAt(check),
+		Board: d.board, Recorder: record, ShouldWatch: func() bool { return f.watchesStore(d) },
+		Parse:   f.parseWithDelay(check),
 		OnAdopt: func(*blackboard.SettingsView) { d.cluster.HeartbeatNow() },
 	}
 	d.directory = &controller.Directory{Board: d.board, Recorder: record, OnChange: func() { d.cluster.HeartbeatNow() }}
 	d.cluster = cluster.New(d.board, hub, record, d.settings, nil)
 	d.cluster.Directory, d.cluster.DisableLeases = d.directory, true
-	d.cluster.SetSeeds([]string{fleetSeed})
+	d.cluster.SetSeeds([]string{seedAddress})
 	d.board.Members.OpenFleet()
 	return d
 }
 
 // parseAt checks settings in the time that a host needs for the bytes of them that it has not
 // read before.
-func (f *spreadFleet) parseAt(secondsPerByte float64) func(map[string][]byte) (*settings.Tree, error) {
+func (f *simFleet) parseWithDelay(secondsPerByte float64) func(map[string][]byte) (*settings.Tree, error) {
 	var mu sync.Mutex
 	before := map[string][]byte{}
 	return func(parts map[string][]byte) (*settings.Tree, error) {
@@ -181,34 +181,34 @@
 		}
 		before = parts
 		mu.Unlock()
-		pass(time.Duration(float64(size) * secondsPerByte * float64(time.Second)))
-		if tree, ok := f.parsed.Load(len(parts)); ok {
+		passTime(time.Duration(float64(size) * secondsPerByte * float64(time.Second)))
+		if tree, ok := f.parsedTrees.Load(len(parts)); ok {
 			return tree.(*settings.Tree), nil
 		}
 		tree, err := platform.NewParser().Parse(parts)
 		if err == nil {
-			f.parsed.Store(len(parts), tree)
+			f.parsedTrees.Store(len(parts), tree)
 		}
 		return tree, err
 	}
 }
 
-func (f *spreadFleet) watches(d *spreadDaemon) bool {
+func (f *simFleet) watchesStore(d *simDaemon) bool {
 	var members []watch.Member
 	for _, other := range f.daemons {
-		members = append(members, watch.Member{Name: other.name, DataCentre: other.centre})
+		members = append(members, watch.Member{Name: other.name, DataCentre: other.dataCentre})
 	}
 	return watch.ShouldWatch(d.name, members)
 }
 
 // publish gives a configuration to the daemons that watch the store.
-func (f *spreadFleet) publish(text []byte) {
+func (f *simFleet) publishConfig(text []byte) {
 	changes, err := platform.ConfigChanges(text)
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	for _, d := range f.daemons {
-		if !f.watches(d) {
+		if !f.watchesStore(d) {
 			continue
 		}
 		go func() {
@@ -219,24 +219,24 @@
 	}
 }
 
-// leave tells the daemons that watch the store that a target leaves.
-func (f *spreadFleet) leave(id string, revision hostlist.Position) {
+// callTimeout tells the daemons that watch the store that a target leaves.
+func (f *simFleet) publishDraining(id string, revision hostlist.Position) {
 	for _, d := range f.daemons {
-		if f.watches(d) {
-			f.tell(d, id, revision)
+		if f.watchesStore(d) {
+			f.deliverDraining(d, id, revision)
 		}
 	}
 }
 
 // tell gives one daemon the store's word that a target leaves.
-func (f *spreadFleet) tell(d *spreadDaemon, id string, revision hostlist.Position) {
+func (f *simFleet) deliverDraining(d *simDaemon, id string, revision hostlist.Position) {
 	d.directory.MergeFromPeer("store", hostlist.Update{AsOf: revision, Confirmed: true, Hosts: []hostlist.Host{{
 		ID: id, Role: hostlist.RoleTarget, Address: "10.1.0.1:1", Pool: "svc", State: hostlist.Leaving, Revision: revision,
 	}}})
 }
 
 // until waits until a condition holds at all daemons and returns how long that took.
-func (f *spreadFleet) until(what string, holds func(*spreadDaemon) bool) time.Duration {
+func (f *simFleet) waitAll(what string, holds func(*simDaemon) bool) time.Duration {
 	const most = 30 * time.Second
 	began := time.Now()
 	for _, d := range f.daemons {
@@ -245,29 +245,29 @@
 				f.t.Errorf("%s is not known at %s after %v", what, d.name, most)
 				return most
 			}
-			pass(5 * time.Millisecond)
+			passTime(5 * time.Millisecond)
 		}
 	}
 	return time.Since(began)
 }
 
-func revisionOf(d *spreadDaemon) int64 {
+func adoptedRevision(d *simDaemon) int64 {
 	if view := d.board.Settings.Current(); view != nil {
 		return view.Revision
 	}
 	return 0
 }
 
-func (f *spreadFleet) sent() int64 {
+func (f *simFleet) bytesSent() int64 {
 	sum := int64(0)
 	for _, d := range f.daemons {
-		sum += d.host.BytesSent()
+		sum += d.netHost.BytesSent()
 	}
 	return sum
 }
 
-// configuration is the platform's text with so many routes.
-func configuration(version int64, routes int) []byte {
+// configText is the platform's text with so many routes.
+func configText(version int64, routes int) []byte {
 	list := make([]string, 0, routes)
 	for i := range routes {
 		hash := settings.HashKey(fmt.Sprint("route", i))
@@ -284,49 +284,49 @@
 	return []byte(text)
 }
 
-// TestALargeChangeIsInForceEverywhereInTime plays three changes of 1,400 routes more over
+// TestLargeConfigurationChangePropagatesInTime plays three changes of 1,400 routes more over
 // 59 hosts of the two kinds, each followed by one that alters nothing, while a target leaves.
-func TestALargeChangeIsInForceEverywhereInTime(t *testing.T) {
+func TestLargeConfigurationChangePropagatesInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := startSpreadFleet(t, strongHosts, weakHosts, 0)
+		f := startSimFleet(t, strongHosts, weakHosts, 0)
 		defer f.close()
 		routes, version := 240, int64(1)
-		f.publish(configuration(version, routes))
-		f.until("the first revision", func(d *spreadDaemon) bool { return revisionOf(d) == 1 })
-		pass(5 * time.Second)
+		f.publishConfig(configText(version, routes))
+		f.waitAll("the first revision", func(d *simDaemon) bool { return adoptedRevision(d) == 1 })
+		passTime(5 * time.Second)
 		for range 3 {
-			routes += moreRoutes
+			routes += addedRoutes
 			version++
-			f.change(fmt.Sprint("revision ", version, " with ", routes, " routes"), version, routes)
+			f.checkChange(fmt.Sprint("revision ", version, " with ", routes, " routes"), version, routes)
 			version++
-			f.change(fmt.Sprint("revision ", version, ", which alters nothing"), version, routes)
+			f.checkChange(fmt.Sprint("revision ", version, ", which alters nothing"), version, routes)
 		}
-		if f.dead.lines > 0 {
-			t.Errorf("living daemons were believed dead %d times", f.dead.lines)
+		if f.deathCounter.deaths > 0 {
+			t.Errorf("living daemons were believed dead %d times", f.deathCounter.deaths)
 		}
 	})
 }
 
 // change publishes a revision and a target's leaving and checks when both are known.
-func (f *spreadFleet) change(what string, version int64, routes int) {
-	before := f.sent()
-	f.publish(configuration(version, routes))
+func (f *simFleet) checkChange(what string, version int64, routes int) {
+	before := f.bytesSent()
+	f.publishConfig(configText(version, routes))
 	target := fmt.Sprint("t", version)
 	var leaving time.Duration
 	var waiting sync.WaitGroup
 	waiting.Go(func() {
-		pass(300 * time.Millisecond)
-		f.leave(target, hostlist.Position(version))
-		leaving = f.until(target+" leaves", func(d *spreadDaemon) bool { return d.board.Directory.Revision() >= hostlist.Position(version) })
+		passTime(300 * time.Millisecond)
+		f.publishDraining(target, hostlist.Position(version))
+		leaving = f.waitAll(target+" leaves", func(d *simDaemon) bool { return d.board.Directory.Revision() >= hostlist.Position(version) })
 	})
-	took := f.until(what, func(d *spreadDaemon) bool { return revisionOf(d) >= version })
+	took := f.waitAll(what, func(d *simDaemon) bool { return adoptedRevision(d) >= version })
 	waiting.Wait()
-	f.t.Logf("%s: in force everywhere after %v, a target's leaving known after %v, %d KB sent", what, took, leaving, (f.sent()-before)>>10)
-	if took > inForce {
-		f.t.Errorf("%s: in force everywhere after %v, want %v", what, took, inForce)
+	f.t.Logf("%s: in force everywhere after %v, a target's leaving known after %v, %d KB sent", what, took, leaving, (f.bytesSent()-before)>>10)
+	if took > propagationLimit {
+		f.t.Errorf("%s: in force everywhere after %v, want %v", what, took, propagationLimit)
 	}
-	if leaving > inForce {
-		f.t.Errorf("%s: a target's leaving is known everywhere after %v, want %v", what, leaving, inForce)
+	if leaving > propagationLimit {
+		f.t.Errorf("%s: a target's leaving is known everywhere after %v, want %v", what, leaving, propagationLimit)
 	}
-	pass(3 * time.Second)
+	passTime(3 * time.Second)
 }
--- a/node/onplatform/verdicts_test.go
+++ b/node/onplatform/verdicts_test.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// badCalls is how many calls end targets at one time.
-	badCalls = 10
-	// endsApart is the time between two ends under one call: it waits in a target's queue.
-	endsApart = 300 * time.Millisecond
-	// soundBeside is how many sound calls lose each target that ends.
-	soundBeside = 15
+	// crashingCalls is how many calls end targets at one time.
+	crashingCalls = 10
+	// crashInterval is the time between two ends under one call: it waits in a target's queue.
+	crashInterval = 300 * time.Millisecond
+	// soundCallsPerCrash is how many sound calls lose each target that ends.
+	soundCallsPerCrash = 15
 )
 
 // crashAt plays at a daemon what it does when a target ends under a call.
-func (d *spreadDaemon) crashAt(c poison.Crash) {
+func (d *simDaemon) reportCrash(c poison.Crash) {
 	found := d.board.Poison.RecordCrash(c, time.Now())
 	d.cluster.NotifyCrash(c)
 	if found.Quarantined {
@@ -33,51 +33,51 @@
 	}
 }
 
-// TestAVerdictIsKnownEverywhereInTime: ten calls end targets at once, each comes to another
+// TestQuarantineReachesWholeFleetInTime: ten calls end targets at once, each comes to another
 // daemon after each end, and sound calls stand beside them. All daemons know the ten within the
 // time that the users give, and none of the sound ones is held. FLEETS names other sizes of
 // fleet than those that every run plays.
-func TestAVerdictIsKnownEverywhereInTime(t *testing.T) {
+func TestQuarantineReachesWholeFleetInTime(t *testing.T) {
 	for _, field := range strings.Fields(cmp.Or(os.Getenv("FLEETS"), "6 59")) {
 		size, err := strconv.Atoi(field)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Run(fmt.Sprint(size, " daemons"), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playBadCalls(t, size) })
+			synctest.Test(t, func(t *testing.T) { runCrashingCalls(t, size) })
 		})
 	}
 }
 
-func playBadCalls(t *testing.T, size int) {
+func runCrashingCalls(t *testing.T, size int) {
 	strong := max(1, size/10)
-	f := startSpreadFleet(t, strong, size-strong, herdStarts)
+	f := startSimFleet(t, strong, size-strong, restartPeriod)
 	defer f.close()
-	f.restart(func(int) bool { return true })
-	f.until("all others", func(d *spreadDaemon) bool {
+	f.deliverStoreContent(func(int) bool { return true })
+	f.waitAll("all others", func(d *simDaemon) bool {
 		known := 0
 		d.board.Members.WithLock(func(members *membership.Table) { known = members.AliveCount() })
 		return known == size
 	})
 	var bad, sound []poison.Key
-	for i := range badCalls {
+	for i := range crashingCalls {
 		bad = append(bad, poison.KeyOf("/a", fmt.Appendf(nil, "bad %d", i)))
 	}
 	for end := range 3 {
 		for i, k := range bad {
 			target := fmt.Sprintf("target %d of call %d", end, i)
-			f.daemons[(7*i+end)%size].crashAt(poison.Crash{Request: k, Target: target})
-			for n := range soundBeside {
+			f.daemons[(7*i+end)%size].reportCrash(poison.Crash{Request: k, Target: target})
+			for n := range soundCallsPerCrash {
 				beside := poison.KeyOf("/b", fmt.Appendf(nil, "sound %d %d %d", i, end, n))
 				sound = append(sound, beside)
-				f.daemons[(3*n+i)%size].crashAt(poison.Crash{Request: beside, Target: target})
+				f.daemons[(3*n+i)%size].reportCrash(poison.Crash{Request: beside, Target: target})
 			}
 		}
 		if end < 2 {
-			pass(endsApart)
+			passTime(crashInterval)
 		}
 	}
-	took := f.until("ten calls", func(d *spreadDaemon) bool {
+	took := f.waitAll("ten calls", func(d *simDaemon) bool {
 		for _, k := range bad {
 			if !d.board.Poison.Check(k, time.Now()).Quarantined {
 				return false
@@ -85,8 +85,8 @@
 		}
 		return true
 	})
-	if took > knownWithin {
-		t.Errorf("all daemons know the calls %v after the third end, want %v at most", took, knownWithin)
+	if took > quarantineTimeLimit {
+		t.Errorf("all daemons know the calls %v after the third end, want %v at most", took, quarantineTimeLimit)
 	}
 	most, frames := 0, int64(0)
 	for _, d := range f.daemons {
