--- a/node/onplatform/answers_test.go
+++ b/node/onplatform/answers_test.go
@@ -21,18 +21,18 @@
 	a.Body = "the body"
 	got := f.do(a)
 	if got.Err != nil || got.Status != 200 || got.Body != "ok" || !got.Signed() || got.Header.Get("X-Request-Id") != a.ID {
-		t.Fatalf("%+v", got)
+		t.Fatalf("unsafe call = %+v, want a signed 200 with body ok and request id %s", got, a.ID)
 	}
 	calls := f.callsWithID(a.ID)
 	if len(calls) != 1 {
-		t.Fatalf("%d calls", len(calls))
+		t.Fatalf("targets got %d calls, want 1", len(calls))
 	}
 	c := calls[0]
 	if c.Method != "POST" || c.URI != unsafePath+"x?q=1" || c.Body != a.Body || c.Account() != "a" || c.APIKey() != "" || c.TargetID() != "t1" {
-		t.Fatalf("%+v account %q key %q for %q", c, c.Account(), c.APIKey(), c.TargetID())
+		t.Fatalf("target got %+v, account %q, API key %q, target id %q; want the call unchanged, account a, no API key and target id t1", c, c.Account(), c.APIKey(), c.TargetID())
 	}
 	if left, err := strconv.Atoi(c.DeadlineMS()); err != nil || left > a.DeadlineMS || left < a.DeadlineMS-1000 {
-		t.Fatalf("the target may work for %q ms of %d", c.DeadlineMS(), a.DeadlineMS)
+		t.Fatalf("target got a deadline of %q ms, want at most 1000 ms less than the caller's %d ms", c.DeadlineMS(), a.DeadlineMS)
 	}
 }
 
@@ -46,28 +46,29 @@
 		"unknown host": {func(a *standin.CallerRequest) { a.Host = "other.example" }, 404},
 		"unknown key":  {func(a *standin.CallerRequest) { a.APIKey = "wrong" }, 401},
 		"no key":       {func(a *standin.CallerRequest) { a.APIKey = "" }, 401},
-		"open route":   {func(a *standin.CallerRequest) { a.Path, a.APIKey = noAuthPath, "" }, 200},
+		"no auth":      {func(a *standin.CallerRequest) { a.Path, a.APIKey = noAuthPath, "" }, 200},
 	} {
 		a := f.newRequest(safePath)
 		c.change(a)
 		if got := f.do(a); got.Status != c.status || got.Signed() != (c.status == 200) {
-			t.Errorf("%s: %d signed %v, want %d", name, got.Status, got.Signed(), c.status)
+			t.Errorf("%s: status = %d, signed = %v, want status %d", name, got.Status, got.Signed(), c.status)
 		}
 	}
 }
 
-// TestDaemonWithoutConfigurationAnswers503: a daemon that knows none says that it
-// cannot serve, not that the caller is wrong.
+// TestDaemonWithoutConfigurationAnswers503 checks that a daemon without a configuration answers 503
+// with Retry-After instead of rejecting the API key or the path, which it cannot judge, and it is not
+// ready.
 func TestDaemonWithoutConfigurationAnswers503(t *testing.T) {
 	f := &fleet{t: t, store: standin.NewStore(), client: http.DefaultClient, targets: map[string]*standin.Target{}}
 	d := f.addDaemon(0)
 	var got standin.CallerResponse
-	f.eventually("an answer", func() bool {
+	f.eventually("the daemon to answer", func() bool {
 		got = f.do(f.newRequest(safePath))
 		return got.Err == nil
 	})
 	if got.Status != 503 || got.Header.Get("Retry-After") == "" || f.ready(d) {
-		t.Fatalf("%+v", got)
+		t.Fatalf("call without a configuration = %+v, want 503 with Retry-After and a daemon that is not ready", got)
 	}
 }
 
@@ -77,10 +78,10 @@
 		status int
 		signed bool
 	}{
-		"cut":                {standin.CloseConnection, 502, false},
-		"own failure":        {standin.Answer(500, "no"), 500, true},
-		"503 without a word": {standin.Answer(503, "no"), 502, false},
-		"429 without a word": {standin.Answer(429, "no"), 502, false},
+		"closed":             {standin.CloseConnection, 502, false},
+		"500":                {standin.Answer(500, "no"), 500, true},
+		"503 without notice": {standin.Answer(503, "no"), 502, false},
+		"429 without notice": {standin.Answer(429, "no"), 502, false},
 		"truncated":          {standin.Truncate, 502, false},
 		"unsigned":           {standin.AnswerUnsigned, 502, false},
 	} {
@@ -90,16 +91,16 @@
 			a := f.newRequest(unsafePath)
 			got := f.do(a)
 			if got.Err != nil || got.Status != c.status || got.Signed() != c.signed {
-				t.Errorf("%+v, want %d signed %v", got, c.status, c.signed)
+				t.Errorf("unsafe call = %+v, want status %d, signed %v", got, c.status, c.signed)
 			}
 			if n := len(f.callsWithID(a.ID)); n != 1 {
-				t.Errorf("%d runs", n)
+				t.Errorf("targets got %d calls, want 1", n)
 			}
 		})
 	}
 }
 
-// TestTargetConnectionsAreReused: calls in turn go over one connection.
+// TestTargetConnectionsAreReused checks that consecutive calls to a target share one connection.
 func TestTargetConnectionsAreReused(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	var mu sync.Mutex
@@ -117,59 +118,60 @@
 	for range 3 {
 		for _, path := range []string{safePath, unsafePath, streamPath} {
 			if got := f.do(f.newRequest(path)); got.Status != 200 {
-				t.Fatalf("%+v", got)
+				t.Fatalf("call of %s = %+v, want 200", path, got)
 			}
 		}
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	if len(from) != 1 {
-		t.Errorf("nine calls in turn came over %d connections", len(from))
+		t.Errorf("nine consecutive calls used %d connections, want 1", len(from))
 	}
 }
 
 func TestSafeCallIsRetriedAtAnotherTarget(t *testing.T) {
 	for name, first := range map[string]func(http.ResponseWriter, *http.Request, standin.Call){
-		"cut": standin.CloseConnection, "own failure": standin.Answer(500, "no"), "truncated": standin.Truncate,
-		"full": standin.Reject, "503 without a word": standin.Answer(503, "no"),
+		"closed": standin.CloseConnection, "500": standin.Answer(500, "no"), "truncated": standin.Truncate,
+		"rejected": standin.Reject, "503 without notice": standin.Answer(503, "no"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 1, 2)
 			f.scriptFirstCall(first, standin.Succeed("second"))
 			a := f.newRequest(safePath)
 			if got := f.do(a); got.Status != 200 || got.Body != "second" {
-				t.Errorf("%+v", got)
+				t.Errorf("safe call = %+v, want 200 from the second target", got)
 			}
 			if calls := f.callsWithID(a.ID); len(calls) != 2 || calls[0].TargetID() == calls[1].TargetID() {
-				t.Errorf("%d calls", len(calls))
+				t.Errorf("targets got %d calls, want one at each of two targets", len(calls))
 			}
 		})
 	}
 }
 
-// TestLastTargetFailureIsReturnedUnchanged: where every target fails, the caller gets what the last
-// one said, unchanged.
+// TestLastTargetFailureIsReturnedUnchanged checks that if all targets fail, the caller gets the answer
+// of the last one unchanged.
 func TestLastTargetFailureIsReturnedUnchanged(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	f.scriptAll(standin.Answer(500, "broken"))
 	if got := f.do(f.newRequest(safePath)); got.Status != 500 || got.Body != "broken" || !got.Signed() {
-		t.Fatalf("%+v", got)
+		t.Fatalf("safe call = %+v, want the target's signed 500", got)
 	}
 }
 
-// TestNotExecutedStatusOnlyForUnexecutedCalls: a call that every target turned away is refused
-// with the time to come back; one that may have run at the first is not.
+// TestNotExecutedStatusOnlyForUnexecutedCalls checks that a call that all targets rejected is answered
+// with 503 and Retry-After, which tell the caller that it was not executed. A call that the first
+// target may have executed gets neither 503 nor 429.
 func TestNotExecutedStatusOnlyForUnexecutedCalls(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	f.scriptAll(standin.Reject)
 	got := f.do(f.newRequest(unsafePath))
 	if got.Status != 503 || got.Signed() || got.Header.Get("Retry-After") == "" {
-		t.Fatalf("turned away by all: %+v", got)
+		t.Fatalf("call that all targets rejected = %+v, want 503 with Retry-After", got)
 	}
 	g := newFleet(t, 1, 2)
 	g.scriptFirstCall(standin.CloseConnection, standin.Reject)
 	if got := g.do(g.newRequest(safePath)); got.Status == 503 || got.Status == 429 {
-		t.Fatalf("it may have run, and the caller is told that it has not: %+v", got)
+		t.Fatalf("call that may have been executed = %+v, want neither 503 nor 429", got)
 	}
 }
 
@@ -179,37 +181,37 @@
 	a := f.newRequest(streamPath)
 	got := f.do(a)
 	if got.Err != nil || got.Status != 200 || got.Body != eventTexts(1, 6) || got.Signature() != "sign from 1" {
-		t.Fatalf("%+v", got)
+		t.Fatalf("stream = %+v, want events 1 to 6 with the first target's signature", got)
 	}
 	calls := f.callsWithID(a.ID)
 	if len(calls) != 2 || calls[0].LastEventID()+calls[1].LastEventID() != "3" {
-		t.Fatalf("%d calls, asked to go on after %q and %q", len(calls), calls[0].LastEventID(), calls[1].LastEventID())
+		t.Fatalf("targets got %d calls with Last-Event-Id %q and %q, want 2 calls, the second one after event 3", len(calls), calls[0].LastEventID(), calls[1].LastEventID())
 	}
 }
 
-// TestNonResumableStreamEndsWithError: one that may not be resumed ends without its end, and
-// never in the middle of an event.
+// TestNonResumableStreamEndsWithError checks that a stream that must not be resumed, and breaks, ends
+// for the caller with a transport error, after a whole event.
 func TestNonResumableStreamEndsWithError(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	f.scriptAll(standin.AnswerStream(1, 3, true))
 	a := f.newRequest(nonResumablePath)
 	got := f.do(a)
 	if got.Err == nil || got.Body != eventTexts(1, 3) {
-		t.Fatalf("err %v, body %q", got.Err, got.Body)
+		t.Fatalf("broken stream: err = %v, body = %q, want an error after events 1 to 3", got.Err, got.Body)
 	}
 	if n := len(f.callsWithID(a.ID)); n != 1 {
-		t.Fatalf("%d runs", n)
+		t.Fatalf("targets got %d calls, want 1", n)
 	}
 }
 
-// TestRestartedStreamIsNotJoined: a target that begins again from the first event
-// does not make the caller get events twice.
+// TestRestartedStreamIsNotJoined covers a second target that does not resume a broken stream but
+// starts again from the first event: the caller does not get events twice.
 func TestRestartedStreamIsNotJoined(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	f.scriptFirstCall(standin.AnswerStream(1, 3, true), standin.AnswerStream(1, 6, false))
 	got := f.do(f.newRequest(streamPath))
 	if got.Err == nil || got.Body != eventTexts(1, 3) {
-		t.Fatalf("err %v, body %q", got.Err, got.Body)
+		t.Fatalf("broken stream: err = %v, body = %q, want an error after events 1 to 3", got.Err, got.Body)
 	}
 }
 
@@ -220,11 +222,12 @@
 	a.LastEventID = "7"
 	got := f.do(a)
 	if calls := f.callsWithID(a.ID); got.Body != eventTexts(8, 9) || len(calls) != 1 || calls[0].LastEventID() != "7" {
-		t.Fatalf("%+v", got)
+		t.Fatalf("stream after event 7 = %+v, want events 8 and 9 from one call with Last-Event-Id 7", got)
 	}
 }
 
-// startRawTarget answers each call on a connection with fixed bytes.
+// startRawTarget starts a target that writes the bytes from answer for each call on a connection;
+// answer gets the call's request id and its number.
 func startRawTarget(t *testing.T, f *fleet, id string, answer func(call string, n int) string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -253,11 +256,11 @@
 		}
 	}()
 	f.store.PutAddress(id, listener.Addr().String(), plainService, 6)
-	f.eventually("the raw target", func() bool { return len(f.daemons[0].Board.Targets.Addresses()) == len(f.targets)+1 })
+	f.eventually("the daemon to know the raw target", func() bool { return len(f.daemons[0].Board.Targets.Addresses()) == len(f.targets)+1 })
 }
 
-// TestAnswersToOtherCallsAreSkipped: an extra answer after a whole one belongs to nobody,
-// before the right one and behind it.
+// TestAnswersToOtherCallsAreSkipped checks that a target that writes extra answers on a connection,
+// after the right one or before the next right one, does not make the daemon return the wrong answer.
 func TestAnswersToOtherCallsAreSkipped(t *testing.T) {
 	f := newFleet(t, 1, 0)
 	startRawTarget(t, f, "raw", func(id string, n int) string {
@@ -268,13 +271,13 @@
 	})
 	for range 4 {
 		if got := f.do(f.newRequest(unsafePath)); got.Err != nil || got.Status != 200 || got.Body != "right" {
-			t.Fatalf("%+v", got)
+			t.Fatalf("unsafe call = %+v, want 200 with body right", got)
 		}
 	}
 }
 
-// TestCallTimesOutWithoutAnswer: the route's timeout ends a stalled answer, and a
-// caller that waits for the first byte hears of it.
+// TestCallTimesOutWithoutAnswer checks that a call whose target never answers ends at its deadline
+// with 504.
 func TestCallTimesOutWithoutAnswer(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	f.scriptAll(func(_ http.ResponseWriter, r *http.Request, _ standin.Call) { <-r.Context().Done() })
@@ -283,22 +286,24 @@
 	began := time.Now()
 	got := f.do(a)
 	if took := time.Since(began); got.Status != 504 || took > 2*time.Second {
-		t.Fatalf("%+v after %v", got, took)
+		t.Fatalf("call with a deadline of 300 ms = %+v after %v, want 504 within 2 s", got, took)
 	}
 }
 
+// TestWrongTargetAtAddress checks that a target whose id differs from the id published for its address
+// does not fail calls.
 func TestWrongTargetAtAddress(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	f.targets["t1"].ID = "somebody-else"
 	for range 4 {
 		if got := f.do(f.newRequest(unsafePath)); got.Status != 200 {
-			t.Fatalf("%+v", got)
+			t.Fatalf("unsafe call = %+v, want 200", got)
 		}
 	}
 }
 
-// TestLargePromptReservesAndReleasesMemory: a prompt over one engine's memory is read by
-// several; what it sets aside is given back.
+// TestLargePromptReservesAndReleasesMemory checks that a prompt larger than one engine's memory is
+// prefilled by several engines; the memory reserved for it is released afterwards.
 func TestLargePromptReservesAndReleasesMemory(t *testing.T) {
 	f := newFleet(t, 1, 0)
 	for i := range 4 {
@@ -309,11 +314,11 @@
 	a := f.newRequest(promptPath)
 	a.TokenCounts = "150000,50"
 	if got := f.do(a); got.Status != 200 || got.Body != eventTexts(1, 3) {
-		t.Fatalf("%+v", got)
+		t.Fatalf("call with a prompt of 150,000 tokens = %+v, want events 1 to 3", got)
 	}
 	calls := f.callsWithID(a.ID)
 	if len(calls) != 1 || !strings.Contains(calls[0].Helpers(), "/") {
-		t.Fatalf("%d calls, helpers %q", len(calls), calls[0].Helpers())
+		t.Fatalf("targets got %d calls with helpers %q, want one call with helpers", len(calls), calls[0].Helpers())
 	}
 	count := func(op string) (n int) {
 		for _, target := range f.targets {
@@ -325,14 +330,14 @@
 		}
 		return n
 	}
-	f.eventually("as many releases as targets with a reservation", func() bool { return count("release") > 0 })
+	f.eventually("a release of reserved memory", func() bool { return count("release") > 0 })
 	if count("reserve") < count("release") {
-		t.Fatalf("%d reservations, %d releases", count("reserve"), count("release"))
+		t.Fatalf("targets got %d reservations and %d releases, want no more releases than reservations", count("reserve"), count("release"))
 	}
 }
 
-// hangAfter reads a call and says nothing until its caller leaves; after says what is written
-// first.
+// hangAfter returns a script that runs after, if it is not nil, and then writes nothing until the
+// daemon closes the connection.
 func hangAfter(after func(http.ResponseWriter, *http.Request, standin.Call)) func(http.ResponseWriter, *http.Request, standin.Call) {
 	return func(w http.ResponseWriter, r *http.Request, c standin.Call) {
 		if after != nil {
@@ -342,9 +347,9 @@
 	}
 }
 
-// TestRepeatableCallLeavesSilentTarget: a call goes to another target when the first has said nothing
-// for much longer than the route's goal, if it may run twice; the wait for one that may
-// not goes on.
+// TestRepeatableCallLeavesSilentTarget checks that if a target writes nothing for much longer than the
+// route's goal, a call that may be executed twice is sent to another target; a call that may not keeps
+// waiting.
 func TestRepeatableCallLeavesSilentTarget(t *testing.T) {
 	for name, c := range map[string]struct {
 		path        string
@@ -364,13 +369,13 @@
 			a := f.newRequest(c.path)
 			got := f.do(a)
 			if served := got.Err == nil && got.Status == 200 && got.Body == c.body; served != (c.sends == 2) {
-				t.Errorf("%+v", got)
+				t.Errorf("call of %s = %+v, want 200 with body %q: %v", c.path, got, c.body, c.sends == 2)
 			}
 			if got.Status == 503 || got.Status == 429 {
-				t.Errorf("a call that may have run is said not to have: %+v", got)
+				t.Errorf("call that may have been executed = %+v, want neither 503 nor 429", got)
 			}
 			if n := len(f.callsWithID(a.ID)); n != c.sends {
-				t.Errorf("%d sends, want %d", n, c.sends)
+				t.Errorf("targets got %d calls, want %d", n, c.sends)
 			}
 		})
 	}
--- a/node/onplatform/leaving_callers_test.go
+++ b/node/onplatform/caller_disconnect_test.go
@@ -10,7 +10,8 @@
 	"doorstack.dev/platform/standin"
 )
 
-// TestCallerDisconnectCancelsTargetCall: the target's connection ends with the caller's.
+// TestCallerDisconnectCancelsTargetCall checks that when a caller disconnects, the daemon closes the
+// connection to the target.
 func TestCallerDisconnectCancelsTargetCall(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	started, stopped := make(chan struct{}), make(chan struct{})
@@ -25,18 +26,18 @@
 		cancel()
 	}()
 	if got := f.newRequest(safePath).Do(ctx, f.client); got.Err == nil {
-		t.Fatal("the caller had left")
+		t.Fatalf("call of a disconnected caller = %+v, want an error", got)
 	}
 	select {
 	case <-stopped:
 	case <-time.After(waitTimeout):
-		t.Fatal("the target still works")
+		t.Fatalf("target still executes the call %v after its caller disconnected", waitTimeout)
 	}
 }
 
-// TestQueuedCallOfDisconnectedCallerIsNotSent: a caller leaves while its call waits for a slot, here
-// or at the coordinator. When the slot comes free the call is not sent, and whoever came
-// after it is.
+// TestQueuedCallOfDisconnectedCallerIsNotSent covers a caller that disconnects while its call is
+// queued for a slot, at its daemon or at the coordinator. When the slot becomes free, the call is not
+// sent, and the next call in the queue is.
 func TestQueuedCallOfDisconnectedCallerIsNotSent(t *testing.T) {
 	f := newFleet(t, 2, 1)
 	f.awaitAllMembers()
@@ -53,14 +54,14 @@
 			}
 			standin.AnswerStream(1, 2, false)(w, r, c)
 		})
-		ask := func(ctx context.Context, body string) (*standin.CallerRequest, chan standin.CallerResponse) {
+		send := func(ctx context.Context, body string) (*standin.CallerRequest, chan standin.CallerResponse) {
 			a := f.newRequest(promptPath)
 			a.Daemon, a.Body, a.TokenCounts = d.boot.CallerAddress, body, "1000,50"
 			got := make(chan standin.CallerResponse, 1)
 			go func() { got <- a.Do(ctx, f.client) }()
 			return a, got
 		}
-		waits := func(n int) func() bool {
+		queued := func(n int) func() bool {
 			return func() bool {
 				waiting := 0
 				for _, other := range f.daemons {
@@ -69,32 +70,33 @@
 				return waiting == n
 			}
 		}
-		_, first := ask(context.Background(), "first")
+		_, first := send(context.Background(), "first")
 		<-started
-		ctx, leave := context.WithCancel(context.Background())
-		left, leftGot := ask(ctx, "leaves")
-		f.eventually("the call waits", waits(1))
-		_, last := ask(context.Background(), "last")
-		f.eventually("both wait", waits(2))
-		leave()
-		if got := <-leftGot; got.Err == nil {
-			t.Errorf("the caller had left: %+v", got)
+		ctx, disconnect := context.WithCancel(context.Background())
+		dropped, droppedAnswer := send(ctx, "disconnects")
+		f.eventually("the call to be queued", queued(1))
+		_, last := send(context.Background(), "last")
+		f.eventually("both calls to be queued", queued(2))
+		disconnect()
+		if got := <-droppedAnswer; got.Err == nil {
+			t.Errorf("call of a disconnected caller = %+v, want an error", got)
 		}
-		f.eventually("the call is forgotten", waits(1))
+		f.eventually("the call to be removed from the queue", queued(1))
 		close(release)
 		if got := <-first; got.Status != 200 {
-			t.Errorf("%+v", got)
+			t.Errorf("first call = %+v, want 200", got)
 		}
 		if got := <-last; got.Status != 200 {
-			t.Errorf("%+v", got)
+			t.Errorf("last call = %+v, want 200", got)
 		}
-		if calls := f.callsWithID(left.ID); len(calls) != 0 {
-			t.Errorf("through %s: sent %d times for a caller that had left", d.boot.Name, len(calls))
+		if calls := f.callsWithID(dropped.ID); len(calls) != 0 {
+			t.Errorf("%s: targets got %d calls of a disconnected caller, want 0", d.boot.Name, len(calls))
 		}
 	}
 }
 
-// TestCallerDisconnectCancelsStream: in the middle of a stream, and before its first event.
+// TestCallerDisconnectCancelsStream checks that when a caller disconnects before the first event of a
+// stream or in its middle, the daemon closes the connection to the target.
 func TestCallerDisconnectCancelsStream(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	for _, before := range []func(http.ResponseWriter, *http.Request, standin.Call){
@@ -114,22 +116,22 @@
 			<-r.Context().Done()
 			close(stopped)
 		})
-		ctx, leave := context.WithCancel(context.Background())
+		ctx, disconnect := context.WithCancel(context.Background())
 		go func() {
 			<-started
-			leave()
+			disconnect()
 		}()
 		a := f.newRequest(streamPath)
 		if got := a.Do(ctx, f.client); got.Err == nil {
-			t.Error("the caller had left")
+			t.Errorf("stream of a disconnected caller = %+v, want an error", got)
 		}
 		select {
 		case <-stopped:
 		case <-time.After(waitTimeout):
-			t.Fatal("the target still works")
+			t.Fatalf("target still executes the call %v after its caller disconnected", waitTimeout)
 		}
 		if calls := f.callsWithID(a.ID); len(calls) != 1 {
-			t.Errorf("sent %d times", len(calls))
+			t.Errorf("targets got %d calls, want 1", len(calls))
 		}
 	}
 }
--- a/node/onplatform/spread_test.go
+++ b/node/onplatform/config_propagation_test.go
@@ -25,45 +25,46 @@
 	"doorstack.dev/platform"
 )
 
-// What users saw: after a change that added 1,400 routes, calls of the new routes were
-// refused as unknown and calls of moved ones went where they used to, at some hosts for up to
-// 7 s; a target that had said it leaves was still called 3 s later.
+// The tests in this file guard against slow propagation of large configurations. After a change that
+// added 1,400 routes, calls of the new routes were refused as unknown, and calls of moved ones went to
+// the old targets, at some hosts for up to 7 s; a draining target was still called 3 s later.
 //
-// Order of events: the six daemons that watch the store have the change at once. Their
-// heartbeats tell of it, and the other 53 fetch the settings from them, each the whole, 0.9 MB,
-// all together, over links of 2.5 MB a second. No copy is through when the fetches are given
-// up; the copies go on being sent, the next fetches join them, and the heartbeats and the news
-// of targets wait behind them, so that those who have the settings are believed dead.
+// The six daemons that watch the store had the change at once and announced it with their heartbeats.
+// The other 53 daemons fetched the settings from them at the same time, each the whole 0.9 MB over
+// links of 2.5 MB a second. The fetches timed out before a copy arrived, but the copies were still sent
+// and the next fetches queued behind them. Heartbeats and target updates waited in the same queues, so
+// that the daemons with the new settings were declared dead.
 //
-// Evidence: on such a day 441 fetches came and 341 were given up, for 59 daemons and nine
-// revisions; 1,059 heartbeats waited over 0.25 s, up to 3.9 s, at those who had the first
-// copies; a target's leaving was known 4.3 s late. With a fifth of the routes nothing of it.
-//
-// Cause: a change costs the size of the settings, not of what changes.
+// On such a day there were 441 fetches for 59 daemons and nine revisions, of which 341 timed out; 1,059
+// heartbeats waited over 0.25 s, up to 3.9 s, at the daemons with the first copies; a draining target
+// became known 4.3 s late. With a fifth of the routes none of this happened. The cause was that a change
+// cost the size of all settings instead of the size of the change.
 
 const (
 	strongHosts, weakHosts       = 6, 53
 	strongLinkRate, weakLinkRate = 200e6 / 8, 20e6 / 8 // bytes a second
-	// Time to read and check a byte of settings, in seconds: 0.25 s for 0.86 MB was seen on a
-	// fifth of a core, 0.05 s on four fifths.
+	// The time to parse a byte of settings, in seconds: 0.86 MB took 0.25 s on a fifth of a core and
+	// 0.05 s on four fifths.
 	strongParseSecondsPerByte, weakParseSecondsPerByte = 0.05 / 0.86e6, 0.25 / 0.86e6
 
 	addedRoutes = 1400
-	// propagationLimit is the time in which a change has to be in force at all hosts once the watchers
-	// have it: 3 s after the store took it, less 1 s in which the slowest of them reads it.
+	// propagationLimit is the time in which a change must apply at all hosts once the watching daemons
+	// have it: 3 s after the store accepted it, less 1 s in which the slowest of them reads it.
 	propagationLimit = 2 * time.Second
 )
 
-// simFleet is a fleet of daemons' clusters on a slow network.
+// simFleet is a fleet of simulated daemons in virtual time: the real settings, membership and cluster
+// code of each, on a simulated slow network.
 type simFleet struct {
 	t            *testing.T
 	daemons      []*simDaemon
-	parsedTrees  sync.Map // trees by the number of parts: all daemons of the test may share one
+	parsedTrees  sync.Map // *settings.Tree by number of parts; all daemons share them
 	deathCounter *deathCounter
 	network      *slownet.Network
 	stopFuncs    []func()
 }
 
+// simDaemon is a daemon of a simFleet.
 type simDaemon struct {
 	name, dataCentre string
 	board            *blackboard.Blackboard
@@ -75,7 +76,7 @@
 	metrics          *telemetry.Metrics
 }
 
-// deathCounter is a log that counts the lines that tell of a dead member.
+// deathCounter is a log handler that counts the lines that declare a member dead.
 type deathCounter struct {
 	slog.Handler
 	mu     sync.Mutex
@@ -96,8 +97,8 @@
 	return nil
 }
 
-// startSimFleet starts a fleet of so many strong and weak hosts, one after the other in an
-// order of their names' hashes, over so much time.
+// startSimFleet starts a fleet of strong and weak hosts. Each daemon starts after a delay of up to over,
+// given by the hash of its name.
 func startSimFleet(t *testing.T, strong, weak int, over time.Duration) *simFleet {
 	f := &simFleet{t: t, deathCounter: &deathCounter{Handler: slog.DiscardHandler}, network: &slownet.Network{Delay: time.Millisecond}}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -119,9 +120,10 @@
 	return f
 }
 
-// linkCloseTimeout is longer than the handshake that closes a link may take.
+// linkCloseTimeout is longer than the closing handshake of a link may take.
 const linkCloseTimeout = 20 * time.Second
 
+// close stops all daemons and waits until their links are closed.
 func (f *simFleet) close() {
 	for _, stop := range f.stopFuncs {
 		stop()
@@ -132,12 +134,13 @@
 // passTime lets virtual time pass.
 func passTime(d time.Duration) { controller.Sleep(context.Background(), d) }
 
-// fleetKey is what daemons of the fleet know each other by.
+// fleetKey is the key by which the daemons of the fleet authenticate each other.
 const fleetKey = "a-shared-secret-of-the-fleet"
 
-// seedAddress is the address of the first daemon, which the others introduce themselves to.
+// seedAddress is the peer address of the first daemon, the seed of all others.
 const seedAddress = "10.0.0.0:8229"
 
+// newDaemon creates daemon i on a strong or weak host, without starting it.
 func (f *simFleet) newDaemon(i int, strong bool) *simDaemon {
 	cores, link, check := 0.192, weakLinkRate, weakParseSecondsPerByte
 	if strong {
@@ -166,8 +169,8 @@
 	return d
 }
 
-// parseAt checks settings in the time that a host needs for the bytes of them that it has not
-// read before.
+// parseWithDelay returns a parser of settings that takes the given time for each byte in parts that
+// changed since its last call.
 func (f *simFleet) parseWithDelay(secondsPerByte float64) func(map[string][]byte) (*settings.Tree, error) {
 	var mu sync.Mutex
 	before := map[string][]byte{}
@@ -193,6 +196,7 @@
 	}
 }
 
+// watchesStore reports whether d is one of the daemons that watch the store.
 func (f *simFleet) watchesStore(d *simDaemon) bool {
 	var members []watch.Member
 	for _, other := range f.daemons {
@@ -201,7 +205,7 @@
 	return watch.ShouldWatch(d.name, members)
 }
 
-// publish gives a configuration to the daemons that watch the store.
+// publishConfig delivers a configuration to the daemons that watch the store.
 func (f *simFleet) publishConfig(text []byte) {
 	changes, err := platform.ConfigChanges(text)
 	if err != nil {
@@ -219,7 +223,7 @@
 	}
 }
 
-// callTimeout tells the daemons that watch the store that a target leaves.
+// publishDraining tells the daemons that watch the store that a target is draining.
 func (f *simFleet) publishDraining(id string, revision hostlist.Position) {
 	for _, d := range f.daemons {
 		if f.watchesStore(d) {
@@ -228,21 +232,22 @@
 	}
 }
 
-// tell gives one daemon the store's word that a target leaves.
+// deliverDraining delivers the store's entry of a draining target to one daemon.
 func (f *simFleet) deliverDraining(d *simDaemon, id string, revision hostlist.Position) {
 	d.directory.MergeFromPeer("store", hostlist.Update{AsOf: revision, Confirmed: true, Hosts: []hostlist.Host{{
 		ID: id, Role: hostlist.RoleTarget, Address: "10.1.0.1:1", Pool: "svc", State: hostlist.Leaving, Revision: revision,
 	}}})
 }
 
-// until waits until a condition holds at all daemons and returns how long that took.
+// waitAll waits until a condition holds at all daemons and returns how long that took. After 30 s it
+// fails the test.
 func (f *simFleet) waitAll(what string, holds func(*simDaemon) bool) time.Duration {
 	const most = 30 * time.Second
 	began := time.Now()
 	for _, d := range f.daemons {
 		for !holds(d) {
 			if time.Since(began) > most {
-				f.t.Errorf("%s is not known at %s after %v", what, d.name, most)
+				f.t.Errorf("waiting for %s: not reached at %s after %v", what, d.name, most)
 				return most
 			}
 			passTime(5 * time.Millisecond)
@@ -251,6 +256,7 @@
 	return time.Since(began)
 }
 
+// adoptedRevision returns the revision of the settings that a daemon uses, or 0 if it has none.
 func adoptedRevision(d *simDaemon) int64 {
 	if view := d.board.Settings.Current(); view != nil {
 		return view.Revision
@@ -258,6 +264,7 @@
 	return 0
 }
 
+// bytesSent returns the bytes that all daemons have sent.
 func (f *simFleet) bytesSent() int64 {
 	sum := int64(0)
 	for _, d := range f.daemons {
@@ -266,7 +273,7 @@
 	return sum
 }
 
-// configText is the platform's text with so many routes.
+// configText returns a configuration with a number of routes in the platform's format.
 func configText(version int64, routes int) []byte {
 	list := make([]string, 0, routes)
 	for i := range routes {
@@ -279,13 +286,14 @@
 		`"tenants":[{"name":"t1","api_keys":["a-key-of-the-first-tenant"]}],"limits":{"idle_timeout_ms":30000,"max_body_bytes":4194304}}`,
 		version, strings.Join(list, ","))
 	if !json.Valid([]byte(text)) {
-		panic("the configuration of the test is no JSON")
+		panic("test configuration is not valid JSON")
 	}
 	return []byte(text)
 }
 
-// TestLargeConfigurationChangePropagatesInTime plays three changes of 1,400 routes more over
-// 59 hosts of the two kinds, each followed by one that alters nothing, while a target leaves.
+// TestLargeConfigurationChangePropagatesInTime checks that three changes of 1,400 more routes each
+// propagate to 59 hosts of the two kinds within propagationLimit, each followed by a new revision
+// without changes and together with the draining of a target.
 func TestLargeConfigurationChangePropagatesInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startSimFleet(t, strongHosts, weakHosts, 0)
@@ -299,15 +307,15 @@
 			version++
 			f.checkChange(fmt.Sprint("revision ", version, " with ", routes, " routes"), version, routes)
 			version++
-			f.checkChange(fmt.Sprint("revision ", version, ", which alters nothing"), version, routes)
+			f.checkChange(fmt.Sprint("revision ", version, " without changes"), version, routes)
 		}
 		if f.deathCounter.deaths > 0 {
-			t.Errorf("living daemons were believed dead %d times", f.deathCounter.deaths)
+			t.Errorf("live daemons were declared dead %d times, want 0", f.deathCounter.deaths)
 		}
 	})
 }
 
-// change publishes a revision and a target's leaving and checks when both are known.
+// checkChange publishes a revision and the draining of a target and checks how soon all daemons have both.
 func (f *simFleet) checkChange(what string, version int64, routes int) {
 	before := f.bytesSent()
 	f.publishConfig(configText(version, routes))
@@ -317,16 +325,16 @@
 	waiting.Go(func() {
 		passTime(300 * time.Millisecond)
 		f.publishDraining(target, hostlist.Position(version))
-		leaving = f.waitAll(target+" leaves", func(d *simDaemon) bool { return d.board.Directory.Revision() >= hostlist.Position(version) })
+		leaving = f.waitAll(target+" draining", func(d *simDaemon) bool { return d.board.Directory.Revision() >= hostlist.Position(version) })
 	})
 	took := f.waitAll(what, func(d *simDaemon) bool { return adoptedRevision(d) >= version })
 	waiting.Wait()
-	f.t.Logf("%s: in force everywhere after %v, a target's leaving known after %v, %d KB sent", what, took, leaving, (f.bytesSent()-before)>>10)
+	f.t.Logf("%s: applied everywhere after %v, the draining of a target known after %v, %d KB sent", what, took, leaving, (f.bytesSent()-before)>>10)
 	if took > propagationLimit {
-		f.t.Errorf("%s: in force everywhere after %v, want %v", what, took, propagationLimit)
+		f.t.Errorf("%s: applied everywhere after %v, want %v at most", what, took, propagationLimit)
 	}
 	if leaving > propagationLimit {
-		f.t.Errorf("%s: a target's leaving is known everywhere after %v, want %v", what, leaving, propagationLimit)
+		f.t.Errorf("%s: the draining of a target known everywhere after %v, want %v at most", what, leaving, propagationLimit)
 	}
 	passTime(3 * time.Second)
 }
--- a/node/onplatform/crashing_calls_test.go
+++ b/node/onplatform/crashing_calls_test.go
@@ -10,26 +10,26 @@
 	"doorstack.dev/platform/standin"
 )
 
-// What callers saw: waves of streams cut short and of 502, while engine after engine ended.
-// Order of events: one call ended each engine that began to run it; the daemon sent it to a
-// second engine at once, which ended too; the caller sent it again, under a new request id and
-// by other daemons, and no daemon knew that engines had ended under it. 44 ended under one call.
-// Cause: what a daemon remembered of a failure belonged to a request id or to a target, never
-// to the call. Evidence: the lines of failed attempts of all daemons bear one digest of method,
-// path, account and body, and each of them was placed as if it were the first.
+// The tests in this file guard against a call that crashes every target that executes it. Callers saw
+// waves of truncated streams and of 502 while engine after engine crashed. The daemon sent the call to a
+// second engine at once, which crashed too, and the caller repeated it under a new request id at other
+// daemons. A daemon recorded a failure for the request id or the target, never for the content of the
+// call, so that each attempt was placed as if it were the first: 44 engines crashed under one call, and
+// all the failed attempts in the daemons' logs had the same digest of method, path, account and body.
 
 const (
-	// crashing is the body of a call under which each target that runs it ends.
+	// crashingBody is the body of a call that crashes each target that executes it.
 	crashingBody = "a body that ends its target"
-	// beside is the body of a sound call.
+	// soundBody is the body of a call that crashes no target.
 	soundBody = "a sound body"
-	// quarantineTimeLimit is how long after the third end the fleet may take to know the call, and
-	// maxLateSends how often it may be sent after that: the users' bounds.
+	// quarantineTimeLimit is how long after the third crash the fleet may take to quarantine the call,
+	// and maxLateSends how often the call may be sent after that. Both are the users' requirements.
 	quarantineTimeLimit = 3 * time.Second
 	maxLateSends        = 3
 )
 
-// crashScript cuts each call with the crashing body off without an answer, as a target that ends does.
+// crashScript closes the connection of a call with crashingBody, as a crashing target does, and answers
+// other calls.
 func crashScript(w http.ResponseWriter, r *http.Request, c standin.Call) {
 	switch {
 	case c.Body == crashingBody:
@@ -41,7 +41,7 @@
 	}
 }
 
-// ends counts the sends of the crashing call, each of which ends its target.
+// crashCount counts the calls with crashingBody that reached a target, each of which stands for a crash.
 func (f *fleet) crashCount() int {
 	n := 0
 	for _, target := range f.targets {
@@ -54,14 +54,16 @@
 	return n
 }
 
-// askOf is a call with a body by one of the daemons.
+// newRequestTo returns a request to a daemon with a body.
 func (f *fleet) newRequestTo(d *testDaemon, path, body string) *standin.CallerRequest {
 	a := f.newRequest(path)
 	a.Daemon, a.Body = d.boot.CallerAddress, body
 	return a
 }
 
-// TestCrashingCallIsQuarantined: it comes to all daemons in turn, again and again.
+// TestCrashingCallIsQuarantined checks that a crashing call that callers send to all daemons in turn,
+// again and again, is refused by all of them soon after the third crash; other calls of the same
+// account and path are served.
 func TestCrashingCallIsQuarantined(t *testing.T) {
 	for name, path := range map[string]string{"repeatable": safePath, "at most once": unsafePath, "stream": streamPath} {
 		t.Run(name, func(t *testing.T) {
@@ -71,13 +73,13 @@
 			for i := 0; f.crashCount() < 3; i++ {
 				got := f.do(f.newRequestTo(f.daemons[i%len(f.daemons)], path, crashingBody))
 				if got.Status == 503 {
-					t.Fatalf("the call ran and is answered %d, which says that it did not", got.Status)
+					t.Fatalf("crashing call that was executed = %d, want a status that does not deny the execution", got.Status)
 				}
 			}
 			known := time.Now().Add(quarantineTimeLimit)
 			for !f.refusedByAll(path, crashingBody) {
 				if time.Now().After(known) {
-					t.Fatalf("%d targets have ended and the call is still sent", f.crashCount())
+					t.Fatalf("call is still sent after %d crashes, want it refused by all daemons", f.crashCount())
 				}
 			}
 			before := f.crashCount()
@@ -85,20 +87,20 @@
 				f.refusedByAll(path, crashingBody)
 			}
 			if after := f.crashCount() - before; after > maxLateSends {
-				t.Errorf("the call was sent %d times more, want %d at most", after, maxLateSends)
+				t.Errorf("call was sent %d more times, want %d at most", after, maxLateSends)
 			}
-			t.Logf("%d targets ended until all daemons knew the call", before)
+			t.Logf("%d crashes until all daemons refused the call", before)
 			for _, d := range f.daemons {
 				if got := f.do(f.newRequestTo(d, path, soundBody)); got.Status != 200 {
-					t.Errorf("a sound call of the same account and path got %d by %s", got.Status, d.boot.Name)
+					t.Errorf("sound call of the same account and path at %s = %d, want 200", d.boot.Name, got.Status)
 				}
 			}
 		})
 	}
 }
 
-// allRefuse sends a call by each daemon and tells whether all of them said that it did not run,
-// and when to come back.
+// refusedByAll sends a call through each daemon and reports whether all of them refused it with 503 and
+// Retry-After without sending it to a target.
 func (f *fleet) refusedByAll(path, body string) bool {
 	all := true
 	for _, d := range f.daemons {
@@ -109,12 +111,12 @@
 	return all
 }
 
-// eventuallyAcquainted waits until each daemon knows all others.
+// awaitMembership waits until each daemon knows all others.
 func (f *fleet) awaitMembership() {
 	f.t.Helper()
-	f.eventually("all daemons known to all", func() bool {
+	f.eventually("all daemons to know each other", func() bool {
 		for _, d := range f.daemons {
-			if living, _ := d.Board.Members.AliveNames(); len(living) != len(f.daemons) {
+			if alive, _ := d.Board.Members.AliveNames(); len(alive) != len(f.daemons) {
 				return false
 			}
 		}
@@ -122,7 +124,8 @@
 	})
 }
 
-// TestNewDaemonLearnsQuarantinedCalls: it started after the call had been found.
+// TestNewDaemonLearnsQuarantinedCalls checks that a daemon that starts after the call was quarantined
+// learns of the quarantine from its peers.
 func TestNewDaemonLearnsQuarantinedCalls(t *testing.T) {
 	f := newFleet(t, 2, 8)
 	f.awaitMembership()
@@ -130,7 +133,7 @@
 	known := time.Now().Add(quarantineTimeLimit)
 	for !f.refusedByAll(safePath, crashingBody) {
 		if time.Now().After(known) {
-			t.Fatalf("%d targets have ended and the call is still sent", f.crashCount())
+			t.Fatalf("call is still sent after %d crashes, want it refused by all daemons", f.crashCount())
 		}
 	}
 	before := f.crashCount()
@@ -139,44 +142,45 @@
 	within := time.Now().Add(quarantineTimeLimit)
 	for got := f.do(f.newRequestTo(fresh, safePath, crashingBody)); got.Status != 503; got = f.do(f.newRequestTo(fresh, safePath, crashingBody)) {
 		if time.Now().After(within) {
-			t.Fatal("the fresh daemon still sends the call")
+			t.Fatalf("new daemon still sends the crashing call %v after it was ready, want 503", quarantineTimeLimit)
 		}
 	}
 	if after := f.crashCount() - before; after > maxLateSends {
-		t.Errorf("the call was sent %d times more, want %d at most", after, maxLateSends)
+		t.Errorf("call was sent %d more times, want %d at most", after, maxLateSends)
 	}
 }
 
-// TestSoundCallIsServedAfterTwoCrashes: two targets end under a call that did nothing
-// to them; a third one answers it, then and ever after.
+// TestSoundCallIsServedAfterTwoCrashes checks that a call under which two targets crash by chance is
+// answered by a third target, and served from then on.
 func TestSoundCallIsServedAfterTwoCrashes(t *testing.T) {
 	f := newFleet(t, 2, 4)
 	f.awaitMembership()
 	var mu sync.Mutex
-	cuts := 2
+	crashes := 2
 	f.scriptAll(func(w http.ResponseWriter, r *http.Request, c standin.Call) {
 		mu.Lock()
-		unlucky := cuts > 0
-		cuts--
+		crash := crashes > 0
+		crashes--
 		mu.Unlock()
-		if unlucky {
+		if crash {
 			standin.CloseConnection(w, r, c)
 			return
 		}
 		standin.Succeed("ok")(w, r, c)
 	})
-	f.do(f.newRequestTo(f.daemons[0], safePath, soundBody)) // It ends with the second target.
+	f.do(f.newRequestTo(f.daemons[0], safePath, soundBody)) // Both attempts fail.
 	for range 3 {
 		for _, d := range f.daemons {
 			if got := f.do(f.newRequestTo(d, safePath, soundBody)); got.Status != 200 {
-				t.Errorf("a sound call got %d by %s", got.Status, d.boot.Name)
+				t.Errorf("sound call at %s = %d, want 200", d.boot.Name, got.Status)
 			}
 		}
 	}
 }
 
-// TestSentCopiesOfCrashingCallAreCancelled: two targets have ended under a call, and six copies of it
-// wait at others when the third one ends. The five that are left would end five targets more.
+// TestSentCopiesOfCrashingCallAreCancelled covers a call under which two targets have crashed and of
+// which six copies are at other targets when the third crash comes. The daemons cancel the other five
+// copies, which would crash five more targets.
 func TestSentCopiesOfCrashingCallAreCancelled(t *testing.T) {
 	const copies = 6
 	f := newFleet(t, 3, copies+2)
@@ -185,14 +189,14 @@
 	for range 2 {
 		f.do(f.newRequestTo(f.daemons[0], unsafePath, crashingBody))
 	}
-	arrived, mayCrash, calledBack := make(chan struct{}, copies), make(chan struct{}), make(chan struct{}, copies)
+	arrived, mayCrash, cancelled := make(chan struct{}, copies), make(chan struct{}), make(chan struct{}, copies)
 	f.scriptAll(func(w http.ResponseWriter, r *http.Request, c standin.Call) {
 		arrived <- struct{}{}
 		select {
 		case <-mayCrash:
 			standin.CloseConnection(w, r, c)
 		case <-r.Context().Done():
-			calledBack <- struct{}{}
+			cancelled <- struct{}{}
 		}
 	})
 	var callers sync.WaitGroup
@@ -200,7 +204,7 @@
 		a := f.newRequestTo(f.daemons[i%len(f.daemons)], unsafePath, crashingBody)
 		callers.Go(func() {
 			if got := f.do(a); got.Status != 502 {
-				t.Errorf("the call may have run and got %d: %s", got.Status, got.Body)
+				t.Errorf("call that may have been executed = %d %q, want 502", got.Status, got.Body)
 			}
 		})
 	}
@@ -209,26 +213,26 @@
 	}
 	mayCrash <- struct{}{}
 	within := time.After(quarantineTimeLimit)
-	for back := range copies - 1 {
+	for done := range copies - 1 {
 		select {
-		case <-calledBack:
+		case <-cancelled:
 		case <-within:
-			t.Fatalf("%d of %d copies were called back", back, copies-1)
+			t.Fatalf("%d of %d copies were cancelled within %v, want all", done, copies-1, quarantineTimeLimit)
 		}
 	}
 	callers.Wait()
 }
 
-// TestCommonSoundCallIsServedAfterTargetsRecover: all targets end one after the other, several
-// times, under a call that every caller sends alike; then they live. Seen in a soak: the call
-// was refused by all daemons for ten minutes.
+// TestCommonSoundCallIsServedAfterTargetsRecover covers targets that all crash one after the other,
+// several times, while callers send the same sound call. Once they recover, the call must be served
+// again. In a soak test all daemons refused such a call for ten minutes.
 func TestCommonSoundCallIsServedAfterTargetsRecover(t *testing.T) {
-	const recovered = 12 * time.Second // The time that the users give a fleet whose hosts are back.
+	const recovered = 12 * time.Second // The users' requirement for a fleet whose hosts are back.
 	f := newFleet(t, 3, 3)
 	f.awaitMembership()
 	for _, d := range f.daemons {
 		if got := f.do(f.newRequestTo(d, safePath, soundBody)); got.Status != 200 {
-			t.Fatalf("%+v", got)
+			t.Fatalf("sound call at %s = %+v, want 200", d.boot.Name, got)
 		}
 	}
 	f.scriptAll(standin.CloseConnection)
@@ -240,22 +244,22 @@
 	f.scriptAll(standin.Succeed("ok"))
 	began := time.Now()
 	for _, d := range f.daemons {
-		f.eventually("the call served by "+d.boot.Name, func() bool { return f.do(f.newRequestTo(d, safePath, soundBody)).Status == 200 })
+		f.eventually("the call to be served by "+d.boot.Name, func() bool { return f.do(f.newRequestTo(d, safePath, soundBody)).Status == 200 })
 	}
 	if took := time.Since(began); took > recovered {
-		t.Errorf("served after %v", took)
+		t.Errorf("call is served %v after the targets recovered, want %v at most", took, recovered)
 	}
 }
 
-// TestTrialEndsWrongQuarantine: no target had answered it before, and three died by
-// chance. One trial shows that it is sound, and all daemons serve it again.
+// TestTrialEndsWrongQuarantine covers a sound call that no target had answered before and that is
+// quarantined after three crashes by chance. One trial succeeds, and all daemons serve the call again.
 func TestTrialEndsWrongQuarantine(t *testing.T) {
 	f := newFleet(t, 3, 4)
 	f.awaitMembership()
 	f.scriptAll(standin.CloseConnection)
-	f.eventually("the call is refused", func() bool { return f.refusedByAll(safePath, soundBody) })
+	f.eventually("all daemons to refuse the call", func() bool { return f.refusedByAll(safePath, soundBody) })
 	f.scriptAll(standin.Succeed("ok"))
 	for _, d := range f.daemons {
-		f.eventually("the call served by "+d.boot.Name, func() bool { return f.do(f.newRequestTo(d, safePath, soundBody)).Status == 200 })
+		f.eventually("the call to be served by "+d.boot.Name, func() bool { return f.do(f.newRequestTo(d, safePath, soundBody)).Status == 200 })
 	}
 }
--- a/node/onplatform/herd_test.go
+++ b/node/onplatform/fleet_restart_test.go
@@ -15,21 +15,21 @@
 	"github.com/go-faster/errors"
 )
 
-// A fleet whose hosts lost power together, five data centres of two kinds of host.
+// A fleet of two kinds of host that restarts after all hosts, in five data centres, lost power together.
 const (
 	restartStrongHosts, restartWeakHosts = 15, 105
-	// restartPeriod is the time over which the daemons start.
+	// restartPeriod is the time in which all daemons start.
 	restartPeriod = 450 * time.Millisecond
-	// storeReadTime is when a daemon has read the store: 0.08 s after its start in the median of
-	// 123 that were played.
+	// storeReadTime is the time from a daemon's start until it has read the store: 0.08 s was the
+	// median of 123 starts.
 	storeReadTime = 80 * time.Millisecond
-	// maxRumorFrames bounds the frames of rumors that a daemon sends while all come to know each
-	// other: some 20 on each of its links.
+	// maxRumorFrames bounds the rumor frames that a daemon sends until all daemons know each other:
+	// about 20 on each of its links.
 	maxRumorFrames = 300
 )
 
-// restart gives all daemons the settings and the targets, as their first read of the store
-// does, or, where the store turns the others away, one of them.
+// deliverStoreContent delivers the settings and a target to the daemons whose calls the store answers, as
+// their first read of the store does.
 func (f *simFleet) deliverStoreContent(storeAnswers func(i int) bool) {
 	changes, err := platform.ConfigChanges(configText(1, 240))
 	if err != nil {
@@ -51,7 +51,7 @@
 	}
 }
 
-// rumorFrames is the number of frames of rumors that a daemon has sent.
+// rumorFramesSent returns the number of rumor frames that a daemon has sent.
 func (d *simDaemon) rumorFramesSent(t *testing.T) int {
 	for _, kind := range d.traffic(t) {
 		if kind.Kind == peer.KindRumor.String() {
@@ -61,7 +61,7 @@
 	return 0
 }
 
-// traffic is what a daemon has exchanged with its peers, by kind of message.
+// traffic returns a daemon's traffic with its peers by kind of message.
 func (d *simDaemon) traffic(t *testing.T) []telemetry.Traffic {
 	traffic, err := d.metrics.Traffic()
 	if err != nil {
@@ -70,16 +70,16 @@
 	return traffic
 }
 
-// TestWholeFleetRestartServesSoon: 120 daemons start together and know nobody. Whoever has read the
-// store serves at once; the others as soon as they have the settings from a peer and have
-// compared them with their neighbours; and all know each other soon after. With neighbours
-// compared at the next heartbeat, and by all, the last of them served after 1.4 s; with each
-// rumor in a frame of its own a daemon sent 806 of them.
+// TestWholeFleetRestartServesSoon starts 120 daemons together that know no others. Those that have
+// read the store serve at once. The others serve as soon as they have the settings from a peer and
+// have compared them with their neighbours, and all know each other soon after. When all daemons
+// compared with their neighbours at the next heartbeat, the last one served after 1.4 s; when each
+// rumor had its own frame, a daemon sent 806 frames.
 func TestWholeFleetRestartServesSoon(t *testing.T) {
 	for _, c := range []struct {
 		what    string
 		answers func(i int) bool
-		serve   time.Duration // until the last of them serves
+		serve   time.Duration // limit until the last daemon serves
 	}{
 		{"the store answers all", func(int) bool { return true }, restartPeriod + storeReadTime + 100*time.Millisecond},
 		{"the store answers one in ten", func(i int) bool { return i%10 == 0 }, restartPeriod + 400*time.Millisecond},
@@ -90,61 +90,63 @@
 	}
 }
 
+// runFleetRestart starts the fleet and checks how soon all daemons serve and how many rumor frames they
+// send.
 func runFleetRestart(t *testing.T, answers func(i int) bool, serve time.Duration) {
 	f := startSimFleet(t, restartStrongHosts, restartWeakHosts, restartPeriod)
 	defer f.close()
 	f.deliverStoreContent(answers)
-	serving := f.waitAll("service", func(d *simDaemon) bool { return d.board.Phase() == blackboard.Serving })
-	whole := f.waitAll("all others", func(d *simDaemon) bool {
+	serving := f.waitAll("the phase serving", func(d *simDaemon) bool { return d.board.Phase() == blackboard.Serving })
+	connected := f.waitAll("all members", func(d *simDaemon) bool {
 		size := 0
 		d.board.Members.WithLock(func(members *membership.Table) { size = members.AliveCount() })
 		return size == len(f.daemons)
 	})
-	most := 0
+	maxFrames := 0
 	for _, d := range f.daemons {
-		most = max(most, d.rumorFramesSent(t))
+		maxFrames = max(maxFrames, d.rumorFramesSent(t))
 	}
-	t.Logf("all serve after %v and know each other %v later, %d KB sent, %d frames of rumors by one daemon", serving, whole, f.bytesSent()>>10, most)
+	t.Logf("all serve after %v and know each other %v later, %d KB sent, at most %d rumor frames by one daemon", serving, connected, f.bytesSent()>>10, maxFrames)
 	if serving > serve {
-		t.Errorf("the last daemon serves after %v, want %v", serving, serve)
+		t.Errorf("the last daemon serves after %v, want %v at most", serving, serve)
 	}
-	if most > maxRumorFrames {
-		t.Errorf("a daemon sent %d frames of rumors, want %d at most", most, maxRumorFrames)
+	if maxFrames > maxRumorFrames {
+		t.Errorf("a daemon sent %d rumor frames, want %d at most", maxFrames, maxRumorFrames)
 	}
 }
 
-// TestIsolatedDaemonDelaysCoordinating: a daemon whose seeds do not answer serves, but takes
-// itself for the coordinator only once it has looked for the others for long enough. Each of a
-// herd did at once, and asked all engines how fast they work.
+// TestIsolatedDaemonDelaysCoordinating checks that a daemon whose seeds do not answer serves, but acts
+// as coordinator only after it has searched for other daemons for long enough. When a whole fleet
+// restarted, each daemon used to do so at once, and polled all engines for their slowdown.
 func TestIsolatedDaemonDelaysCoordinating(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startSimFleet(t, 1, 0, time.Second)
 		defer f.close()
 		d := f.daemons[0]
-		d.cluster.SetSeeds([]string{"10.9.9.9:8229"}) // Nobody is there.
+		d.cluster.SetSeeds([]string{"10.9.9.9:8229"}) // No daemon listens there.
 		f.deliverStoreContent(func(int) bool { return true })
-		f.waitAll("service", func(d *simDaemon) bool { return d.board.Phase() == blackboard.Serving })
+		f.waitAll("the phase serving", func(d *simDaemon) bool { return d.board.Phase() == blackboard.Serving })
 		if d.cluster.Placer.Coordinates("svc") {
-			t.Error("it coordinates though it has not found anybody")
+			t.Error("Coordinates(svc) = true while the daemon still searches for others, want false")
 		}
 		passTime(5 * time.Second)
 		if !d.cluster.Placer.Coordinates("svc") {
-			t.Error("it does not coordinate though nobody else is there")
+			t.Error("Coordinates(svc) = false after 5 s without other daemons, want true")
 		}
 	})
 }
 
-// TestRumorsSpreadAfterTheirLinkCloses: a peer tells of two daemons one after the other and its
-// link ends while the second rumor waits for its frame. All others hear of both at once, not at
-// the next comparison of members, 1 s and more later.
+// TestRumorsSpreadAfterTheirLinkCloses covers a peer that sends rumors about two daemons one after the
+// other and whose link closes while the second rumor waits for its frame. All others learn of both
+// daemons at once instead of at the next comparison of member lists, 1 s and more later.
 func TestRumorsSpreadAfterTheirLinkCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startSimFleet(t, 4, 0, 0)
 		defer f.close()
 		passTime(5 * time.Second)
-		leaver := f.network.AddHost("10.0.1.1:8229", strongLinkRate)
+		rumorHost := f.network.AddHost("10.0.1.1:8229", strongLinkRate)
 		hub := peer.NewHub("leaver", []string{fleetKey}, telemetry.NewMetrics())
-		hub.SetHTTPClient(leaver.Client())
+		hub.SetHTTPClient(rumorHost.Client())
 		for _, name := range []string{"first", "second"} {
 			rumors := []membership.Rumor{{Name: name, Incarnation: 1, Address: "10.0.1.2:8229", DataCentre: "dc0", Region: "r"}}
 			if err := hub.Notify(t.Context(), peer.Address{Name: "edge-0", Address: seedAddress}, peer.KindRumor, rumors); err != nil {
@@ -154,13 +156,13 @@
 		}
 		hub.Close()
 		const soon = 100 * time.Millisecond
-		took := f.waitAll("both daemons", func(d *simDaemon) bool {
+		took := f.waitAll("both new members", func(d *simDaemon) bool {
 			size := 0
 			d.board.Members.WithLock(func(members *membership.Table) { size = members.AliveCount() })
 			return size == len(f.daemons)+2
 		})
 		if took > soon {
-			t.Errorf("all know of both daemons after %v, want %v", took, soon)
+			t.Errorf("all know both new members after %v, want %v at most", took, soon)
 		}
 	})
 }
--- a/node/onplatform/fleet_test.go
+++ b/node/onplatform/fleet_test.go
@@ -14,6 +14,7 @@
 	"doorstack.dev/platform/standin"
 )
 
+// settingsRevision returns the version of the configuration that a daemon uses, or 0 if it has none.
 func (f *fleet) settingsRevision(d *testDaemon) int64 {
 	if view := d.Board.Settings.Current(); view != nil {
 		return view.Revision
@@ -21,6 +22,8 @@
 	return 0
 }
 
+// TestConfigurationIsNeverReplacedByOlderOne checks that a new configuration applies at all daemons.
+// Later writes of an older version, of an invalid one and of text that is no JSON do not replace it.
 func TestConfigurationIsNeverReplacedByOlderOne(t *testing.T) {
 	f := newFleet(t, 2, 1)
 	next := testConfig(7)
@@ -31,12 +34,12 @@
 		f.eventually("version 7 at "+d.boot.Name, func() bool { return f.settingsRevision(d) == 7 })
 	}
 	if got := f.do(f.newRequest(unsafePath)); got.Status != 401 {
-		t.Errorf("a key that was taken away: %+v", got)
+		t.Errorf("call with a removed API key = %+v, want 401", got)
 	}
 	a := f.newRequest(safePath)
 	a.APIKey = "new-key"
 	if got := f.do(a); got.Status != 404 {
-		t.Errorf("a route that was taken away: %+v", got)
+		t.Errorf("call of a removed route = %+v, want 404", got)
 	}
 	f.store.PutConfig(testConfig(5))
 	f.store.PutRaw("op/config", []byte(`{"version":9,"routes":[{"name":"x","host":"h","prefix":"no-slash"}]}`))
@@ -46,16 +49,16 @@
 	for _, d := range f.daemons {
 		f.eventually("version 11 at "+d.boot.Name, func() bool { return f.settingsRevision(d) == 11 })
 		if log := d.log.String(); strings.Contains(log, `"outcome":"adopted","reason":"from configuration service, 1 parts, 1 accounts","revision":5`) {
-			t.Error("an older version was adopted")
+			t.Errorf("%s adopted version 5 after version 7, want the older version ignored", d.boot.Name)
 		}
 	}
 	if got := f.do(f.newRequest(safePath)); got.Status != 200 {
-		t.Errorf("%+v", got)
+		t.Errorf("call after version 11 = %+v, want 200", got)
 	}
 }
 
-// TestUpdatesArriveThroughPeers: a daemon that the store turns away learns of versions and
-// of targets that leave from those that it serves.
+// TestUpdatesArriveThroughPeers checks that a daemon that the store refuses gets new configuration
+// versions and the draining of targets from its peers.
 func TestUpdatesArriveThroughPeers(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	cut := f.daemons[0]
@@ -65,7 +68,7 @@
 	f.store.PutConfig(next)
 	f.store.PutTarget(f.targets["t1"], plainService, "draining", 6)
 	f.eventually("version 3 through peers", func() bool { return f.settingsRevision(cut) == 3 })
-	f.eventually("the leaving target through peers", func() bool {
+	f.eventually("the draining target through peers", func() bool {
 		hosts, _ := cut.Board.Members.Hosts()
 		for _, h := range hosts.Hosts {
 			if h.ID == "t1" {
@@ -77,15 +80,16 @@
 	for range 6 {
 		a := f.newRequest(noAuthPath)
 		if got := f.do(a); got.Status != 200 || f.callsWithID(a.ID)[0].TargetID() != "t2" {
-			t.Fatalf("%+v by %+v", got, f.callsWithID(a.ID))
+			t.Fatalf("call = %+v, calls at targets %+v, want 200 by t2", got, f.callsWithID(a.ID))
 		}
 	}
 	if got := f.do(f.newRequest(safePath)); got.Status != 401 {
-		t.Errorf("a key that was taken away: %+v", got)
+		t.Errorf("call with a removed API key = %+v, want 401", got)
 	}
 }
 
-// TestCallerLimitsFromConfiguration: the settings bound bodies and idle connections.
+// TestCallerLimitsFromConfiguration checks that the configuration limits the size of bodies and the
+// time that a connection may be idle.
 func TestCallerLimitsFromConfiguration(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	next := testConfig(2)
@@ -95,7 +99,7 @@
 	a := f.newRequest(safePath)
 	a.Body = "eleven byte"
 	if got := f.do(a); got.Status != 413 {
-		t.Errorf("%+v", got)
+		t.Errorf("call with a body of 11 bytes, limit 10 = %+v, want 413", got)
 	}
 	conn, err := net.Dial("tcp", f.daemons[0].boot.CallerAddress)
 	if err != nil {
@@ -109,7 +113,7 @@
 		t.Fatal(err)
 	}
 	if _, err := io.Copy(io.Discard, conn); err != nil {
-		t.Fatalf("the idle connection is not closed: %v", err)
+		t.Fatalf("idle connection: read error %v, want it closed by the daemon", err)
 	}
 }
 
@@ -118,37 +122,39 @@
 	f.store.PutTarget(f.targets["t1"], plainService, "draining", 6)
 	f.store.RemoveTarget(f.targets["t2"])
 	d := f.daemons[0]
-	f.eventually("two targets gone or leaving", func() bool {
+	f.eventually("one target removed and one draining", func() bool {
 		hosts, _ := d.Board.Members.Hosts()
 		return len(hosts.Hosts) == 2
 	})
 	for range 8 {
 		a := f.newRequest(safePath)
 		if got := f.do(a); got.Status != 200 || f.callsWithID(a.ID)[0].TargetID() != "t3" {
-			t.Fatalf("%+v by %+v", got, f.callsWithID(a.ID))
+			t.Fatalf("call = %+v, calls at targets %+v, want 200 by t3", got, f.callsWithID(a.ID))
 		}
 	}
 }
 
-// TestFullReadAfterStoreDropsHistory: the whole is read anew, and what left meanwhile is gone.
+// TestFullReadAfterStoreDropsHistory checks that if the store no longer has the changes since a
+// daemon's last read, the daemon reads everything again and removes the targets that were removed
+// meanwhile.
 func TestFullReadAfterStoreDropsHistory(t *testing.T) {
 	f := newFleet(t, 1, 3)
 	d := f.daemons[0]
 	d.storeEndpoint.Refuse(true)
-	f.eventually("the loss in the log", func() bool { return strings.Contains(d.log.String(), "dependency is lost") })
+	f.eventually("a log line about the lost store", func() bool { return strings.Contains(d.log.String(), "dependency is lost") })
 	f.store.RemoveTarget(f.targets["t2"])
 	f.store.PutConfig(testConfig(4))
 	f.store.DropHistory()
 	d.storeEndpoint.Refuse(false)
 	f.eventually("version 4", func() bool { return f.settingsRevision(d) == 4 })
-	f.eventually("t2 gone", func() bool { return len(d.Board.Targets.Addresses()) == 2 })
+	f.eventually("t2 removed", func() bool { return len(d.Board.Targets.Addresses()) == 2 })
 	if !strings.Contains(d.log.String(), "dependency is back") {
-		t.Error("the store's return is not in the log")
+		t.Error("log has no line \"dependency is back\" after the store answers again")
 	}
 }
 
-// TestNewDaemonTakesSettingsFromPeers: one that the store turns away serves with
-// what its peers know, and never with less.
+// TestNewDaemonTakesSettingsFromPeers checks that a new daemon that the store refuses serves with the
+// newest configuration that its peers have, and is not ready with an older one.
 func TestNewDaemonTakesSettingsFromPeers(t *testing.T) {
 	f := newFleet(t, 2, 1)
 	f.store.PutConfig(testConfig(6))
@@ -159,37 +165,40 @@
 	fresh.storeEndpoint.Refuse(true)
 	f.waitReady(fresh)
 	if got := f.settingsRevision(fresh); got != 6 {
-		t.Fatalf("serves with version %d", got)
+		t.Fatalf("the new daemon serves with version %d, want 6", got)
 	}
 }
 
-// TestMembershipConverges: from one seed each, and again after a daemon restarted.
+// TestMembershipConverges checks that all daemons learn of each other from their seeds, of a daemon
+// that stops, and of its replacement.
 func TestMembershipConverges(t *testing.T) {
 	f := newFleet(t, 4, 1)
 	all := func() bool {
 		for _, d := range f.daemons {
-			if living, _ := d.Board.Members.AliveNames(); len(living) != len(f.daemons) {
+			if alive, _ := d.Board.Members.AliveNames(); len(alive) != len(f.daemons) {
 				return false
 			}
 		}
 		return true
 	}
-	f.eventually("four daemons that know each other", all)
-	gone := f.daemons[3]
-	gone.stop()
-	<-gone.exited
+	f.eventually("all four daemons to know each other", all)
+	stopped := f.daemons[3]
+	stopped.stop()
+	<-stopped.exited
 	f.daemons = f.daemons[:3]
-	f.eventually("three daemons that know of the loss", all)
+	f.eventually("three daemons to know that the fourth has stopped", all)
 	f.waitReady(f.addDaemon(3))
-	f.eventually("four daemons again", all)
+	f.eventually("all four daemons to know each other again", all)
 }
 
-// coordinatorSkipTime is somewhat longer than a coordinator that did not answer is passed over.
+// coordinatorSkipTime is somewhat longer than the time for which a daemon skips a coordinator that did
+// not answer in time.
 const coordinatorSkipTime = 1200 * time.Millisecond
 
-// TestDaemonsShareOneViewOfTargets: with one slot at each of four targets, four calls through
-// three daemons find a target each, in every round in which no daemon lost its
-// coordinator; without a common view some would meet.
+// TestDaemonsShareOneViewOfTargets checks that with one slot at each of four targets, four concurrent
+// calls through three daemons reach a target each, in every round in which no daemon lost its
+// coordinator. If the daemons did not share one view of the slots, some calls would go to the same
+// target.
 func TestDaemonsShareOneViewOfTargets(t *testing.T) {
 	f := newFleet(t, 3, 0)
 	for i := range 4 {
@@ -198,9 +207,9 @@
 	for _, d := range f.daemons {
 		f.waitReady(d)
 	}
-	f.eventually("all daemons known", func() bool {
+	f.eventually("all daemons to know each other", func() bool {
 		for _, d := range f.daemons {
-			if living, _ := d.Board.Members.AliveNames(); len(living) != 3 {
+			if alive, _ := d.Board.Members.AliveNames(); len(alive) != 3 {
 				return false
 			}
 		}
@@ -215,9 +224,9 @@
 	lastLoss := time.Time{}
 	for agreed, round := 0, 0; agreed < 5; round++ {
 		if round == 100 {
-			t.Fatal("in a hundred rounds the coordinator did not answer five times in time")
+			t.Fatalf("coordinator answered in time in %d of 100 rounds, want 5", agreed)
 		}
-		f.eventually("all ask the same coordinator again", func() bool { return time.Since(lastLoss) > coordinatorSkipTime })
+		f.eventually("all daemons to ask the same coordinator again", func() bool { return time.Since(lastLoss) > coordinatorSkipTime })
 		before := lost()
 		release := make(chan struct{})
 		var working sync.WaitGroup
@@ -235,7 +244,7 @@
 			ids[a.ID] = true
 			answers.Go(func() {
 				if got := f.do(a); got.Status != 200 {
-					t.Errorf("%+v", got)
+					t.Errorf("call = %+v, want 200", got)
 				}
 			})
 		}
@@ -250,20 +259,20 @@
 		answers.Wait()
 		switch {
 		case lost() > before:
-			// On a busy machine an answer may take longer than a daemon waits for it. Then
-			// it decides alone, says so, and passes the coordinator over for a second; such
-			// a round proves nothing either way.
+			// On a busy machine the coordinator's answer may take longer than a daemon waits.
+			// The daemon then decides alone, logs that, and skips the coordinator for a second.
+			// Such a round shows nothing.
 			lastLoss = time.Now()
 		case len(used) != 4:
-			t.Fatalf("round %d: no coordinator was lost, and the calls went to %v", round, used)
+			t.Fatalf("round %d: calls by target = %v without a lost coordinator, want one at each of four targets", round, used)
 		default:
 			agreed++
 		}
 	}
 }
 
-// TestCallsSurviveDaemonShutdowns: while daemons come and go, calls are placed by
-// whoever is left.
+// TestCallsSurviveDaemonShutdowns checks that when daemons stop, the coordinator among them, the
+// remaining ones place the calls.
 func TestCallsSurviveDaemonShutdowns(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	for i := range 3 {
@@ -275,14 +284,15 @@
 		}
 		for range 6 {
 			if got := f.do(f.newRequest(safePath)); got.Status != 200 {
-				t.Fatalf("after %d ends: %+v", i, got)
+				t.Fatalf("call after %d of 3 daemons stopped = %+v, want 200", i, got)
 			}
 		}
 	}
 }
 
-// TestDrainCompletesCallsInProgress: from the request to end on, the daemon is not ready, still
-// serves, tells callers to close, then refuses; what runs ends whole.
+// TestDrainCompletesCallsInProgress checks that a draining daemon is not ready. It first still serves
+// calls and asks callers to close their connections, then refuses calls. Calls in progress are
+// completed before it exits.
 func TestDrainCompletesCallsInProgress(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	d := f.daemons[0]
@@ -301,34 +311,34 @@
 	<-started
 	d.Drain()
 	if f.ready(d) {
-		t.Error("ready while it leaves")
+		t.Error("draining daemon: ready = true, want false")
 	}
 	first := f.do(f.newRequest(safePath))
 	if first.Status != 200 || !first.ClosesConnection {
-		t.Errorf("just after: %+v", first)
+		t.Errorf("call just after Drain = %+v, want 200 with Connection: close", first)
 	}
-	f.eventually("refusals", func() bool {
+	f.eventually("the draining daemon to refuse calls", func() bool {
 		got := f.do(f.newRequest(safePath))
 		return got.Status == 503 && got.Header.Get("Retry-After") != ""
 	})
 	select {
 	case <-d.exited:
-		t.Fatal("it ended before its last answer")
+		t.Fatal("daemon exited before its last answer")
 	default:
 	}
 	close(release)
 	if got := <-answer; got.Status != 200 || got.Body != "whole" || !got.ClosesConnection {
-		t.Errorf("the call under way: %+v", got)
+		t.Errorf("call in progress = %+v, want a complete 200 with Connection: close", got)
 	}
 	select {
 	case <-d.exited:
 	case <-time.After(waitTimeout):
-		t.Fatal("it does not end")
+		t.Fatal("daemon did not exit after its last answer")
 	}
 }
 
-// TestLogLinesOfFailedCallCarryItsID: what happened to a failed call can be read from the
-// lines with its id.
+// TestLogLinesOfFailedCallCarryItsID checks that the log lines with the id of a failed call show its
+// routing, its attempts and its answer.
 func TestLogLinesOfFailedCallCarryItsID(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	f.scriptAll(standin.Reject)
@@ -346,14 +356,15 @@
 		}
 	}
 	if kinds["route"] < 2 || kinds["attempt"] < 2 || kinds["answer"] != 1 {
-		t.Fatalf("%v", kinds)
+		t.Fatalf("log lines of the call by kind = %v, want at least 2 of route and attempt, and 1 of answer", kinds)
 	}
 	if strings.Contains(f.daemons[0].log.String(), apiKey) {
-		t.Error("the API key is in the log")
+		t.Error("log contains the API key")
 	}
 }
 
-// TestIdleDaemonMakesFewStoreCalls: a quiet second costs no call but the watches.
+// TestIdleDaemonMakesFewStoreCalls checks that while nothing changes, a daemon makes no store calls
+// but its watches.
 func TestIdleDaemonMakesFewStoreCalls(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	before := f.store.Calls()
@@ -361,6 +372,6 @@
 	defer cancel()
 	<-ctx.Done()
 	if made := f.store.Calls() - before; made > 2 {
-		t.Fatalf("%d calls in a quiet second", made)
+		t.Fatalf("idle daemon made %d store calls in a second, want 2 at most", made)
 	}
 }
--- a/node/onplatform/harness_test.go
+++ b/node/onplatform/harness_test.go
@@ -19,7 +19,7 @@
 	"doorstack.dev/platform/standin"
 )
 
-// fleet is a store, targets and daemons on loopback.
+// fleet is a simulated store, simulated targets and real daemons, all on loopback in this process.
 type fleet struct {
 	t       *testing.T
 	store   *standin.Store
@@ -30,16 +30,19 @@
 	lastID  int
 }
 
+// testDaemon is a running daemon of a fleet.
 type testDaemon struct {
 	*daemon.Daemon
-	storeEndpoint *standin.Endpoint
+	storeEndpoint *standin.Endpoint // the daemon's own address of the store, which a test can make refuse
 	boot          *platform.Boot
 	log           *testlog.Buffer
-	exited        chan struct{}
+	exited        chan struct{} // closed once Run has returned
 	stop          context.CancelFunc
 }
 
-// The routes of the test configuration.
+// The host, paths, key and services of the test configuration. The paths are one per kind of route: a
+// call of unsafePath is sent to a target at most once, a stream of nonResumablePath is not resumed,
+// promptPath leads to the model engines, and noAuthPath needs no API key.
 const (
 	routeHost        = "calls.example"
 	safePath         = "/safe/"
@@ -54,6 +57,7 @@
 	waitTimeout      = 20 * time.Second
 )
 
+// testConfig returns the test configuration in a version.
 func testConfig(version int) standin.Config {
 	route := func(prefix, kind, service string, attempts int) standin.Route {
 		return standin.Route{
@@ -77,7 +81,8 @@
 	return c
 }
 
-// newFleet starts daemons over so many plain targets; engines are added by addTarget.
+// newFleet starts a fleet of daemons and plain targets and waits until all daemons are ready. Model
+// engines are added with addTarget.
 func newFleet(t *testing.T, daemons, plainTargets int) *fleet {
 	t.Helper()
 	f := &fleet{t: t, store: standin.NewStore(), targets: map[string]*standin.Target{}, config: testConfig(1)}
@@ -95,13 +100,14 @@
 	return f
 }
 
-// newCallerClient returns a client of callers.
+// newCallerClient returns an HTTP client for callers.
 func newCallerClient(t *testing.T) *http.Client {
 	transport := &http.Transport{DisableCompression: true}
 	t.Cleanup(transport.CloseIdleConnections)
 	return &http.Client{Transport: transport}
 }
 
+// addTarget starts a target and publishes it as ready, with a number of slots.
 func (f *fleet) addTarget(id, service string, slots int) *standin.Target {
 	t := standin.NewTarget(id)
 	f.t.Cleanup(t.Server.Close)
@@ -110,6 +116,7 @@
 	return t
 }
 
+// addDaemon starts daemon i with all earlier daemons as seeds. It does not wait until it is ready.
 func (f *fleet) addDaemon(i int) *testDaemon {
 	f.t.Helper()
 	door := f.store.OpenEndpoint()
@@ -128,7 +135,8 @@
 		boot.Seeds = append(boot.Seeds, other.boot.PeerAddress)
 	}
 	d := &testDaemon{storeEndpoint: door, boot: boot, log: &testlog.Buffer{}, exited: make(chan struct{})}
-	// The store's address differs by daemon here; the fleet's key must not.
+	// configFileOf derives the fleet's key from the store's address, which differs between daemons
+	// here: they need a common key.
 	file := configFileOf(boot, metrics)
 	file.PeerKeys = []string{"the key of the fleet under test"}
 	log := slog.New(slog.NewJSONHandler(d.log, nil))
@@ -151,7 +159,7 @@
 	return d
 }
 
-// eventually waits until a condition holds.
+// eventually waits until a condition holds, and fails the test after waitTimeout.
 func (f *fleet) eventually(what string, holds func() bool) {
 	f.t.Helper()
 	deadline := time.After(waitTimeout)
@@ -160,12 +168,13 @@
 	for !holds() {
 		select {
 		case <-deadline:
-			f.t.Fatal("does not come: " + what)
+			f.t.Fatalf("after %v still waiting for: %s", waitTimeout, what)
 		case <-tick.C:
 		}
 	}
 }
 
+// ready reports whether a daemon answers the load balancer's check that it is ready.
 func (f *fleet) ready(d *testDaemon) bool {
 	resp, err := f.client.Get("http://" + d.boot.ReadyAddress + "/ready")
 	if err != nil {
@@ -176,25 +185,28 @@
 	return resp.StatusCode == http.StatusOK
 }
 
+// waitReady waits until a daemon is ready and knows all targets.
 func (f *fleet) waitReady(d *testDaemon) {
 	f.t.Helper()
-	f.eventually("daemon "+d.boot.Name+" ready with all targets", func() bool {
+	f.eventually("daemon "+d.boot.Name+" ready and knowing all targets", func() bool {
 		return f.ready(d) && len(d.Board.Targets.Addresses()) == len(f.targets)
 	})
 }
 
+// newRequest returns a request to the first daemon, with an id of its own and a deadline of 4 s.
 func (f *fleet) newRequest(path string) *standin.CallerRequest {
 	f.lastID++
 	return &standin.CallerRequest{Daemon: f.daemons[0].boot.CallerAddress, Host: routeHost, Path: path + "x?q=1", ID: fmt.Sprint("id-", f.lastID), APIKey: apiKey, DeadlineMS: 4000}
 }
 
+// do sends a request and returns the daemon's answer.
 func (f *fleet) do(a *standin.CallerRequest) standin.CallerResponse {
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	return a.Do(ctx, f.client)
 }
 
-// calls counts the calls with an id over all targets.
+// callsWithID returns the calls with a request id that reached any target.
 func (f *fleet) callsWithID(id string) []standin.Call {
 	var list []standin.Call
 	for _, t := range f.targets {
@@ -207,14 +219,15 @@
 	return list
 }
 
+// scriptAll sets the script of all targets.
 func (f *fleet) scriptAll(script func(http.ResponseWriter, *http.Request, standin.Call)) {
 	for _, t := range f.targets {
 		t.Script(script)
 	}
 }
 
-// scriptOnce lets the first call of all targets go to one script and later ones to
-// another.
+// scriptFirstCall answers the first call that reaches any target with one script and all later calls
+// with another.
 func (f *fleet) scriptFirstCall(first, later func(http.ResponseWriter, *http.Request, standin.Call)) {
 	var mu sync.Mutex
 	used := false
@@ -231,6 +244,7 @@
 	})
 }
 
+// eventTexts returns the text of the events from..to of a stream.
 func eventTexts(from, to int) string {
 	var b strings.Builder
 	for i := from; i <= to; i++ {
--- a/node/onplatform/long_list_test.go
+++ b/node/onplatform/host_list_pages_test.go
@@ -7,8 +7,8 @@
 	"doorstack.dev/platform/standin"
 )
 
-// TestDaemonServesWithFirstPageOfHostList: while the store does not give the others, and it
-// knows all targets once it does.
+// TestDaemonServesWithFirstPageOfHostList checks that a daemon is ready and serves with the first page
+// of the store's list while the later pages are held back, and knows all targets once they arrive.
 func TestDaemonServesWithFirstPageOfHostList(t *testing.T) {
 	f := &fleet{t: t, store: standin.NewStore(), targets: map[string]*standin.Target{}, config: testConfig(1)}
 	f.client = newCallerClient(t)
@@ -17,17 +17,17 @@
 		f.addTarget(fmt.Sprint("t", i+1), plainService, 6)
 	}
 	f.store.PutConfig(f.config)
-	rest := make(chan struct{})
-	f.store.Paginate(page, rest)
+	laterPages := make(chan struct{})
+	f.store.Paginate(page, laterPages)
 	f.addDaemon(0)
 	d := f.daemons[0]
-	f.eventually("the daemon ready", func() bool { return f.ready(d) })
+	f.eventually("the daemon to be ready", func() bool { return f.ready(d) })
 	if got := f.do(f.newRequest(safePath)); got.Status != 200 || !got.Signed() {
-		t.Fatalf("%+v", got)
+		t.Fatalf("call = %+v, want a signed 200", got)
 	}
 	if known := len(d.Board.Targets.Addresses()); known != page-1 || f.store.LaterPages() == 0 {
-		t.Errorf("%d targets are known, %d later pages were asked for", known, f.store.LaterPages())
+		t.Errorf("daemon knows %d targets and has requested %d later pages, want %d targets and at least 1 request", known, f.store.LaterPages(), page-1)
 	}
-	close(rest)
+	close(laterPages)
 	f.waitReady(d)
 }
--- a/node/onplatform/calm_test.go
+++ b/node/onplatform/idle_traffic_test.go
@@ -15,32 +15,33 @@
 )
 
 const (
-	// idlePeriod is how long a fleet without calls and changes is watched: ten rounds of
-	// heartbeats, the slowest thing that daemons repeat.
+	// idlePeriod is how long a fleet without calls and changes is observed: ten rounds of heartbeats,
+	// which are the least frequent periodic messages.
 	idlePeriod = 10 * time.Second
-	// maxControlRate is what a daemon may exchange for control, in bytes a second.
+	// maxControlRate is the limit on a daemon's control traffic in both directions, in bytes a second.
 	maxControlRate = 6000
-	// maxIdleGrowth is how much more a daemon of a fleet may say on average than one of a fleet a
-	// third of its size: a share of the fleet in each message would make it three times as much.
+	// maxIdleGrowth bounds the ratio of a daemon's average traffic to that in a fleet a third of the
+	// size. If each message carried a share of the fleet, the ratio would be 3.
 	maxIdleGrowth = 1.3
-	// smallestFleetRuns is how often the smallest fleet is played: whom its daemons link to is drawn,
-	// and one link more or less is a tenth of what each of them says.
+	// smallestFleetRuns is the number of runs of the smallest fleet, whose average is the reference:
+	// links are chosen at random, and one link more or less is a tenth of a daemon's traffic.
 	smallestFleetRuns = 4
 	// allKinds stands for messages of every kind.
 	allKinds = "all"
 )
 
-// trafficRate is what daemons send and receive in a calm second by one kind of message, in bytes.
+// trafficRate is the traffic of the daemons of an idle fleet with one kind of message, sent and received,
+// in bytes a second.
 type trafficRate struct {
 	kind             string
 	average, busiest float64
 }
 
-// TestIdleTrafficDoesNotGrowWithFleet: while nothing happens, what a daemon exchanges with the others does
-// not grow with the fleet. FLEETS names other sizes than those that every run plays.
+// TestIdleTrafficDoesNotGrowWithFleet checks that while nothing changes, a daemon's traffic with its
+// peers does not grow with the size of the fleet. The environment variable FLEETS overrides the sizes.
 func TestIdleTrafficDoesNotGrowWithFleet(t *testing.T) {
 	sizes := cmp.Or(os.Getenv("FLEETS"), "20 60")
-	smallest := 0.0 // the average of the smallest fleet's plays
+	smallest := 0.0 // the average of the smallest fleet's runs
 	for _, field := range strings.Fields(sizes) {
 		size, err := strconv.Atoi(field)
 		if err != nil {
@@ -55,7 +56,7 @@
 				synctest.Test(t, func(t *testing.T) {
 					all := measureIdleTraffic(t, size)
 					if all.busiest > maxControlRate {
-						t.Errorf("the busiest daemon exchanges %.0f bytes a second, want %d at most", all.busiest, maxControlRate)
+						t.Errorf("the busiest daemon exchanged %.0f bytes a second, want %d at most", all.busiest, maxControlRate)
 					}
 					average += all.average / float64(plays)
 				})
@@ -64,19 +65,19 @@
 				smallest = average
 			}
 			if average > maxIdleGrowth*smallest {
-				t.Errorf("a daemon exchanges %.0f bytes a second on average, one of the smallest fleet %.0f", average, smallest)
+				t.Errorf("a daemon exchanged %.0f bytes a second on average, want %.1f times the %.0f of the smallest fleet at most", average, maxIdleGrowth, smallest)
 			}
 		})
 	}
 }
 
-// measureIdleTraffic starts a fleet, lets it settle and returns what its daemons exchange then.
+// measureIdleTraffic starts a fleet, waits until it is idle and returns the traffic of its daemons then.
 func measureIdleTraffic(t *testing.T, size int) trafficRate {
 	strong := max(1, size/20)
 	f := startSimFleet(t, strong, size-strong, restartPeriod)
 	defer f.close()
 	f.deliverStoreContent(func(int) bool { return true })
-	f.waitAll("all others", func(d *simDaemon) bool {
+	f.waitAll("all members", func(d *simDaemon) bool {
 		known := 0
 		d.board.Members.WithLock(func(members *membership.Table) { known = members.AliveCount() })
 		return known == size
@@ -96,7 +97,8 @@
 	return all
 }
 
-// exchangedSoFar is what each daemon has sent and received, in bytes by kind and in all.
+// trafficByDaemon returns the bytes that each daemon has sent and received so far, by kind of message and
+// for allKinds.
 func (f *simFleet) trafficByDaemon() []map[string]int64 {
 	var list []map[string]int64
 	for _, d := range f.daemons {
@@ -110,7 +112,8 @@
 	return list
 }
 
-// trafficRates compares two looks at a fleet, idlePeriod apart; the kind that says most comes first.
+// trafficRates returns the rates between two results of trafficByDaemon that are idlePeriod apart, the
+// kind with the busiest daemon first.
 func trafficRates(before, after []map[string]int64) []trafficRate {
 	rates := map[string][]float64{}
 	for i := range after {
@@ -119,12 +122,12 @@
 		}
 	}
 	var list []trafficRate
-	for kind, of := range rates {
+	for kind, perDaemon := range rates {
 		sum := 0.0
-		for _, rate := range of {
+		for _, rate := range perDaemon {
 			sum += rate
 		}
-		list = append(list, trafficRate{kind, sum / float64(len(of)), slices.Max(of)})
+		list = append(list, trafficRate{kind, sum / float64(len(perDaemon)), slices.Max(perDaemon)})
 	}
 	slices.SortFunc(list, func(a, b trafficRate) int {
 		return cmp.Or(cmp.Compare(b.busiest, a.busiest), cmp.Compare(a.kind, b.kind))
--- a/node/onplatform/limit_fleet_test.go
+++ b/node/onplatform/limit_simulation_test.go
@@ -22,9 +22,9 @@
 	"github.com/go-faster/errors"
 )
 
-// The platform's rule on limits: from limitLearnTime after a limit was first named, its target gets in any
-// limitWindow at most limitShare of what the limit allows and limitSlack more calls, by daemons that had
-// passed the word on relayLeadTime earlier.
+// The platform's rule for declared rate limits: from limitLearnTime after a daemon first relayed a target's
+// limit, the target may get in any limitWindow at most limitShare times the calls that the limit allows
+// plus limitSlack. Only calls count that come at least relayLeadTime after their daemon relayed the limit.
 const (
 	limitLearnTime = 3 * time.Second
 	limitWindow    = 4 * time.Second
@@ -33,27 +33,28 @@
 	relayLeadTime  = 500 * time.Millisecond
 )
 
-// limitedTarget is a target in virtual time that names a limit, and judges what it gets.
+// limitedTarget is a simulated target that declares a rate limit and records the calls that reach it.
 type limitedTarget struct {
 	perSecond    float64
 	mu           sync.Mutex
-	firstRelayed map[string]time.Time // when each daemon first passed the limit on
+	firstRelayed map[string]time.Time // when each daemon first relayed the limit, by daemon
 	arrivals     []arrival
 }
 
+// arrival is a call that reached a limitedTarget, and the daemon that sent it.
 type arrival struct {
 	at     time.Time
 	daemon string
 }
 
-// arrive counts a call.
+// recordCall records a call of a daemon.
 func (l *limitedTarget) recordCall(by string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.arrivals = append(l.arrivals, arrival{time.Now(), by})
 }
 
-// tell notes that a daemon has passed the limit on.
+// recordRelay records that a daemon has relayed the limit to a caller.
 func (l *limitedTarget) recordRelay(by string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,7 +63,7 @@
 	}
 }
 
-// most is the most calls in a window that count.
+// maxCallsInWindow returns the largest number of calls in a limitWindow, of those that count by the rule.
 func (l *limitedTarget) maxCallsInWindow() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,7 +75,7 @@
 		}
 	}
 	for _, a := range l.arrivals {
-		if at, told := l.firstRelayed[a.daemon]; told && a.at.Sub(at) >= relayLeadTime && a.at.Sub(first) >= limitLearnTime {
+		if at, relayed := l.firstRelayed[a.daemon]; relayed && a.at.Sub(at) >= relayLeadTime && a.at.Sub(first) >= limitLearnTime {
 			counted = append(counted, a)
 		}
 	}
@@ -88,39 +89,39 @@
 	return most
 }
 
-// limitFleet is a fleet whose daemons place calls at targets in virtual time.
+// limitFleet is a simFleet whose daemons place calls at simulated targets.
 type limitFleet struct {
 	*simFleet
-	targets      map[string]*limitedTarget // those that name a limit
+	targets      map[string]*limitedTarget // those that declare a limit
 	calls        sync.WaitGroup
 	workers      sync.WaitGroup
 	mu           sync.Mutex
-	shutdowns    map[string]func() // by daemon: ends its process
+	shutdowns    map[string]func() // by daemon name: stops the daemon
 	served       int
-	refusalTimes []time.Duration // after how long each refused call was
+	refusalTimes []time.Duration // for each refused call, the time until the refusal
 }
 
-// callGoal is the goal of the calls, and leave when their callers go.
+// callGoal is the latency goal of the calls, and callTimeout is when their callers give up.
 const (
 	callGoal    = 300 * time.Millisecond
 	callTimeout = 3 * time.Second
 )
 
-// minRefusalsPerLateOne is how many refusals there are at least for each that comes after a third of the goal:
-// those of questions whose coordinator ended.
+// minRefusalsPerLateOne is the required minimum of refusals for each one that comes after a third of the
+// goal. Late ones are expected only for requests to a coordinator that stopped.
 const minRefusalsPerLateOne = 50
 
-// begin starts so many targets, workers and callers; each daemon gets a call in each pause. Once ctx
-// has ended, end waits for the last of them.
+// startLoad delivers the settings and the targets to all daemons and starts their workers and callers; each
+// daemon gets one call per pause. After ctx has ended, end waits for the last calls and stops the workers.
 func (f *limitFleet) startLoad(ctx context.Context, targets int, pause time.Duration) (end func()) {
 	working, stopWork := context.WithCancel(context.Background())
 	changes, err := platform.ConfigChanges(configText(1, 10))
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	facts := hostlist.Update{Full: true, AsOf: 1}
+	targetList := hostlist.Update{Full: true, AsOf: 1}
 	for i := range targets {
-		facts.Hosts = append(facts.Hosts, hostlist.Host{
+		targetList.Hosts = append(targetList.Hosts, hostlist.Host{
 			ID: fmt.Sprint("t", i), Role: hostlist.RoleTarget, Address: fmt.Sprintf("10.1.0.%d:1", i), Pool: "svc", State: hostlist.Live, Revision: 1, Slots: 64,
 		})
 	}
@@ -128,28 +129,28 @@
 		if err := d.settings.Apply(changes, "store"); err != nil && !errors.Is(err, settings.ErrNotNewer) {
 			f.t.Fatal(err)
 		}
-		d.board.MergeUpdate(facts, time.Now())
-		life, end := context.WithCancel(ctx)
+		d.board.MergeUpdate(targetList, time.Now())
+		daemonCtx, stopDaemon := context.WithCancel(ctx)
 		workers := worker.Pool{Board: d.board, Size: 1}
 		f.workers.Go(func() { workers.Run(working) })
-		f.shutdowns[d.name] = func() { end(); f.stopFuncs[1+2*i](); f.stopFuncs[2+2*i]() }
+		f.shutdowns[d.name] = func() { stopDaemon(); f.stopFuncs[1+2*i](); f.stopFuncs[2+2*i]() }
 		f.calls.Go(func() {
-			passTime(5 * time.Second) // All know each other.
-			for n := 0; life.Err() == nil; n++ {
-				f.calls.Go(func() { f.placeCall(life, d, fmt.Sprintf("%s-%d", d.name, n)) })
+			passTime(5 * time.Second) // By then all daemons know each other.
+			for n := 0; daemonCtx.Err() == nil; n++ {
+				f.calls.Go(func() { f.placeCall(daemonCtx, d, fmt.Sprintf("%s-%d", d.name, n)) })
 				passTime(pause)
 			}
 		})
 	}
 	return func() {
 		f.calls.Wait()
-		passTime(callTimeout) // Questions to coordinators that ended are dropped.
+		passTime(callTimeout) // By then requests to stopped coordinators have timed out.
 		stopWork()
 		f.workers.Wait()
 	}
 }
 
-// call places a call as a daemon does, and answers it.
+// placeCall places a call as a daemon does, and lets its target answer it.
 func (f *limitFleet) placeCall(ctx context.Context, d *simDaemon, id string) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -179,22 +180,23 @@
 	f.answerCall(d, placement.Decision.Chosen, id)
 }
 
-// answer lets a target answer a call.
+// answerCall lets a target answer a call 21 ms after it was placed, and reports the answer and the limit in it
+// as a daemon does.
 func (f *limitFleet) answerCall(d *simDaemon, id, attempt string) {
 	sent, target := time.Now(), f.targets[id]
 	passTime(time.Millisecond)
-	said := forward.Limit{Lifted: true}
+	limit := forward.Limit{Lifted: true}
 	if target != nil {
 		target.recordCall(d.name)
-		said = forward.DeclaredLimit(target.perSecond)
+		limit = forward.DeclaredLimit(target.perSecond)
 	}
 	passTime(20 * time.Millisecond)
 	if target != nil {
 		target.recordRelay(d.name)
 	}
 	record := telemetry.Recorder{Board: d.board, Log: slog.New(slog.DiscardHandler), Metrics: d.metrics}
-	if news := record.RecordNotice("svc", id, forward.Notice{Limit: said}, sent); said.Declared || news {
-		d.cluster.Placer.ReportLimit("svc", id, said, sent)
+	if changed := record.RecordNotice("svc", id, forward.Notice{Limit: limit}, sent); limit.Declared || changed {
+		d.cluster.Placer.ReportLimit("svc", id, limit, sent)
 	}
 	d.board.Targets.Finish(attempt, blackboard.CallSucceeded, time.Now())
 	d.cluster.Placer.ReportFinished(attempt, blackboard.CallSucceeded, "", 0)
@@ -204,7 +206,7 @@
 	f.mu.Unlock()
 }
 
-// endCoordinator ends the process of the daemon that places the pool's calls.
+// stopCoordinator stops the daemon that places the pool's calls.
 func (f *limitFleet) stopCoordinator() {
 	for _, d := range f.daemons {
 		if end := f.shutdowns[d.name]; end != nil && d.cluster.Placer.Coordinates("svc") {
@@ -213,16 +215,17 @@
 			return
 		}
 	}
-	f.t.Error("nobody coordinates")
+	f.t.Error("no running daemon coordinates the pool, want one")
 }
 
-// TestTargetLimitHoldsAcrossCoordinatorChanges: fleets of two sizes whose coordinators end one
-// after the other, with one target that names a limit or all of them.
+// TestTargetLimitHoldsAcrossCoordinatorChanges checks that targets get no more calls than their
+// declared limits allow, in fleets of two sizes whose coordinators stop one after the other, with some
+// or all of the targets declaring a limit.
 func TestTargetLimitHoldsAcrossCoordinatorChanges(t *testing.T) {
 	for _, c := range []struct {
 		strong, weak, targets, limited int
 		perSecond                      float64
-		pause                          time.Duration // between two calls of a daemon
+		pause                          time.Duration // between two calls at a daemon
 	}{
 		{6, 0, 4, 1, 1.4, 100 * time.Millisecond},
 		{6, 0, 4, 2, 6, 60 * time.Millisecond},
@@ -231,7 +234,7 @@
 		{4, 20, 4, 1, 1, 500 * time.Millisecond},
 		{4, 20, 4, 4, 3, 500 * time.Millisecond},
 	} {
-		t.Run(fmt.Sprintf("%d hosts, %d of %d targets name %v", c.strong+c.weak, c.limited, c.targets, c.perSecond), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d hosts, %d of %d targets declare %v", c.strong+c.weak, c.limited, c.targets, c.perSecond), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := &limitFleet{simFleet: startSimFleet(t, c.strong, c.weak, 0), targets: map[string]*limitedTarget{}, shutdowns: map[string]func(){}}
 				defer f.close()
@@ -250,13 +253,13 @@
 				allowed := int(limitShare*c.perSecond*limitWindow.Seconds() + limitSlack)
 				for id, target := range f.targets {
 					if most := target.maxCallsInWindow(); most > allowed {
-						t.Errorf("%s got %d calls in %v, allowed %d", id, most, limitWindow, allowed)
+						t.Errorf("%s got %d calls in %v, want %d at most", id, most, limitWindow, allowed)
 					}
 					t.Logf("%s got %d calls, %d in a window, allowed %d", id, len(target.arrivals), target.maxCallsInWindow(), allowed)
 				}
 				late := len(slices.DeleteFunc(slices.Clone(f.refusalTimes), func(after time.Duration) bool { return after <= callGoal/3 }))
 				if late*minRefusalsPerLateOne > len(f.refusalTimes) {
-					t.Errorf("%d of %d refusals came late", late, len(f.refusalTimes))
+					t.Errorf("%d of %d refusals came more than %v after the call, want one in %d at most", late, len(f.refusalTimes), callGoal/3, minRefusalsPerLateOne)
 				}
 				t.Logf("%d calls served, %d refused, %d of them late", f.served, len(f.refusalTimes), late)
 			})
--- a/node/onplatform/limits_test.go
+++ b/node/onplatform/limits_test.go
@@ -11,9 +11,10 @@
 	"doorstack.dev/platform/standin"
 )
 
+// limitHeader is the header in which a target declares its rate limit, in calls a second.
 const limitHeader = "Server-Limit"
 
-// loadGenerator is callers that send one call after the other, some by each daemon, until they are stopped.
+// loadGenerator is a number of callers that each send one call after the other until they are stopped.
 type loadGenerator struct {
 	stop chan struct{}
 	done sync.WaitGroup
@@ -22,7 +23,7 @@
 // callersPerDaemon is the number of callers at each daemon.
 const callersPerDaemon = 2
 
-// send starts callers of a path at the daemons; got is told of each answer.
+// startLoad starts callers of a path at the daemons and calls got with each answer.
 func (f *fleet) startLoad(daemons []*testDaemon, path string, got func(*testDaemon, standin.CallerResponse)) *loadGenerator {
 	h := &loadGenerator{stop: make(chan struct{})}
 	for _, d := range daemons {
@@ -46,7 +47,7 @@
 	return h
 }
 
-// end stops the callers and waits for their last calls.
+// stopAndWait stops the callers and waits for their last calls.
 func (h *loadGenerator) stopAndWait() {
 	close(h.stop)
 	h.done.Wait()
@@ -62,7 +63,7 @@
 	}
 }
 
-// daemonSet notes which daemons have passed on an answer of a target.
+// daemonSet is a set of daemons.
 type daemonSet struct {
 	mu    sync.Mutex
 	names map[string]bool
@@ -80,13 +81,14 @@
 	return len(l.names)
 }
 
-// maxAllowedCalls is the most calls that a target with a limit may get in some time: what the platform
-// allows in 4 s, for any time.
+// maxAllowedCalls returns the number of calls that a target with a limit of perSecond may get in a time d.
+// The platform's rule is for 4 s; this applies it to any time.
 func maxAllowedCalls(d time.Duration, perSecond float64) int {
 	return int(1.5*perSecond*d.Seconds() + 5)
 }
 
-// TestTargetLimitHoldsForWholeFleet: from all daemons together, whichever coordinates.
+// TestTargetLimitHoldsForWholeFleet checks that a target gets no more calls than its declared limit
+// allows from all daemons together, whichever of them is the coordinator.
 func TestTargetLimitHoldsForWholeFleet(t *testing.T) {
 	const perSecond, calls, window = 2.0, 600, time.Second
 	for path, target := range map[string]string{safePath: "t1", promptPath: "e1"} {
@@ -100,26 +102,27 @@
 			}
 			f.scriptAll(answer)
 			f.targets[target].Script(withHeader(limitHeader, fmt.Sprint(perSecond), answer))
-			heard := daemonSet{names: map[string]bool{}}
+			relayed := daemonSet{names: map[string]bool{}}
 			var answered atomic.Int64
 			callers := f.startLoad(f.daemons, path, func(d *testDaemon, got standin.CallerResponse) {
 				answered.Add(1)
 				if got.Header.Get(limitHeader) != "" {
-					heard.add(d)
+					relayed.add(d)
 				}
 			})
 			defer callers.stopAndWait()
-			f.eventually("each daemon has been told", func() bool { return heard.count() == len(f.daemons) })
+			f.eventually("each daemon to relay the limit", func() bool { return relayed.count() == len(f.daemons) })
 			began, before, until := time.Now(), f.callCount(target), answered.Load()+calls
 			f.eventually("more calls", func() bool { return answered.Load() >= until && time.Since(began) >= window })
 			if got, allowed := f.callCount(target)-before, maxAllowedCalls(time.Since(began), perSecond); got > allowed {
-				t.Errorf("%d calls in %v, allowed %d", got, time.Since(began), allowed)
+				t.Errorf("%s got %d calls in %v, want %d at most", target, got, time.Since(began), allowed)
 			}
 		})
 	}
 }
 
-// TestTargetIsUsedAgainAfterLimitIsLifted: by all daemons, at once.
+// TestTargetIsUsedAgainAfterLimitIsLifted checks that when a target no longer declares a limit, all
+// daemons send it calls again at once.
 func TestTargetIsUsedAgainAfterLimitIsLifted(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	f.awaitMembership()
@@ -128,19 +131,21 @@
 	callers := f.startLoad(f.daemons, safePath, func(*testDaemon, standin.CallerResponse) { answered.Add(1) })
 	defer callers.stopAndWait()
 	limited := func(d *testDaemon) bool { return len(d.Board.Targets.Limits(plainService, time.Now())) > 0 }
-	f.eventually("all know the limit", func() bool { return limited(f.daemons[0]) && limited(f.daemons[1]) })
+	f.eventually("both daemons to know the limit", func() bool { return limited(f.daemons[0]) && limited(f.daemons[1]) })
 	f.targets["t1"].Script(standin.Succeed("ok"))
-	f.eventually("all know that it is lifted", func() bool { return !limited(f.daemons[0]) && !limited(f.daemons[1]) })
+	f.eventually("both daemons to know that the limit is lifted", func() bool { return !limited(f.daemons[0]) && !limited(f.daemons[1]) })
 	const calls = 200
 	before, until := f.callCount("t1"), answered.Load()+calls
 	f.eventually("more calls", func() bool { return answered.Load() >= until })
 	if got := f.callCount("t1") - before; got < calls/4 {
-		t.Errorf("it gets %d of %d calls", got, calls)
+		t.Errorf("target without a limit got %d of %d calls, want %d at least", got, calls, calls/4)
 	}
 }
 
-// TestCallsAreRefusedAtOnceWhenAllTargetsAreLimited: those whose turn comes too late, with the time of
-// their turn; none of them runs, and each target gets what it names.
+// TestCallsAreRefusedAtOnceWhenAllTargetsAreLimited checks that if all targets declare limits, calls
+// that would have to wait too long are refused at once, with the time until they could be sent in
+// Retry-After. Refused calls reach no target, and the targets get no more calls than their limits
+// allow.
 func TestCallsAreRefusedAtOnceWhenAllTargetsAreLimited(t *testing.T) {
 	const perSecond = 2.0
 	f := newFleet(t, 2, 2)
@@ -169,13 +174,13 @@
 		}
 		back, err := strconv.ParseFloat(got.RetryAfter(), 64)
 		if got.Status != 503 || got.Signed() || err != nil || back <= 0 || back > 4/perSecond || len(f.callsWithID(a.ID)) > 0 {
-			t.Fatalf("%+v, at targets %d times", got, len(f.callsWithID(a.ID)))
+			t.Fatalf("refused call = %+v, reached targets %d times; want an unsigned 503 with Retry-After in (0, %v] that reached none", got, len(f.callsWithID(a.ID)), 4/perSecond)
 		}
 	}
 	if ran, allowed := f.callCount("t1")+f.callCount("t2")-before, 2*maxAllowedCalls(time.Since(began), perSecond); ran > allowed || ran == 0 {
-		t.Errorf("%d calls ran, allowed %d", ran, allowed)
+		t.Errorf("targets got %d calls, want between 1 and %d", ran, allowed)
 	}
 	if refused == 0 || late > refused/10 {
-		t.Errorf("%d refused, %d of them late", refused, late)
+		t.Errorf("%d calls refused, %d of them after more than 100 ms, want some and a tenth of them late at most", refused, late)
 	}
 }
--- a/node/onplatform/promises_test.go
+++ b/node/onplatform/not_executed_test.go
@@ -7,8 +7,8 @@
 	"doorstack.dev/platform/standin"
 )
 
-// meansNotExecuted tells whether callers take a status as the word that their call has not run and never
-// will.
+// meansNotExecuted reports whether a status tells callers that their call has not been executed and never
+// will be.
 func meansNotExecuted(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -17,20 +17,20 @@
 	return false
 }
 
-// TestNoNotExecutedStatusAfterLostAnswer: a target runs a call to its end and its answer is lost; every
-// other target then has no room, wants rest, cannot be reached, or is gone. Whatever ends the second
-// attempt, the caller is not told that its call has not run: the work of the first would be done
-// again, or lost where the caller believes the word.
+// TestNoNotExecutedStatusAfterLostAnswer covers a target that executes a call and whose answer is
+// lost; the second target then rejects the call, asks to wait, drains or answers 503. Whatever ends
+// the second attempt, the caller must not be told that its call was not executed: the caller would
+// repeat the work of the first attempt, or count it as not done.
 func TestNoNotExecutedStatusAfterLostAnswer(t *testing.T) {
 	lost := map[string]func(http.ResponseWriter, *http.Request, standin.Call){
-		"cut":       standin.CloseConnection,
+		"closed":    standin.CloseConnection,
 		"truncated": standin.Truncate,
 		"unsigned":  standin.AnswerUnsigned,
 	}
 	then := map[string]func(http.ResponseWriter, *http.Request, standin.Call){
-		"wants rest":       withHeader(retryAfterHeader, "5", standin.Reject),
-		"leaves":           withHeader(drainingHeader, "1", standin.Reject),
-		"503 without word": standin.Answer(503, "no"),
+		"asks to wait":       withHeader(retryAfterHeader, "5", standin.Reject),
+		"drains":             withHeader(drainingHeader, "1", standin.Reject),
+		"503 without notice": standin.Answer(503, "no"),
 	}
 	try := func(name string, run, refuse func(http.ResponseWriter, *http.Request, standin.Call)) {
 		t.Run(name, func(t *testing.T) {
@@ -39,30 +39,30 @@
 			a := f.newRequest(safePath)
 			got := f.do(a)
 			if got.Err == nil && meansNotExecuted(got.Status) {
-				t.Errorf("the caller is told %d after %d sends", got.Status, len(f.callsWithID(a.ID)))
+				t.Errorf("call that was executed = %d after %d sends, want a status that does not deny the execution", got.Status, len(f.callsWithID(a.ID)))
 			}
 			if len(f.callsWithID(a.ID)) < 1 {
-				t.Error("no target got the call")
+				t.Error("targets got 0 calls, want 1 at least")
 			}
 		})
 	}
 	for first, run := range lost {
-		try(first+", turned away", run, standin.Reject)
+		try(first+", rejected", run, standin.Reject)
 	}
 	for second, refuse := range then {
-		try("cut, "+second, standin.CloseConnection, refuse)
+		try("closed, "+second, standin.CloseConnection, refuse)
 	}
 }
 
-// TestNotExecutedStatusWhenAllTargetsReject: where every target turned the call away the caller is told so, and when
-// to come back.
+// TestNotExecutedStatusWhenAllTargetsReject checks that if all targets reject a call, its caller gets
+// a status that tells that it was not executed, with Retry-After.
 func TestNotExecutedStatusWhenAllTargetsReject(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	f.scriptAll(standin.Reject)
 	for _, path := range []string{safePath, unsafePath} {
 		got := f.do(f.newRequest(path))
 		if got.Err != nil || !meansNotExecuted(got.Status) || got.RetryAfter() == "" {
-			t.Errorf("%s: %+v", path, got)
+			t.Errorf("%s: call that all targets rejected = %+v, want a status for not executed with Retry-After", path, got)
 		}
 	}
 }
--- a/node/onplatform/onplatform.go
+++ b/node/onplatform/onplatform.go
@@ -1,5 +1,7 @@
-// Package onplatform puts a daemon together that runs on the users' platform. Beside
-// the command it is the only package that knows the adapter.
+// Package onplatform builds a daemon that runs on the users' platform. It translates the platform's
+// settings file (package platform) into the daemon's own configuration, connects the daemon to the
+// platform's store, and reloads the file while the daemon runs. The command doorstackd uses it when
+// it is started with --platform; the rest of the daemon does not depend on package platform.
 package onplatform
 
 import (
@@ -19,22 +21,23 @@
 	"github.com/go-faster/errors"
 )
 
-// Load reads the settings file that the environment names.
+// Load reads the settings file whose path is in the environment variable platform.BootVariable. It
+// returns an error if the variable is not set or the file is not valid.
 func Load() (*platform.Boot, error) {
 	path := os.Getenv(platform.BootVariable)
 	if path == "" {
-		return nil, errors.New("--platform needs the environment variable " + platform.BootVariable)
+		return nil, errors.New("--platform requires the environment variable " + platform.BootVariable)
 	}
 	return platform.LoadBoot(path)
 }
 
-// reloadInterval is how often the settings file is looked at: it may change without any
-// signal, and nothing in it is urgent.
+// reloadInterval is how often Reload reads the settings file: the file may change without a signal,
+// and nothing in it is urgent.
 const reloadInterval = 2 * time.Second
 
-// Reload takes over what changes in the settings file while the daemon runs, at each
-// signal and every few seconds, until ctx ends. A file that cannot be read changes
-// nothing.
+// Reload applies changes of the settings file to the running daemon, at each signal and every
+// reloadInterval, until ctx ends. If the file cannot be read or parsed, the daemon keeps its current
+// settings.
 func Reload(ctx context.Context, d *daemon.Daemon, boot *platform.Boot, signals <-chan os.Signal, log *slog.Logger) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
@@ -64,36 +67,38 @@
 	}
 }
 
-// applyChanges puts changed settings in force.
+// applyChanges applies the settings that can change while the daemon runs, and logs whether others
+// changed that need a restart.
 func applyChanges(d *daemon.Daemon, old, next *platform.Boot, log *slog.Logger) {
 	d.UpdatePlatformSettings(next.Seeds, repeatLimitOf(next), next.Bounds.ShutdownGrace)
 	restart := next.CallerAddress != old.CallerAddress || next.ReadyAddress != old.ReadyAddress || next.PeerAddress != old.PeerAddress || next.Name != old.Name || next.StoreAddress != old.StoreAddress
 	log.Info("reload", "outcome", "adopted", "seeds", next.Seeds, "needs_restart", restart)
 }
 
+// repeatLimitOf returns the operators' limit on repeated sends.
 func repeatLimitOf(boot *platform.Boot) admission.RepeatLimit {
 	return admission.RepeatLimit{Share: boot.Bounds.RepeatShare, Slack: boot.Bounds.RepeatSlack, Window: boot.Bounds.RepeatWindow}
 }
 
-// New provisions a daemon from what the platform gives. An empty port for operators
-// and metrics means the default one.
+// New creates a daemon from the platform's settings file. metricsPort is the port for operators and
+// metrics; if it is empty, the default port is used.
 func New(boot *platform.Boot, metricsPort string, log *slog.Logger) (*daemon.Daemon, error) {
 	file := configFileOf(boot, metricsPort)
 	return daemon.NewWithAdapter(&file, newAdapter(boot, log), log)
 }
 
-// The memory that a daemon may use on the platform's small hosts, where memory is
-// paid for: bodies are at most 4 MB and a few at a time.
+// The memory and workers of a daemon on the platform's small hosts, where memory is paid for: bodies
+// are at most 4 MB, and few of them are in memory at a time.
 const (
 	bodyMemoryMB    = 64
 	explainMemoryMB = 2
 	workers         = 2
 )
 
-// defaultMetricsPort serves operators where the command line names no port.
+// defaultMetricsPort is the port for operators and metrics if the command line names none.
 const defaultMetricsPort = "9464"
 
-// configFileOf makes the daemon's own file from what the platform gives.
+// configFileOf returns the daemon's own configuration with the values of the platform's settings file.
 func configFileOf(boot *platform.Boot, metricsPort string) config.File {
 	if metricsPort == "" {
 		metricsPort = defaultMetricsPort
@@ -103,17 +108,18 @@
 	file.Listen, file.Peer = boot.CallerAddress, boot.PeerAddress
 	file.Admin = net.JoinHostPort(boot.IP, metricsPort)
 	file.BodyMemoryMB, file.ExplainMemoryMB, file.Workers = bodyMemoryMB, explainMemoryMB, workers
-	// The platform gives no secret. The key keeps daemons of another fleet out that
-	// dial a stale seed by mistake; it is no protection against an attacker.
+	// The platform provides no secret. This key keeps out daemons of another fleet that dial an
+	// out-of-date seed by mistake; it does not protect against an attacker.
 	file.PeerKeys = []string{"fleet of the store at " + boot.StoreAddress}
 	return file
 }
 
+// newAdapter returns the adapter that connects the daemon to the platform.
 func newAdapter(boot *platform.Boot, log *slog.Logger) *daemon.Adapter {
-	foreign := &invalidEntryLog{log: log}
+	invalidEntries := &invalidEntryLog{log: log}
 	parser := platform.NewParser()
 	parser.Yield = runtime.Gosched
-	feed := platform.NewFeed(platform.NewStore(boot.StoreAddress), boot.Regions, foreign.warn)
+	feed := platform.NewFeed(platform.NewStore(boot.StoreAddress), boot.Regions, invalidEntries.warn)
 	return &daemon.Adapter{
 		Settings: feed, Targets: feed, Parse: parser.Parse, Dialect: platform.Headers{},
 		ReadyAddress: boot.ReadyAddress, Seeds: boot.Seeds, ShutdownGrace: boot.Bounds.ShutdownGrace,
@@ -121,26 +127,27 @@
 	}
 }
 
-// invalidEntryLogInterval is the least time between two lines about entries of other writers, which may
-// come many at a time and again and again.
+// invalidEntryLogInterval is the minimum time between two log lines about invalid store entries: other
+// programs also write to the store, and many such entries may come at once and repeatedly.
 const invalidEntryLogInterval = time.Second
 
-// invalidEntryLog tells of entries in the store that name no target to use.
+// invalidEntryLog logs store entries that do not describe a usable target, with a rate limit.
 type invalidEntryLog struct {
 	log *slog.Logger
 
 	mu         sync.Mutex
 	lastLogged time.Time
-	suppressed int
+	suppressed int // entries since lastLogged that were not logged
 }
 
-func (f *invalidEntryLog) warn(err error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if time.Since(f.lastLogged) < invalidEntryLogInterval {
-		f.suppressed++
+// warn logs err, the reason why an entry was ignored, or counts it if the last line is too recent.
+func (l *invalidEntryLog) warn(err error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if time.Since(l.lastLogged) < invalidEntryLogInterval {
+		l.suppressed++
 		return
 	}
-	f.log.Warn("an entry of the store names no target", "error", err.Error(), "left_out", f.suppressed)
-	f.lastLogged, f.suppressed = time.Now(), 0
+	l.log.Warn("ignored a store entry that does not describe a usable target", "error", err.Error(), "left_out", l.suppressed)
+	l.lastLogged, l.suppressed = time.Now(), 0
 }
--- a/node/onplatform/verdicts_test.go
+++ b/node/onplatform/quarantine_propagation_test.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	// crashingCalls is how many calls end targets at one time.
+	// crashingCalls is the number of calls that crash targets at the same time.
 	crashingCalls = 10
-	// crashInterval is the time between two ends under one call: it waits in a target's queue.
+	// crashInterval is the time between two crashes under one call, which it waits in a target's queue.
 	crashInterval = 300 * time.Millisecond
-	// soundCallsPerCrash is how many sound calls lose each target that ends.
+	// soundCallsPerCrash is the number of sound calls in progress at each target that crashes.
 	soundCallsPerCrash = 15
 )
 
-// crashAt plays at a daemon what it does when a target ends under a call.
+// reportCrash does what a daemon does when a target crashes under a call.
 func (d *simDaemon) reportCrash(c poison.Crash) {
-	found := d.board.Poison.RecordCrash(c, time.Now())
+	result := d.board.Poison.RecordCrash(c, time.Now())
 	d.cluster.NotifyCrash(c)
-	if found.Quarantined {
-		d.cluster.BroadcastVerdict(found.Verdict)
+	if result.Quarantined {
+		d.cluster.BroadcastVerdict(result.Verdict)
 	}
 }
 
-// TestQuarantineReachesWholeFleetInTime: ten calls end targets at once, each comes to another
-// daemon after each end, and sound calls stand beside them. All daemons know the ten within the
-// time that the users give, and none of the sound ones is held. FLEETS names other sizes of
-// fleet than those that every run plays.
+// TestQuarantineReachesWholeFleetInTime covers ten calls that crash targets at the same time, each
+// sent to another daemon after each crash, while sound calls are in progress at the same targets. All
+// daemons quarantine the ten calls within quarantineTimeLimit, and none of the sound ones. The
+// environment variable FLEETS overrides the sizes of the fleets.
 func TestQuarantineReachesWholeFleetInTime(t *testing.T) {
 	for _, field := range strings.Fields(cmp.Or(os.Getenv("FLEETS"), "6 59")) {
 		size, err := strconv.Atoi(field)
@@ -49,12 +49,13 @@
 	}
 }
 
+// runCrashingCalls runs the test with a fleet of a given size.
 func runCrashingCalls(t *testing.T, size int) {
 	strong := max(1, size/10)
 	f := startSimFleet(t, strong, size-strong, restartPeriod)
 	defer f.close()
 	f.deliverStoreContent(func(int) bool { return true })
-	f.waitAll("all others", func(d *simDaemon) bool {
+	f.waitAll("all members", func(d *simDaemon) bool {
 		known := 0
 		d.board.Members.WithLock(func(members *membership.Table) { known = members.AliveCount() })
 		return known == size
@@ -77,7 +78,7 @@
 			passTime(crashInterval)
 		}
 	}
-	took := f.waitAll("ten calls", func(d *simDaemon) bool {
+	took := f.waitAll("the quarantine of all ten calls", func(d *simDaemon) bool {
 		for _, k := range bad {
 			if !d.board.Poison.Check(k, time.Now()).Quarantined {
 				return false
@@ -86,7 +87,7 @@
 		return true
 	})
 	if took > quarantineTimeLimit {
-		t.Errorf("all daemons know the calls %v after the third end, want %v at most", took, quarantineTimeLimit)
+		t.Errorf("all daemons quarantined the calls %v after the third crash, want %v at most", took, quarantineTimeLimit)
 	}
 	most, frames := 0, int64(0)
 	for _, d := range f.daemons {
@@ -94,7 +95,7 @@
 		most = max(most, others)
 		for _, k := range sound {
 			if d.board.Poison.Check(k, time.Now()).Quarantined {
-				t.Fatalf("a sound call is held at %s", d.name)
+				t.Fatalf("%s quarantined a sound call, want only the crashing ones quarantined", d.name)
 			}
 		}
 		for _, kind := range d.traffic(t) {
@@ -103,6 +104,6 @@
 			}
 		}
 	}
-	t.Logf("known everywhere after %v; %d frames a daemon for 30 ends under %d calls; %d sound calls remembered at most",
+	t.Logf("quarantined everywhere after %v; %d frames a daemon for 30 crashes under %d calls; %d sound calls recorded at most",
 		took, frames/int64(size), len(bad)+len(sound), most)
 }
--- a/node/onplatform/ready_test.go
+++ b/node/onplatform/ready_test.go
@@ -11,12 +11,12 @@
 	"doorstack.dev/platform/standin"
 )
 
-// acceptTimeout is how soon a daemon that says it is ready has to take a new connection.
+// acceptTimeout is the time within which a ready daemon must answer a call on a new connection.
 const acceptTimeout = 4 * time.Second
 
-// TestReadyDaemonAcceptsNewConnections: while it says that it is ready a daemon takes and answers new
-// connections, though all its targets are mute under a hundred calls, and a hundred callers have
-// opened a connection and sent half a request.
+// TestReadyDaemonAcceptsNewConnections checks that a ready daemon accepts new connections and answers
+// calls on them, although a hundred calls wait for targets that do not answer, and a hundred callers
+// have sent half a request on their connections.
 func TestReadyDaemonAcceptsNewConnections(t *testing.T) {
 	const busy, stalled, fresh = 100, 100, 20
 	f := newFleet(t, 1, 2)
@@ -45,23 +45,24 @@
 		}
 	}
 	if !f.ready(d) {
-		t.Fatal("the daemon is not ready")
+		t.Fatal("daemon under load: ready = false, want true")
 	}
 	for range fresh {
 		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: acceptTimeout}
 		a := f.newRequest("/nothing/")
 		got := a.Do(t.Context(), client)
 		if got.Err != nil || got.Status != http.StatusNotFound {
-			t.Errorf("a new connection: status %d, %v", got.Status, got.Err)
+			t.Errorf("call of an unknown path on a new connection = status %d, error %v, want 404", got.Status, got.Err)
 		}
 	}
 	close(release)
 	callers.Wait()
 }
 
-// TestCallsAvoidDeadAndSilentTargets: of a plain service's three targets one is dead and one takes calls and
-// says nothing. Every call that may be repeated is answered by the third; one that may not runs once
-// at most, and its caller is never told that it has not run where it reached the mute one.
+// TestCallsAvoidDeadAndSilentTargets covers a service with three targets, of which one is down and one
+// accepts calls but never answers. Each repeatable call is answered by the third one. A call that must
+// not be repeated reaches at most one target, and if it reached one, its caller is not told that it
+// was not executed.
 func TestCallsAvoidDeadAndSilentTargets(t *testing.T) {
 	const calls = 12
 	f := newFleet(t, 2, 3)
@@ -69,7 +70,7 @@
 	f.targets["t2"].Script(func(_ http.ResponseWriter, r *http.Request, _ standin.Call) { <-r.Context().Done() })
 	for i := range calls {
 		if got := f.do(f.newRequestTo(f.daemons[i%2], safePath, soundBody)); got.Err != nil || got.Status != http.StatusOK {
-			t.Errorf("a call that may be repeated: status %d, %v", got.Status, got.Err)
+			t.Errorf("repeatable call = status %d, error %v, want 200", got.Status, got.Err)
 		}
 	}
 	for i := range calls {
@@ -78,10 +79,10 @@
 		got := f.do(a)
 		runs := f.callsWithID(a.ID)
 		if len(runs) > 1 {
-			t.Errorf("a call that may not be repeated reached %d targets", len(runs))
+			t.Errorf("call that must not be repeated reached targets %d times, want once at most", len(runs))
 		}
 		if len(runs) == 1 && got.Err == nil && meansNotExecuted(got.Status) {
-			t.Errorf("it reached a target, and its caller was told %d", got.Status)
+			t.Errorf("call that reached a target = %d, want a status that does not deny the execution", got.Status)
 		}
 	}
 }
--- a/node/onplatform/findings_test.go
+++ b/node/onplatform/regressions_test.go
@@ -17,40 +17,41 @@
 	"doorstack.dev/platform/standin"
 )
 
-// TestStalePlacementIsCheckedAgainstOwnState: a coordinator that lags behind placed calls on
-// a target that the asking daemon knew to leave, and the daemon followed.
+// TestStalePlacementIsCheckedAgainstOwnState checks that a daemon does not send calls to a target that
+// it knows to be draining, even if a coordinator that does not know it yet places them there.
 func TestStalePlacementIsCheckedAgainstOwnState(t *testing.T) {
 	for asker := range 2 { // One of the two coordinates the pool.
 		f := newFleet(t, 2, 2)
-		f.eventually("both daemons known", func() bool {
+		f.eventually("both daemons to know each other", func() bool {
 			for _, d := range f.daemons {
-				if living, _ := d.Board.Members.AliveNames(); len(living) != 2 {
+				if alive, _ := d.Board.Members.AliveNames(); len(alive) != 2 {
 					return false
 				}
 			}
 			return true
 		})
 		d := f.daemons[asker]
-		leaving := hostlist.Host{
+		draining := hostlist.Host{
 			ID: "t1", Role: hostlist.RoleTarget, Address: f.targets["t1"].Address(), Pool: plainService,
 			DataCentre: "z1", Region: "r1", State: hostlist.Leaving, Slots: 6, Revision: hostlist.NewPosition(1, 1000),
 		}
-		d.Board.MergeUpdate(hostlist.Update{AsOf: hostlist.NewPosition(1, 1000), Hosts: []hostlist.Host{leaving}}, time.Now())
+		d.Board.MergeUpdate(hostlist.Update{AsOf: hostlist.NewPosition(1, 1000), Hosts: []hostlist.Host{draining}}, time.Now())
 		for range 6 {
 			a := f.newRequest(safePath)
 			a.Daemon = d.boot.CallerAddress
 			if got := f.do(a); got.Status != 200 || f.callsWithID(a.ID)[0].TargetID() != "t2" {
-				t.Fatalf("%+v by %+v", got, f.callsWithID(a.ID))
+				t.Fatalf("call = %+v, calls at targets %+v, want 200 by t2", got, f.callsWithID(a.ID))
 			}
 		}
 	}
 }
 
-// TestChangeMissedByStalledWatchIsFound: the change that it missed is found by the next one.
+// TestChangeMissedByStalledWatchIsFound checks that a change that a stalled watch missed, and that the
+// store has dropped from its history, is found by the next watch.
 func TestChangeMissedByStalledWatchIsFound(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	d := f.daemons[0]
-	f.eventually("it watches", func() bool { return f.store.WaitingWatches() == 1 })
+	f.eventually("the daemon to watch the store", func() bool { return f.store.WaitingWatches() == 1 })
 	f.store.StallWatches(true)
 	f.store.PutConfig(testConfig(5))
 	f.store.DropHistory()
@@ -58,17 +59,17 @@
 	f.eventually("version 5", func() bool { return f.settingsRevision(d) == 5 })
 }
 
-// TestAnyDaemonFindsMissedChangeInTime: all watches are cut without a word, and one daemon is
-// cut off from the store while its peers reach it. Where that was the one daemon that
-// looked often, the change came 3.6 s late; it has to come within the 3 s in which the
-// store settles, whichever daemon it is, and half a second for a busy machine.
+// TestAnyDaemonFindsMissedChangeInTime covers a change that all watches miss, while one daemon cannot
+// reach the store but its peers can reach that daemon. If it was the only daemon that polled the store
+// often, the change came 3.6 s late. Whichever daemon is cut off, the change must come within the 3 s
+// in which the store settles, plus half a second for a busy machine.
 func TestAnyDaemonFindsMissedChangeInTime(t *testing.T) {
 	const within = 3500 * time.Millisecond
 	f := newFleet(t, 2, 1)
 	for i, cutOff := range f.daemons {
-		f.eventually("both watch", func() bool { return f.store.WaitingWatches() == len(f.daemons) })
+		f.eventually("both daemons to watch the store", func() bool { return f.store.WaitingWatches() == len(f.daemons) })
 		cutOff.storeEndpoint.Refuse(true)
-		f.eventually("one watches", func() bool { return f.store.WaitingWatches() == 1 })
+		f.eventually("only one daemon to watch the store", func() bool { return f.store.WaitingWatches() == 1 })
 		version := 5 + i
 		f.store.StallWatches(true)
 		f.store.PutConfig(testConfig(version))
@@ -76,17 +77,17 @@
 		f.store.StallWatches(false)
 		began := time.Now()
 		for _, d := range f.daemons {
-			f.eventually("the version", func() bool { return f.settingsRevision(d) == int64(version) })
+			f.eventually("the new version at both daemons", func() bool { return f.settingsRevision(d) == int64(version) })
 		}
 		if took := time.Since(began); took > within {
-			t.Errorf("%s cut off: the change is known after %v", cutOff.boot.Name, took)
+			t.Errorf("with %s cut off from the store, all daemons have the change after %v, want %v at most", cutOff.boot.Name, took, within)
 		}
 		cutOff.storeEndpoint.Refuse(false)
 	}
 }
 
-// TestSettingsFileReload: SIGHUP used to end the process. A file that
-// cannot be read changes nothing.
+// TestSettingsFileReload checks that at a signal the daemon applies a changed settings file, and keeps
+// its settings if the file is invalid. SIGHUP used to end the process.
 func TestSettingsFileReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boot.toml")
 	write := func(text string) {
@@ -134,14 +135,15 @@
 	}
 }
 
-// coordinatorOf finds who places the calls of the plain service, by the log.
+// findCoordinator returns the index of the daemon that places the calls of the plain service, which it
+// reads from the logs.
 func (f *fleet) findCoordinator() int {
 	f.t.Helper()
 	for i, d := range f.daemons {
 		a := f.newRequest(safePath)
 		a.Daemon = d.boot.CallerAddress
 		if got := f.do(a); got.Status != 200 {
-			f.t.Fatalf("%+v", got)
+			f.t.Fatalf("call = %+v, want 200", got)
 		}
 		for line := range strings.Lines(d.log.String()) {
 			if !strings.Contains(line, a.ID) {
@@ -154,15 +156,16 @@
 			}
 		}
 	}
-	f.t.Fatal("no daemon placed a call for another one")
+	f.t.Fatal("logs name no daemon that placed a call of another daemon")
 	return 0
 }
 
+// awaitAllMembers waits until each daemon knows all others.
 func (f *fleet) awaitAllMembers() {
 	f.t.Helper()
-	f.eventually("all daemons known", func() bool {
+	f.eventually("all daemons to know each other", func() bool {
 		for _, d := range f.daemons {
-			if living, _ := d.Board.Members.AliveNames(); len(living) != len(f.daemons) {
+			if alive, _ := d.Board.Members.AliveNames(); len(alive) != len(f.daemons) {
 				return false
 			}
 		}
@@ -170,12 +173,13 @@
 	})
 }
 
-// TestNewCoordinatorLearnsOfFinishedCalls: it was told of the calls in progress, but their ends
-// were told to the one before, so their slots stayed taken until the callers' deadlines.
+// TestNewCoordinatorLearnsOfFinishedCalls checks that when the coordinator stops, the next one learns
+// of the calls in progress and also of their ends. The ends used to be reported to the old
+// coordinator, so that the slots stayed taken until the callers' deadlines.
 func TestNewCoordinatorLearnsOfFinishedCalls(t *testing.T) {
 	f := newFleet(t, 3, 1)
 	f.awaitAllMembers()
-	first := f.findCoordinator() // The same in every fleet of these names.
+	first := f.findCoordinator() // It is the same in every fleet with these daemon names.
 	for asker := range 3 {
 		if asker == first {
 			continue
@@ -194,19 +198,19 @@
 			}
 			standin.Succeed("ok")(w, r, c)
 		})
-		ask := func(body string) chan standin.CallerResponse {
+		send := func(body string) chan standin.CallerResponse {
 			a := f.newRequest(unsafePath)
 			a.Daemon, a.Body, a.DeadlineMS = f.daemons[asker].boot.CallerAddress, body, 0
 			answer := make(chan standin.CallerResponse, 1)
 			go func() { answer <- f.do(a) }()
 			return answer
 		}
-		long := ask("long")
+		long := send("long")
 		<-started
 		f.daemons[first].stop()
 		<-f.daemons[first].exited
-		second := ask("second")
-		f.eventually("the second call waits", func() bool {
+		second := send("second")
+		f.eventually("the second call to be queued", func() bool {
 			waiting := 0
 			for _, d := range f.daemons {
 				waiting += d.Board.Queues.Len(plainService)
@@ -217,24 +221,25 @@
 		close(release)
 		for _, answer := range []chan standin.CallerResponse{long, second} {
 			if got := <-answer; got.Status != 200 {
-				t.Fatalf("%+v", got)
+				t.Fatalf("call = %+v, want 200", got)
 			}
 		}
 		if took := time.Since(released); took > time.Second {
-			t.Errorf("the slot came free after %v", took)
+			t.Errorf("slot became free %v after the end of its call, want 1 s at most", took)
 		}
 	}
 }
 
-// TestCoordinatorLearnsEngineSlowdown: an engine that turns slow answers its calls all the same and is
-// in nobody's list. Its coordinator asks and learns of it, and of its recovery.
+// TestCoordinatorLearnsEngineSlowdown checks that the coordinator polls the engines and learns of a
+// slow one, and later of its recovery. A slow engine still answers its calls, and the store's list does
+// not show its slowdown.
 func TestCoordinatorLearnsEngineSlowdown(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	f.addTarget("slow", engineService, 16).SetSlowdown(4.5)
 	f.addTarget("sound", engineService, 16)
 	d := f.daemons[0]
 	f.waitReady(d)
-	pace := func(id string) float64 {
+	slowdown := func(id string) float64 {
 		for _, v := range d.Board.Targets.Views(engineService, time.Now()) {
 			if v.ID == id {
 				return v.Slowdown
@@ -242,10 +247,10 @@
 		}
 		return 0
 	}
-	f.eventually("the slow engine's pace", func() bool { return pace("slow") == 4.5 })
-	if got := pace("sound"); got != 1 {
-		t.Errorf("the sound engine's pace is %v", got)
+	f.eventually("the slow engine's slowdown", func() bool { return slowdown("slow") == 4.5 })
+	if got := slowdown("sound"); got != 1 {
+		t.Errorf("slowdown of the other engine = %v, want 1", got)
 	}
 	f.targets["slow"].SetSlowdown(1)
-	f.eventually("the slow engine's recovery", func() bool { return pace("slow") == 1 })
+	f.eventually("the slow engine's recovery", func() bool { return slowdown("slow") == 1 })
 }
--- a/node/onplatform/restored_store_test.go
+++ b/node/onplatform/restored_store_test.go
@@ -7,10 +7,11 @@
 	"doorstack.dev/core/routing"
 )
 
-// A store may come back from a copy some seconds old. What was written since is gone, its
-// revisions are given out again, and the operators and the targets write again, in time.
+// The tests in this file restore the store from a backup that is some seconds old: the writes since then
+// are lost, their revisions are assigned again, and the operators and targets write again after a while.
 
-// stateOf is what a daemon believes of a target's life; gone where it knows none of that id.
+// targetState returns the state of a target as a daemon knows it, and routing.Unavailable if the daemon does
+// not know the target.
 func (f *fleet) targetState(d *testDaemon, id string) routing.State {
 	for _, view := range d.Board.Targets.Views(plainService, time.Now()) {
 		if view.ID == id {
@@ -20,15 +21,17 @@
 	return routing.Unavailable
 }
 
+// awaitTargetState waits until all daemons know a target in a state.
 func (f *fleet) awaitTargetState(id string, want routing.State) {
 	f.t.Helper()
 	for _, d := range f.daemons {
-		f.eventually(id+" believed as it is at "+d.boot.Name, func() bool { return f.targetState(d, id) == want })
+		f.eventually(id+" in its new state at "+d.boot.Name, func() bool { return f.targetState(d, id) == want })
 	}
 }
 
-// TestSettingsAfterStoreRestore: a version that is published under a revision which
-// the lost one had is in force, and until then nothing goes back.
+// TestSettingsAfterStoreRestore checks that after the restore the daemons keep the newer version of
+// the configuration that they have, and adopt a later version although its revision in the store was
+// assigned before to the lost one.
 func TestSettingsAfterStoreRestore(t *testing.T) {
 	f := newFleet(t, 2, 1)
 	older := f.store.Backup()
@@ -38,9 +41,9 @@
 	}
 	f.store.Restore(older)
 	for _, d := range f.daemons {
-		f.eventually("it watches again", func() bool { return f.store.WaitingWatches() == len(f.daemons) })
+		f.eventually("the daemons to watch the store again", func() bool { return f.store.WaitingWatches() == len(f.daemons) })
 		if f.settingsRevision(d) != 5 {
-			t.Errorf("%s went back to version %d", d.boot.Name, f.settingsRevision(d))
+			t.Errorf("%s uses version %d after the restore, want 5", d.boot.Name, f.settingsRevision(d))
 		}
 	}
 	f.store.PutConfig(testConfig(6))
@@ -49,9 +52,9 @@
 	}
 }
 
-// TestTargetsAfterStoreRestore: what targets write after it counts, though the
-// revisions are lower than those that were known; what is known of a dead and of a leaving
-// target is not taken back by the copy.
+// TestTargetsAfterStoreRestore checks that entries that targets write after the restore apply,
+// although their revisions are lower than the known ones. The restored entries of a removed and of a
+// draining target do not replace what the daemons know.
 func TestTargetsAfterStoreRestore(t *testing.T) {
 	f := newFleet(t, 2, 4)
 	older := f.store.Backup()
@@ -64,13 +67,13 @@
 	f.awaitTargetState("t2", routing.Draining)
 	f.awaitTargetState("t3", routing.Unavailable)
 	for _, d := range f.daemons {
-		f.eventually("the newest of t4", func() bool { return f.targetSlots(d, "t4") == 5 })
+		f.eventually("the newest entry of t4", func() bool { return f.targetSlots(d, "t4") == 5 })
 	}
-	late := f.addDaemon(2) // It reads the whole list at a revision that is given out again.
-	f.eventually("the late daemon serves", func() bool { return f.ready(late) && f.targetSlots(late, "t4") == 5 })
+	late := f.addDaemon(2) // It reads the whole list at a revision that is assigned again later.
+	f.eventually("the late daemon to be ready with the newest entry of t4", func() bool { return f.ready(late) && f.targetSlots(late, "t4") == 5 })
 	f.store.Restore(older)
 	for _, d := range f.daemons {
-		f.eventually("the copy is read", func() bool { return d.Board.Directory.Revision().Era() == 2 })
+		f.eventually("the restored store to be read", func() bool { return d.Board.Directory.Revision().Era() == 2 })
 	}
 	fresh := f.addTarget("t5", plainService, 6)
 	f.store.PutTarget(f.targets["t4"], plainService, "draining", 6)
@@ -78,18 +81,18 @@
 	f.awaitTargetState("t4", routing.Draining)
 	for _, d := range f.daemons {
 		if got := f.targetState(d, "t2"); got == routing.Live {
-			t.Errorf("%s sends to a target again that leaves", d.boot.Name)
+			t.Errorf("%s has the draining target t2 in state %v, want any other", d.boot.Name, got)
 		}
 		if got := f.targetState(d, "t3"); got != routing.Unavailable {
-			t.Errorf("%s sends to a target again that is dead", d.boot.Name)
+			t.Errorf("%s has the removed target t3 in state %v, want %v", d.boot.Name, got, routing.Unavailable)
 		}
 	}
 	f.store.RemoveTarget(fresh)
 	f.awaitTargetState("t5", routing.Unavailable)
 }
 
-// TestLiveTargetInRestoredStoreIsUsedAgain: its removal was lost with what came after the copy, and
-// its process never ended. It is used again once the store has settled.
+// TestLiveTargetInRestoredStoreIsUsedAgain checks that if the removal of a target was lost with the
+// restore and its process never stopped, the target is used again once the store has settled.
 func TestLiveTargetInRestoredStoreIsUsedAgain(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	older := f.store.Backup()
@@ -99,25 +102,26 @@
 	f.awaitTargetState("t1", routing.Live)
 }
 
-// TestDaemonCutOffDuringStoreRestore: it was cut off, and when it sees the store again, that
-// has given out more revisions than it had when the daemon last read.
+// TestDaemonCutOffDuringStoreRestore covers a daemon that is cut off from the store during the
+// restore. When it reaches the store again, the store has already assigned more revisions than it had
+// at the daemon's last read.
 func TestDaemonCutOffDuringStoreRestore(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	d := f.daemons[0]
 	older := f.store.Backup()
 	f.store.PutTarget(f.targets["t1"], plainService, "ready", 5)
-	f.eventually("the newest of t1", func() bool { return f.targetSlots(d, "t1") == 5 })
+	f.eventually("the newest entry of t1", func() bool { return f.targetSlots(d, "t1") == 5 })
 	d.storeEndpoint.Refuse(true)
 	f.store.Restore(older)
-	f.store.PutTarget(f.targets["t2"], plainService, "draining", 6) // It has the revision that t1's entry had.
+	f.store.PutTarget(f.targets["t2"], plainService, "draining", 6) // This entry gets the revision that t1's lost entry had.
 	f.store.PutTarget(f.targets["t1"], plainService, "ready", 4)
 	d.storeEndpoint.Refuse(false)
-	f.eventually("the newest of t1", func() bool { return f.targetSlots(d, "t1") == 4 })
+	f.eventually("the newest entry of t1", func() bool { return f.targetSlots(d, "t1") == 4 })
 	f.awaitTargetState("t2", routing.Draining)
 }
 
-// TestNewDaemonAfterStoreRestoreTrustsPeers: its peers know what the copy does not, and it serves
-// nothing older than they do.
+// TestNewDaemonAfterStoreRestoreTrustsPeers checks that a daemon that starts after the restore takes
+// newer state from its peers and serves with nothing older.
 func TestNewDaemonAfterStoreRestoreTrustsPeers(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	f.awaitMembership()
@@ -130,13 +134,13 @@
 	}
 	f.store.Restore(older)
 	fresh := f.addDaemon(2)
-	f.eventually("it serves", func() bool { return f.ready(fresh) })
+	f.eventually("the new daemon to be ready", func() bool { return f.ready(fresh) })
 	if got := f.settingsRevision(fresh); got != 5 {
-		t.Errorf("it serves with version %d", got)
+		t.Errorf("new daemon serves with version %d, want 5", got)
 	}
 	if got := f.targetState(fresh, "t2"); got != routing.Draining {
-		t.Errorf("it believes the target that leaves to be in state %v", got)
+		t.Errorf("new daemon has the draining target t2 in state %v, want %v", got, routing.Draining)
 	}
 	f.store.PutTarget(f.targets["t1"], plainService, "ready", 3)
-	f.eventually("the newest of t1", func() bool { return f.targetSlots(fresh, "t1") == 3 })
+	f.eventually("the newest entry of t1", func() bool { return f.targetSlots(fresh, "t1") == 3 })
 }
--- a/node/onplatform/leaving_in_time_test.go
+++ b/node/onplatform/shutdown_grace_test.go
@@ -9,10 +9,11 @@
 	"doorstack.dev/platform/standin"
 )
 
-// TestDrainEndsWithinShutdownGrace: by itself, though a target still works on a call; its caller
-// gets no answer that looks whole.
+// TestDrainEndsWithinShutdownGrace checks that a draining daemon exits by itself within the shutdown
+// grace period, although a target still executes a call. The caller of that call gets neither a
+// success nor the status of a call that was not executed.
 func TestDrainEndsWithinShutdownGrace(t *testing.T) {
-	const grace = 4 * time.Second // The steps of leaving take 3 s.
+	const grace = 4 * time.Second // The steps of the shutdown take 3 s.
 	f := newFleet(t, 1, 1)
 	d := f.daemons[0]
 	d.UpdatePlatformSettings(d.boot.Seeds, repeatLimitOf(d.boot), grace)
@@ -34,9 +35,9 @@
 	d.Drain()
 	<-d.exited
 	if took := time.Since(began); took > grace {
-		t.Errorf("it ended after %v, and is killed after %v", took, grace)
+		t.Errorf("daemon exited %v after Drain, want %v at most", took, grace)
 	}
 	if got := <-answers; got.Status == http.StatusOK || got.Status == http.StatusServiceUnavailable {
-		t.Errorf("%+v", got)
+		t.Errorf("call in progress = %+v, want neither 200 nor 503", got)
 	}
 }
--- a/node/onplatform/targets_words_test.go
+++ b/node/onplatform/target_notices_test.go
@@ -9,15 +9,14 @@
 	"doorstack.dev/platform/standin"
 )
 
-// What callers and targets saw: a target that leaves said so in an answer, the store was away
-// and could not tell, and the daemon that had passed the answer on sent calls to it 2.3 s later.
-// On another day a target turned a call away and asked the daemon for three seconds of rest; four
-// more calls came in them. Cause: both words stand in headers of answers that nothing read; a
-// target that turns a call away was avoided for a tenth of a second, whatever it asked for.
-// Evidence: no line about the leaving target until the store's word, 11 s later, and "the target
-// turned the call away" again and again within the time of rest.
+// The tests in this file guard against ignored notices in targets' answers. A target announced in an answer
+// that it was draining while the store was down, and the daemon that had relayed the answer sent it calls
+// 2.3 s later. Another target rejected a call and asked the daemon to wait for three seconds; four more
+// calls came within them. No code read the two headers: a target that rejected a call was avoided for a
+// tenth of a second, whatever it asked for. The log had no line about the draining target until the store
+// listed it as draining, 11 s later.
 
-// withHeader lets a target add a header to every answer.
+// withHeader returns a script that adds a header to the answers of another script.
 func withHeader(name, value string, answer func(http.ResponseWriter, *http.Request, standin.Call)) func(http.ResponseWriter, *http.Request, standin.Call) {
 	return func(w http.ResponseWriter, r *http.Request, c standin.Call) {
 		w.Header().Set(name, value)
@@ -25,37 +24,40 @@
 	}
 }
 
+// The headers of a target's notices: drainingHeader announces that it is draining, retryAfterHeader asks the
+// daemon to send no calls for a number of seconds.
 const (
 	drainingHeader   = "Server-Leaving"
 	retryAfterHeader = "Retry-After"
 )
 
-// callsAt counts the calls that reached a target.
+// callCount returns the number of calls that reached a target.
 func (f *fleet) callCount(id string) int { return len(f.targets[id].Calls()) }
 
-// until sends calls by a daemon until one of them has reached a target.
+// callUntilReached sends calls through a daemon until one of them reaches a target.
 func (f *fleet) callUntilReached(d *testDaemon, path, id string) {
 	f.t.Helper()
 	before := f.callCount(id)
-	f.eventually("a call at "+id, func() bool {
+	f.eventually("a call to reach "+id, func() bool {
 		f.do(f.newRequestTo(d, path, soundBody))
 		return f.callCount(id) > before
 	})
 }
 
-// TestTargetThatAnnouncesDrainingGetsNoMoreCalls: whichever daemon coordinates the pool, and
-// though the store goes on listing the target as ready.
+// TestTargetThatAnnouncesDrainingGetsNoMoreCalls checks that a target that announces that it is
+// draining gets no more calls from the daemon that got the answer, whichever daemon coordinates the
+// pool, and although the store still lists the target as ready.
 func TestTargetThatAnnouncesDrainingGetsNoMoreCalls(t *testing.T) {
 	answers := map[string]func(http.ResponseWriter, *http.Request, standin.Call){
-		"an answer":      standin.Succeed("ok"),
-		"its own error":  standin.Answer(500, "no"),
-		"turned away":    standin.Reject,
-		"a whole stream": standin.AnswerStream(1, 3, false),
+		"success":   standin.Succeed("ok"),
+		"error":     standin.Answer(500, "no"),
+		"rejection": standin.Reject,
+		"stream":    standin.AnswerStream(1, 3, false),
 	}
 	for name, answer := range answers {
 		t.Run(name, func(t *testing.T) {
 			path := safePath
-			if name == "a whole stream" {
+			if name == "stream" {
 				path = streamPath
 			}
 			for asker := range 2 { // One of the two coordinates the pool.
@@ -68,22 +70,23 @@
 				d := f.daemons[asker]
 				f.callUntilReached(d, path, "t1")
 				f.store.PutTarget(f.targets["t1"], plainService, "ready", 7)
-				f.eventually("the store's later word", func() bool { return f.targetSlots(d, "t1") == 7 })
+				f.eventually("the store's later entry", func() bool { return f.targetSlots(d, "t1") == 7 })
 				before := f.callCount("t1")
 				for range 20 {
 					if got := f.do(f.newRequestTo(d, path, soundBody)); got.Status != 200 {
-						t.Fatalf("%+v", got)
+						t.Fatalf("call = %+v, want 200", got)
 					}
 				}
 				if after := f.callCount("t1") - before; after > 0 {
-					t.Errorf("%d calls reached the target after it had said that it leaves", after)
+					t.Errorf("draining target got %d calls after its notice, want 0", after)
 				}
 			}
 		})
 	}
 }
 
-// slotsOf is how many calls a target takes at once, as a daemon believes.
+// targetSlots returns the number of concurrent calls of a target as a daemon knows it, and 0 for an unknown
+// target.
 func (f *fleet) targetSlots(d *testDaemon, id string) int {
 	for _, view := range d.Board.Targets.Views(plainService, time.Now()) {
 		if view.ID == id {
@@ -93,52 +96,54 @@
 	return 0
 }
 
-// TestRestartedTargetIsUsedAgain: a later process under its id does not leave.
+// TestRestartedTargetIsUsedAgain checks that the draining notice of a target does not apply to a later
+// process with the same id.
 func TestRestartedTargetIsUsedAgain(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	d, target := f.daemons[0], f.targets["t1"]
 	f.store.PutTargetWithStart(target, target.Address(), plainService, 7)
-	f.eventually("its start", func() bool { return f.targetSlots(d, "t1") == 7 })
+	f.eventually("the entry of the target's first process", func() bool { return f.targetSlots(d, "t1") == 7 })
 	target.Script(withHeader(drainingHeader, "1", standin.Succeed("ok")))
 	f.callUntilReached(d, safePath, "t1")
 	target.Script(standin.Succeed("ok"))
 	target.Restart(time.Now().Add(time.Second))
 	f.store.PutTargetWithStart(target, target.Address(), plainService, 6)
-	f.eventually("its second start", func() bool { return f.targetSlots(d, "t1") == 6 })
+	f.eventually("the entry of the target's second process", func() bool { return f.targetSlots(d, "t1") == 6 })
 	f.callUntilReached(d, safePath, "t1")
 }
 
-// TestTargetRetryAfterIsRespected: by the daemon that it asked, whichever coordinates.
+// TestTargetRetryAfterIsRespected checks that a daemon sends no calls to a target for as long as the
+// target asked it to wait, whichever daemon coordinates the pool.
 func TestTargetRetryAfterIsRespected(t *testing.T) {
-	const rest = 1500 * time.Millisecond
+	const wait = 1500 * time.Millisecond
 	for asker := range 2 {
 		f := newFleet(t, 2, 3)
 		f.awaitMembership()
 		d := f.daemons[asker]
-		f.targets["t1"].Script(withHeader(retryAfterHeader, strconv.FormatFloat(rest.Seconds(), 'f', 1, 64), standin.Reject))
+		f.targets["t1"].Script(withHeader(retryAfterHeader, strconv.FormatFloat(wait.Seconds(), 'f', 1, 64), standin.Reject))
 		f.callUntilReached(d, safePath, "t1")
 		began, before := time.Now(), f.callCount("t1")
 		f.targets["t1"].Script(standin.Succeed("ok"))
-		for time.Since(began) < rest/2 {
+		for time.Since(began) < wait/2 {
 			if got := f.do(f.newRequestTo(d, safePath, soundBody)); got.Status != 200 {
-				t.Fatalf("%+v", got)
+				t.Fatalf("call = %+v, want 200", got)
 			}
 		}
 		if after := f.callCount("t1") - before; after > 0 {
-			t.Errorf("%d calls reached the target in the time of rest", after)
+			t.Errorf("target got %d calls within its Retry-After time, want 0", after)
 		}
-		f.callUntilReached(d, safePath, "t1") // It is used again.
+		f.callUntilReached(d, safePath, "t1") // The target is used again.
 	}
 }
 
-// TestCallIsRefusedAtOnceWhenAllTargetsAskToWait: with the time at which the first of them may be
-// asked again.
+// TestCallIsRefusedAtOnceWhenAllTargetsAskToWait checks that if all targets asked to wait, a call is
+// refused at once, with the time until the first target may get calls again in Retry-After.
 func TestCallIsRefusedAtOnceWhenAllTargetsAskToWait(t *testing.T) {
-	const rest = 3 * time.Second
+	const wait = 3 * time.Second
 	f := newFleet(t, 1, 2)
 	f.scriptAll(withHeader(retryAfterHeader, "3", standin.Reject))
 	d := f.daemons[0]
-	f.eventually("both asked for rest", func() bool {
+	f.eventually("both targets to ask to wait", func() bool {
 		f.do(f.newRequestTo(d, safePath, soundBody))
 		return f.callCount("t1") > 0 && f.callCount("t2") > 0
 	})
@@ -146,10 +151,10 @@
 	got := f.do(f.newRequestTo(d, safePath, soundBody))
 	took := time.Since(began)
 	back, err := strconv.ParseFloat(got.RetryAfter(), 64)
-	if got.Status != 503 || err != nil || back < 0.5 || back > rest.Seconds() || took > 250*time.Millisecond {
-		t.Errorf("%d after %v, back after %q s", got.Status, took, got.RetryAfter())
+	if got.Status != 503 || err != nil || back < 0.5 || back > wait.Seconds() || took > 250*time.Millisecond {
+		t.Errorf("call = %d after %v with Retry-After %q, want 503 within 250 ms with 0.5 to %v s", got.Status, took, got.RetryAfter(), wait.Seconds())
 	}
 	if after := f.callCount("t1") + f.callCount("t2") - before; after > 0 {
-		t.Errorf("%d calls reached targets in the time of rest", after)
+		t.Errorf("targets got %d calls within their Retry-After time, want 0", after)
 	}
 }
