--- a/node/internal/processes/processes_test.go
+++ b/node/internal/processes/processes_test.go
@@ -1,5 +1,5 @@
-// Package processes tests the programs as separate processes, killed and stopped
-// by real signals.
+// Package processes tests the programs as separate operating system processes, which the test kills,
+// suspends and terminates with real signals.
 package processes
 
 import (
@@ -22,26 +22,29 @@
 	"golang.org/x/sys/unix"
 )
 
+// waitTimeout bounds a call and the wait for a metric.
 const waitTimeout = 60 * time.Second
 
+// testEnv has the built programs and the settings for a test.
 type testEnv struct {
 	t            *testing.T
 	dir          string
-	settingsFile string // the settings
+	settingsFile string // of the platform's stand-in
 }
 
-// daemonProcess is a doorstackd with the addresses of its file.
+// daemonProcess is a running doorstackd with the addresses from its configuration file.
 type daemonProcess struct {
 	cmd                 *exec.Cmd
 	name, listen, admin string
 	peer                string
 }
 
+// buildPrograms builds the programs into a temporary directory.
 func buildPrograms(t *testing.T) *testEnv {
 	t.Helper()
 	dir := t.TempDir()
 	if out, err := exec.Command("go", "build", "-o", dir+"/", "doorstack.dev/node/cmd/...").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("go build: %v: %s", err, out)
 	}
 	file, err := filepath.Abs("../../../examples/clara/settings.yaml")
 	if err != nil {
@@ -50,7 +53,8 @@
 	return &testEnv{t: t, dir: dir, settingsFile: file}
 }
 
-// run starts a program and returns once it has printed a line that contains text.
+// startProgram starts a program and returns it with the first line on its standard output that contains
+// text. It fails the test if the program ends before.
 func (w *testEnv) startProgram(text, program string, args ...string) (*exec.Cmd, string) {
 	w.t.Helper()
 	cmd := exec.Command(filepath.Join(w.dir, program), args...)
@@ -67,7 +71,7 @@
 	for {
 		line, err := lines.ReadString('\n')
 		if err != nil {
-			w.t.Fatalf("%s ended without %q", program, text)
+			w.t.Fatalf("%s ended before it printed %q", program, text)
 		}
 		if strings.Contains(line, text) {
 			go func() { _, _ = io.Copy(io.Discard, lines) }()
@@ -76,6 +80,7 @@
 	}
 }
 
+// startDaemon starts a daemon with a configuration file of its own and returns once it serves.
 func (w *testEnv) startDaemon(name, platform, peer string) *daemonProcess {
 	w.t.Helper()
 	d := &daemonProcess{name: name, listen: testaddr.Free(w.t), admin: testaddr.Free(w.t), peer: peer}
@@ -89,9 +94,9 @@
 	return d
 }
 
-// stop stops the process and returns once all of its threads are stopped. The signal
-// alone is not enough: on a busy host the process can still answer a call before the
-// thread that takes the signal runs, and a SIGCONT that comes first removes it.
+// suspend sends SIGSTOP to the process and returns once all of its threads are stopped. The signal alone
+// is not enough: on a busy host the process can still answer a call before the thread that takes the
+// signal runs, and a SIGCONT that comes before that cancels the SIGSTOP.
 func (d *daemonProcess) suspend(t *testing.T) {
 	t.Helper()
 	if err := d.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
@@ -108,8 +113,8 @@
 	}
 }
 
-// startStream asks for a long answer and returns once its first event has come; the
-// rest is read by rest.
+// startStream requests a streamed answer of some tokens and returns after its first event. The test reads
+// the other events with readRest.
 func startStream(t *testing.T, d *daemonProcess, tokens int) (resp *http.Response, lines *bufio.Scanner) {
 	t.Helper()
 	body := fmt.Sprintf(`{"model":"assistant","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"a long answer, please"}]}`, tokens)
@@ -127,31 +132,33 @@
 	t.Cleanup(func() { _ = resp.Body.Close() })
 	lines = bufio.NewScanner(resp.Body)
 	if !lines.Scan() || resp.StatusCode != http.StatusOK {
-		t.Fatalf("%s %s", resp.Status, lines.Text())
+		t.Fatalf("stream request = %s with first line %q, want 200 and an event", resp.Status, lines.Text())
 	}
 	return resp, lines
 }
 
-// readRest reads to the end and counts events; whole tells whether the end mark came.
-func readRest(lines *bufio.Scanner) (events int, whole bool) {
+// readRest reads a stream to its end. It returns the number of events and reports whether the stream was
+// complete, that is, ended with the end mark.
+func readRest(lines *bufio.Scanner) (events int, complete bool) {
 	for lines.Scan() {
 		switch {
 		case lines.Text() == "data: [DONE]":
-			whole = true
+			complete = true
 		case strings.HasPrefix(lines.Text(), "data: "):
 			events++
 		}
 	}
-	return events, whole
+	return events, complete
 }
 
+// runDoorstack runs the command doorstack and returns its output, also if the command fails.
 func (w *testEnv) runDoorstack(args ...string) string {
 	cmd := exec.Command(filepath.Join(w.dir, "doorstack"), args...)
 	out, _ := cmd.CombinedOutput()
 	return string(bytes.TrimSpace(out))
 }
 
-// metric reads a metric without labels.
+// metric returns the value of a metric without labels, and "0" if the daemon does not report it.
 func (w *testEnv) metric(d *daemonProcess, name string) string {
 	resp, err := http.Get("http://" + d.admin + "/metrics")
 	if err != nil {
@@ -166,8 +173,8 @@
 	return "0"
 }
 
-// reached reads a metric until it has the value. The daemon notices a pause at its next
-// tick, on a busy host after the first calls.
+// awaitMetric reads a metric until it has the value, and reports whether it did within waitTimeout. The
+// daemon detects a pause at its next tick, which on a busy host may come after the first calls.
 func (w *testEnv) awaitMetric(d *daemonProcess, name, value string) bool {
 	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); {
 		if w.metric(d, name) == value {
@@ -177,9 +184,9 @@
 	return false
 }
 
-// TestDaemonProcessesUnderSignals: a request end to end through processes of their own; a killed
-// daemon gives no answer that looks whole; a signalled one finishes its stream; a
-// stopped and continued one goes on.
+// TestDaemonProcessesUnderSignals checks that requests are served end to end by separate processes.
+// The stream of a killed daemon does not look complete, a suspended and continued daemon goes on
+// serving, and a terminated daemon completes its stream before it exits.
 func TestDaemonProcessesUnderSignals(t *testing.T) {
 	w := buildPrograms(t)
 	peers := []string{testaddr.Free(t), testaddr.Free(t)}
@@ -189,50 +196,50 @@
 	first := w.startDaemon("d1", platform, peers[0])
 	second := w.startDaemon("d2", platform, peers[1])
 
-	// Killed in the middle: no end mark.
+	// Killed in the middle of a stream: the stream has no end mark.
 	resp, lines := startStream(t, first, 2000)
 	id := resp.Header.Get("X-Request-Id")
 	if out := w.runDoorstack("explain", id, "--admin", second.admin, "--replay"); !strings.Contains(out, "chosen") {
-		t.Errorf("explain from the other host: %s", out)
+		t.Errorf("explain --replay at the other daemon = %q, want a chosen target", out)
 	}
 	if err := first.cmd.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	if _, whole := readRest(lines); whole {
-		t.Error("a killed daemon's stream ended as if it were whole")
+	if _, complete := readRest(lines); complete {
+		t.Error("stream of a killed daemon has the end mark, want none")
 	}
 	if out := w.runDoorstack("explain", id, "--admin", second.admin); !strings.Contains(out, "did not answer") {
-		t.Errorf("explain of a dead daemon's request: %s", out)
+		t.Errorf("explain of a killed daemon's request = %q, want \"did not answer\"", out)
 	}
 
-	// Stopped for longer than the pause detector allows, then continued.
+	// Suspended for longer than the pause detector allows, then continued.
 	second.suspend(t)
-	// A stopped process does not answer; finding that out takes longer than the
-	// gap that its pause detector allows.
-	impatient := &http.Client{Timeout: 1500 * time.Millisecond}
-	if answer, err := impatient.Get("http://" + second.admin + "/healthz"); err == nil {
+	// A suspended process does not answer. The timeout of this request is longer than the gap that the
+	// daemon's pause detector allows.
+	shortTimeout := &http.Client{Timeout: 1500 * time.Millisecond}
+	if answer, err := shortTimeout.Get("http://" + second.admin + "/healthz"); err == nil {
 		_ = answer.Body.Close()
-		t.Error("a stopped process answers")
+		t.Error("suspended daemon answered /healthz, want no answer")
 	}
 	if err := second.cmd.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
 	_, lines = startStream(t, second, 400)
 	if !w.awaitMetric(second, "doorstack_pauses_total", "1") {
-		t.Error("the pause was not noticed")
+		t.Error("doorstack_pauses_total did not become 1 after the pause")
 	}
 	if out := w.runDoorstack("status", "--admin", second.admin); !strings.Contains(out, "serving") || !strings.Contains(out, "this daemon") {
-		t.Errorf("status: %s", out)
+		t.Errorf("status = %q, want \"serving\" and \"this daemon\"", out)
 	}
 
-	// Signalled in the middle: the stream ends whole, then the process leaves.
+	// Terminated in the middle of a stream: the stream is completed, then the process exits.
 	if err := second.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if events, whole := readRest(lines); !whole || events != 400 {
-		t.Errorf("a drained daemon's stream: %d events, whole %v", events, whole)
+	if events, complete := readRest(lines); !complete || events != 400 {
+		t.Errorf("stream of a draining daemon: events = %d, complete = %v, want 400 and true", events, complete)
 	}
 	if err := second.cmd.Wait(); err != nil {
-		t.Errorf("it left with %v", err)
+		t.Errorf("daemon exited with %v, want exit code 0", err)
 	}
 }
