--- a/node/peer/large_answer_test.go
+++ b/node/peer/large_answer_test.go
@@ -21,8 +21,8 @@
 	idleTimeout        = 600 * time.Millisecond
 )
 
-// closeTimeout is longer than the handshake that closes a link can take, in virtual time.
-const closeTimeout = 20 * time.Second
+// closeWait is longer than the handshake that closes a link can take, in virtual time.
+const closeWait = 20 * time.Second
 
 // largeAnswerFixture is a daemon, the sender, that returns large answers over a slow link, and its
 // peers.
@@ -57,7 +57,7 @@
 		}
 		_ = server.Close()
 		serving.Wait()
-		<-time.After(closeTimeout)
+		<-time.After(closeWait)
 	}
 	return f
 }
--- a/node/peer/link.go
+++ b/node/peer/link.go
@@ -52,9 +52,9 @@
 const writeTimeout = 5 * time.Second
 
 var (
-	errClosed   = errors.New("the link to the peer is closed")
-	errSilent   = errors.New("received no data from the peer within the idle timeout")
-	errSlowPeer = errors.New("the peer does not read fast enough")
+	errClosed      = errors.New("the link to the peer is closed")
+	errIdleTimeout = errors.New("received no data from the peer within the idle timeout")
+	errSlowPeer    = errors.New("the peer does not read fast enough")
 )
 
 func newLink(h *Hub, peer string, conn *websocket.Conn) *link {
@@ -232,7 +232,7 @@
 	}
 	var idleCheck <-chan time.Time
 	if idleTimeout > 0 {
-		ticker := time.NewTicker(idleTimeout / silenceChecks)
+		ticker := time.NewTicker(idleTimeout / idleChecks)
 		defer ticker.Stop()
 		idleCheck = ticker.C
 	}
@@ -248,7 +248,7 @@
 		case now := <-idleCheck:
 			if now.Sub(started) >= idleTimeout && l.sinceLastRead(now) >= idleTimeout {
 				l.closeIfSilent(now)
-				return nil, errSilent
+				return nil, errIdleTimeout
 			}
 		case <-ctx.Done():
 			l.closeIfSilent(time.Now())
@@ -257,8 +257,8 @@
 	}
 }
 
-// silenceChecks is the number of checks for received data within an idle timeout.
-const silenceChecks = 8
+// idleChecks is the number of checks for received data within an idle timeout.
+const idleChecks = 8
 
 // sinceLastRead returns the time since data last arrived over the link, be it part of a message.
 func (l *link) sinceLastRead(now time.Time) time.Duration {
