--- a/node/controller/directory.go
+++ b/node/controller/directory.go
@@ -14,9 +14,10 @@
 
 // TargetSource reads the platform's store, which publishes an entry for each target.
 type TargetSource interface {
-	// Targets returns all entries, or the changes since the previous call. It waits up to
-	// wait for a change. The answer has to begin within timeout after that; a timeout of zero
-	// selects the source's default.
+	// Targets returns all entries, or the changes since the previous call. An answer with changes
+	// may be delayed by the duration wait, until there is a change; its timeout beyond wait is
+	// the source's own. An answer with all entries has to begin within timeout; zero selects the
+	// source's default.
 	Targets(ctx context.Context, wait, timeout time.Duration) (hostlist.Update, error)
 }
 
@@ -43,11 +44,12 @@
 
 const (
 	// storeBackoffInitial is the mean delay before a failed read of the store is retried, and
-	// storeBackoffMax the mean delay after repeated failures. Each call is charged, refused ones
-	// included, but a configuration has to be in force 2 s after the store accepts it.
+	// storeBackoffMax the mean delay after repeated failures. Long delays save calls, each of
+	// which is charged by the platform, refused ones included; but a configuration has to be in
+	// force 2 s after the store accepts it.
 	storeBackoffInitial = 200 * time.Millisecond
 	storeBackoffMax     = 800 * time.Millisecond
-	// outageHold is the hold time while the store is down.
+	// outageHold is how long the store may delay an answer while it counts as down.
 	outageHold = time.Millisecond
 	// coalesceDelay is the delay after a read that returned changes, so that changes in quick
 	// succession, as during a release, cost one call. It doubles up to maxCoalesceDelay while
@@ -72,7 +74,7 @@
 )
 
 // Run reads and watches the store until ctx ends. A daemon that does not watch reads the store
-// until it knows the hosts, and then once every fallbackReadInterval.
+// until it has the list of targets, and then once every fallbackReadInterval.
 func (c *Directory) Run(ctx context.Context) {
 	go c.confirmRemovals(ctx)
 	pause := storeBackoffInitial
@@ -99,8 +101,9 @@
 			continue
 		}
 		if !failed {
-			// A watch whose connection was dropped silently fails like this while the store is
-			// up. A delay of 0.1 to 0.3 s would postpone the changes that it missed by as much.
+			// The first failure is retried at once: the store may be up and the watch's connection
+			// dropped silently. A delay of 0.1 to 0.3 s would postpone the changes that the watch
+			// missed by as much.
 			failed = true
 			continue
 		}
@@ -162,10 +165,11 @@
 }
 
 // The bounds of the random time within which an answer to a daemon without settings has to begin.
-// A store that does not respond loses the calls made meanwhile. Hosts that started together with
-// the same timeout would all retry at the same moment, up to that timeout after the store's return;
-// with random timeouts one of them retries soon, and its answer serves all. A slow store usually
-// answers within 0.4 s, and the longer timeouts allow for a slower one.
+// A store that does not respond never answers the calls made meanwhile, so a daemon notices the
+// store's return only when its call has timed out and it calls again. Daemons that started together
+// with the same timeout would all call again at the same moment, which may be that timeout after
+// the return; with random timeouts one of them calls soon, and its answer serves all. A slow store
+// usually answers within 0.4 s, and the longer timeouts allow for a slower one.
 const (
 	minFirstAnswerTimeout = 400 * time.Millisecond
 	maxFirstAnswerTimeout = 2 * time.Second
@@ -180,8 +184,9 @@
 	return minFirstAnswerTimeout + rand.N(maxFirstAnswerTimeout-minFirstAnswerTimeout)
 }
 
-// recordEra logs and counts a store that was restored from a backup. The positions in the updates
-// decide which state of a target holds; settings never go back.
+// recordEra logs and counts a restore of the store from a backup. Nothing else has to be done: which
+// state of a target holds is decided by positions, which are ordered by era first, and settings
+// never go back to an older revision.
 func (c *Directory) recordEra(at hostlist.Position) {
 	if at.Era() > c.era && c.era > 0 {
 		c.Recorder.Metrics.StoreRestores.Inc()
@@ -232,8 +237,8 @@
 	}
 }
 
-// combinedLogMin is the number of targets in an update from which the live ones share a log line,
-// since the first read of each daemon returns all targets.
+// combinedLogMin is the size of the smallest update whose live targets are logged together in one
+// line. The first read of each daemon returns all targets.
 const combinedLogMin = 8
 
 // logUpdate logs each target of an update, or all live ones in one line if the update is large.
@@ -252,7 +257,9 @@
 	}
 }
 
-// confirmRemovals puts removals in force whose confirmation time has passed, until ctx ends.
+// confirmRemovals applies delayed removals until ctx ends. A target whose entry disappeared just
+// after an outage of the store, or together with many others, is removed only if the entry does not
+// reappear for a while.
 func (c *Directory) confirmRemovals(ctx context.Context) {
 	for ctx.Err() == nil {
 		Sleep(ctx, removalCheckInterval)
--- a/node/controller/hostlist.go
+++ b/node/controller/hostlist.go
@@ -12,8 +12,7 @@
 
 // HostSource reads the host list that the platform publishes.
 type HostSource interface {
-	// Hosts returns the differences from revision since of the host list; zero reads the whole
-	// list.
+	// Hosts returns the changes of the host list after revision since; zero reads the whole list.
 	Hosts(ctx context.Context, since int64) (hostlist.List, error)
 }
 
@@ -66,8 +65,8 @@
 	}
 }
 
-// readChanges returns the list that the changes since before lead to, or the whole list if the
-// changes do not start from before.
+// readChanges reads the changes after the given list, and returns the list with them applied. If
+// they do not start from the given list, it reads the whole list.
 func (c *HostList) readChanges(ctx context.Context, before hostlist.List) (hostlist.List, error) {
 	change, err := c.Source.Hosts(ctx, before.Revision)
 	if err != nil {
--- a/node/controller/lag.go
+++ b/node/controller/lag.go
@@ -19,12 +19,12 @@
 }
 
 const (
-	// lagSampleInterval is the mean time between two samples. Telling a queue from a pause takes
-	// two samples, and two lie well within the shortest goal of a call (150 ms). Sampling costs a
-	// thousandth of a core.
+	// lagSampleInterval is the mean time between two samples. It takes two samples to distinguish
+	// a lasting queue of events from a single pause of the process, and two samples take less time
+	// than the shortest goal of any call (150 ms). Sampling costs a thousandth of a core.
 	lagSampleInterval = 50 * time.Millisecond
 	// minLoggedLag is the sustained delay above which a warning is logged: a third of the shortest
-	// goal for a first event.
+	// goal for the first event of a streamed answer (300 ms).
 	minLoggedLag = 100 * time.Millisecond
 	// lagLogInterval is the shortest time between two such warnings.
 	lagLogInterval = time.Second
--- a/node/controller/pause.go
+++ b/node/controller/pause.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// check invalidates the load reports and calls OnPause if the time since the last check, the sum of
-// awake by the monotonic clock and suspended, counts as a pause.
+// check invalidates the load reports and calls OnPause if the time since the last check counts as a
+// pause. That time is the sum of awake, by the monotonic clock, and suspended.
 func (c *PauseDetector) check(awake, suspended time.Duration, now time.Time) {
 	gap := awake + suspended
 	if gap < minPause {
--- a/node/controller/settings.go
+++ b/node/controller/settings.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// read reads the whole settings at first, and later the changes, which a daemon that watches waits
-// for.
+// read reads the whole settings if none are in force, and otherwise the changes. A daemon that
+// watches asks the service to delay the answer until there is a change.
 func (c *Settings) read(ctx context.Context) error {
 	since, wait := int64(0), time.Duration(0)
 	if view := c.Board.Settings.Current(); view != nil {
--- a/node/controller/slowdown.go
+++ b/node/controller/slowdown.go
@@ -18,9 +18,9 @@
 	"github.com/go-faster/errors"
 )
 
-// SlowdownPoller reads how fast the engines of the pools that this daemon coordinates work. An
-// engine that slows down takes several times as long for each request, and only its report shows
-// it.
+// SlowdownPoller polls the reports of engines for their slowdown, in the pools that this daemon
+// coordinates. An engine that slows down takes several times as long for each request, and only its
+// report shows this.
 type SlowdownPoller struct {
 	Board     *blackboard.Blackboard
 	Exchanger *target.Exchanger
@@ -40,7 +40,8 @@
 }
 
 const (
-	// slowdownInterval is the time between two rounds of a pool; each read is charged.
+	// slowdownInterval is the time between two rounds of a pool; the platform charges for each
+	// read.
 	slowdownInterval = 2500 * time.Millisecond
 	// coordinatorCheckInterval bounds the time until a daemon notices that it has become a pool's
 	// coordinator.
@@ -104,10 +105,10 @@
 	p.slowTargets = slow
 }
 
-// nextBatch chooses the targets to poll: all of a pool of maxSlowdownBatch or fewer. In a larger
-// pool the slow targets, up to half of the batch, are polled in each round, so that a target that
-// has recovered is not avoided for long, and the others in turn by id. nextBatch also returns the
-// number of rounds until each target has been polled.
+// nextBatch chooses the targets to poll in a round. A pool of at most maxSlowdownBatch targets is
+// polled whole. In a larger pool the slow targets, up to half of the batch, are polled in each round,
+// so that a target that has recovered is not avoided for long, and the others in turn by id.
+// nextBatch also returns the number of rounds until each target has been polled.
 func (p *poolPolling) nextBatch(live []blackboard.TargetAddress) (batch []blackboard.TargetAddress, rounds int) {
 	if len(live) <= maxSlowdownBatch {
 		return live, 1
@@ -150,7 +151,8 @@
 	return slow
 }
 
-// readReport requests a target's report, and records the notice that the answer carries.
+// readReport requests a target's report. It also records the notice in the headers of the answer,
+// in which the target says whether it is draining, wants no calls for a while or has a rate limit.
 func (c *SlowdownPoller) readReport(ctx context.Context, t blackboard.TargetAddress) (forward.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, slowdownTimeout)
 	defer cancel()
