--- a/node/peer/frame.go
+++ b/node/peer/frame.go
@@ -18,6 +18,34 @@
 
 // The kinds of messages. The numbers are part of the protocol; the number of a removed kind is
 // never reused.
+//
+//   - KindChallenge begins the handshake with the server's name and nonce.
+//   - KindHello answers the challenge with the client's name, nonce and proof.
+//   - KindWelcome ends the handshake with the server's proof.
+//   - KindHeartbeat checks that a peer is alive; request and answer carry the daemons' state.
+//   - KindRumor spreads changes in the state of members.
+//   - KindSettings is no longer sent.
+//   - KindClaim asks a witness to grant an idempotency key to an attempt.
+//   - KindGiveUp tells a witness to release a key whose attempt does not run.
+//   - KindConclude tells a witness the outcome of the attempt that holds a key.
+//   - KindOutcome asks the daemon that runs an attempt for its outcome.
+//   - KindRenew renews leases on shares of the limits of client accounts.
+//   - KindAcquire asks a witness for leases on targets.
+//   - KindExplain requests recorded decisions about a request.
+//   - KindHosts requests the host lists that a peer knows.
+//   - KindHoldings requests the leases on shares of client accounts that a daemon holds.
+//   - KindJoin introduces a new daemon and requests all members.
+//   - KindTargets is no longer sent.
+//   - KindPlace asks a pool's coordinator to place a call.
+//   - KindPlaced sends a placement that was found after KindPlace was answered.
+//   - KindProgress tells the coordinator that a placed call's prompt was read or the call ended.
+//   - KindSettingsChanges requests the changes of the settings after a revision.
+//   - KindDigests sends digests of the members, for which the peer sends those that differ.
+//   - KindCrash reports that a target crashed while it ran a request.
+//   - KindVerdicts starts or lifts quarantines of requests.
+//   - KindFacts requests the updates of targets after a position.
+//   - KindTrial asks for permission to try a quarantined request.
+//   - KindLimit reports a target's rate limit to the coordinator.
 const (
 	KindChallenge       Kind = 1
 	KindHello           Kind = 2
@@ -69,8 +97,9 @@
 }
 
 // encode returns a message as CBOR. Times keep their fractions of a second, which the library drops
-// by default: a key created 2.9 s after the start of a witness then seemed less than 2 s younger
-// than the witness, so the claim was refused. Daemons that write whole seconds read both forms.
+// by default. A daemon that witnesses idempotency keys grants only those created more than 2 s after
+// its own start. Without the fractions a key created 2.9 s after that start seemed too old, and the
+// claim was refused. Daemons that write whole seconds read both forms.
 func encode(message any) ([]byte, error) { return encodingMode.Marshal(message) }
 
 var encodingMode = func() cbor.EncMode {
@@ -119,7 +148,7 @@
 
 func newNonce() []byte {
 	nonce := make([]byte, nonceSize)
-	_, _ = rand.Read(nonce) // It never fails; see the package's documentation.
+	_, _ = rand.Read(nonce) // crypto/rand.Read never returns an error.
 	return nonce
 }
 
--- a/node/peer/handshake.go
+++ b/node/peer/handshake.go
@@ -84,7 +84,7 @@
 		return err
 	}
 	if f.Kind != kind {
-		return errors.New("want " + kind.String() + ", got " + f.Kind.String())
+		return errors.New("expected the message " + kind.String() + ", got " + f.Kind.String())
 	}
 	return cbor.Unmarshal(f.Body, into)
 }
--- a/node/peer/large_answer_test.go
+++ b/node/peer/large_answer_test.go
@@ -21,7 +21,8 @@
 	idleTimeout        = 600 * time.Millisecond
 )
 
-// closeWait is longer than the handshake that closes a link can take, in virtual time.
+// closeWait is how long the fixture waits, in virtual time, until its links are closed. The closing
+// handshake of a link takes less.
 const closeWait = 20 * time.Second
 
 // largeAnswerFixture is a daemon, the sender, that returns large answers over a slow link, and its
@@ -62,10 +63,10 @@
 	return f
 }
 
-// TestLargeAnswersOverFullLinkAreReceived has twelve peers request at the same time what one link
-// carries in 2.4 s, four times the idle timeout, and checks that all receive it. It guards against
-// a fixed timeout for the whole answer: the sender then still sent the rest of each answer, in
-// vain.
+// TestLargeAnswersOverFullLinkAreReceived checks that twelve peers that request large answers at the
+// same time all receive them, although the sender's link takes 2.4 s to carry all twelve, four times
+// the idle timeout. It guards against a fixed timeout for the whole answer: calls that timed out lost
+// their answers, and the sender still sent the rest of each in vain.
 func TestLargeAnswersOverFullLinkAreReceived(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const peers = 12
--- a/node/peer/link.go
+++ b/node/peer/link.go
@@ -27,8 +27,8 @@
 	mu      sync.Mutex
 	lastID  uint64
 	pending map[uint64]chan Frame
-	// unansweredSince is when the first call was made after which no frame has arrived; zero if
-	// there is none.
+	// unansweredSince is the time of the first call since the last frame arrived; zero if no call
+	// was made since then.
 	unansweredSince time.Time
 }
 
@@ -172,7 +172,7 @@
 		return err
 	}
 	if len(data) > MaxFrameSize {
-		return errors.New("the frame is over the bound of a frame")
+		return errors.New("the encoded frame exceeds the maximum frame size")
 	}
 	l.hub.countFrame(telemetry.DirectionOut, f.Kind, len(data))
 	select {
@@ -260,7 +260,7 @@
 // idleChecks is the number of checks for received data within an idle timeout.
 const idleChecks = 8
 
-// sinceLastRead returns the time since data last arrived over the link, be it part of a message.
+// sinceLastRead returns the time since data last arrived over the link. Parts of a message count.
 func (l *link) sinceLastRead(now time.Time) time.Duration {
 	return now.Sub(time.Unix(0, l.lastReadAt.Load()))
 }
