--- a/node/confservice/confservice.go
+++ b/node/confservice/confservice.go
@@ -32,7 +32,8 @@
 
 // Client reads the settings and the host list over HTTP.
 type Client struct {
-	// ConfigURL and HostsURL are the base URLs of the two, such as "http://10.0.0.1:9000".
+	// ConfigURL is the base URL of the settings, and HostsURL that of the host list, such as
+	// "http://10.0.0.1:9000".
 	ConfigURL, HostsURL string
 	// Prefix is the common prefix of the settings keys of this fleet.
 	Prefix string
@@ -40,7 +41,7 @@
 	HTTPClient *http.Client
 }
 
-// ParseParts checks and resolves the parts of a revision, by key with the prefix.
+// ParseParts checks and resolves the parts of a revision. The keys of the map start with Prefix.
 func (c *Client) ParseParts(parts map[string][]byte) (*settings.Tree, error) {
 	named := make(map[string][]byte, len(parts))
 	for key, data := range parts {
@@ -61,7 +62,7 @@
 	return changes, err
 }
 
-// Hosts reads the differences from revision since of the host list; zero reads the whole list.
+// Hosts reads the changes of the host list after revision since; zero reads the whole list.
 func (c *Client) Hosts(ctx context.Context, since int64) (hostlist.List, error) {
 	var list hostlist.List
 	err := c.getJSON(ctx, c.HostsURL+"/v1/hosts?since="+strconv.FormatInt(since, 10), &list)
