--- a/node/config/config.go
+++ b/node/config/config.go
@@ -1,6 +1,6 @@
 // Package config reads a daemon's own configuration file: its addresses and location, the
 // platform that it reads from, the keys that it shares with its peers, and its resource limits. The
-// settings of the fleet are not in it. A check reports every problem of the file at once,
+// settings of the fleet are not in it. Parse reports every problem of the file at once,
 // each with line, column and remedy.
 package config
 
@@ -31,8 +31,9 @@
 	Region     string `yaml:"region"`
 	// Platform holds the addresses from which the daemon reads settings and hosts.
 	Platform Platform `yaml:"platform"`
-	// PeerKeys are the secrets that the daemons share. The first one signs; all are
-	// accepted, so that a key can be replaced without an interruption.
+	// PeerKeys are the secrets that the daemons share. The daemon proves its identity to
+	// peers with the first one and accepts all of them from peers, so that a key can be
+	// replaced without an interruption.
 	PeerKeys []string `yaml:"peer_keys"`
 	// Workers is the number of goroutines that place waiting requests.
 	Workers int `yaml:"workers"`
