--- a/node/peer/link.go
+++ b/node/peer/link.go
@@ -172,7 +172,7 @@
 		return err
 	}
 	if len(data) > MaxFrameSize {
-		return errors.New("the encoded frame exceeds the maximum frame size")
+		return errors.New("the frame is over the bound of a frame")
 	}
 	l.hub.countFrame(telemetry.DirectionOut, f.Kind, len(data))
 	select {
