--- a/node/target/client.go
+++ b/node/target/client.go
@@ -206,7 +206,8 @@
 }
 
 // Generate asks an engine for an answer and passes each chunk to emit as it arrives. It
-// returns nil when the stream ended, complete or not: the caller's stream.Assembler decides.
+// returns nil where the stream ended without an error, which does not make the answer complete:
+// the caller's stream.Assembler decides that.
 func (c *Client) Generate(ctx context.Context, address string, g *GenerateRequest, emit func(stream.Chunk) error) error {
 	return c.streamChunks(ctx, address, "/v1/generate", g, emit)
 }
--- a/node/target/client_test.go
+++ b/node/target/client_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestServiceCallIsSentOnce guards against net/http's own retry: it repeats a request with
-// an Idempotency-Key header when a reused connection is closed, unless the body cannot be read again.
+// TestServiceCallIsSentOnce guards against net/http's own retry: when a reused connection is closed,
+// it repeats a request with an Idempotency-Key header whose body it can read again.
 func TestServiceCallIsSentOnce(t *testing.T) {
 	for name, body := range map[string][]byte{"with a body": []byte("slot 17"), "without": nil} {
 		t.Run(name, func(t *testing.T) {
--- a/node/target/conn.go
+++ b/node/target/conn.go
@@ -118,8 +118,8 @@
 	probeIdle     = time.Second
 	probeInterval = time.Second
 	probeCount    = 2
-	// probedUnackedTimeout replaces unackedTimeout, which would end the connection with the
-	// first unanswered probe. It lies between the times of the second and the third probe.
+	// probedUnackedTimeout replaces unackedTimeout, which would end the connection with the first
+	// unanswered probe. It ends after the second probe (2 s) and before a third would be due (3 s).
 	probedUnackedTimeout = 2500 * time.Millisecond
 )
 
--- a/node/target/exchange.go
+++ b/node/target/exchange.go
@@ -16,8 +16,8 @@
 	"github.com/go-faster/errors"
 )
 
-// Dialect encodes and decodes what the platform's callers, the daemon and targets exchange
-// about forwarded calls: headers, reservation orders and target reports.
+// Dialect is the platform's format of forwarded calls: it decodes the headers of callers and
+// targets and the reports of targets, and encodes the daemon's own headers and messages.
 type Dialect interface {
 	// ReadCall decodes the headers of a caller's request.
 	ReadCall(h http.Header) forward.Call
@@ -25,8 +25,8 @@
 	WriteSendParams(h http.Header, s *forward.SendParams)
 	// ReadHead decodes the head of a target's answer.
 	ReadHead(status int, h http.Header) forward.Head
-	// ReserveMessage returns the order that reserves memory at a target under an id for the
-	// time hold; the same order again renews it. ReleaseMessage returns the order that ends it.
+	// ReserveMessage returns the message that reserves memory at a target under an id for the time
+	// hold; sent again, it renews the reservation. ReleaseMessage returns the message that ends it.
 	ReserveMessage(target, id string, tokens int64, hold time.Duration) forward.Message
 	ReleaseMessage(target, id string) forward.Message
 	// ReportMessage returns the request for a target's report, and ReadReport decodes the
@@ -40,7 +40,7 @@
 
 // Exchanger sends forwarded calls, each exactly once. It pools its connections itself:
 // net/http's client repeats a call on its own where a pooled connection turns out to be
-// closed, and such sends would not be counted.
+// closed, and such sends would not count towards the limits on retries.
 type Exchanger struct {
 	Dialect Dialect
 
@@ -99,7 +99,7 @@
 	return n, err
 }
 
-// maxSkippedAnswers bounds the answers to earlier calls that are skipped on a connection.
+// maxSkippedAnswers bounds the answers with another call's id that are skipped before a call's own.
 const maxSkippedAnswers = 2
 
 // ErrCallerDisconnected means that a call was not sent because its caller had closed the connection.
@@ -109,8 +109,8 @@
 // where no byte can have reached the target. The reply must be passed to Close.
 //
 // Send checks the caller's connection just before the first byte, because ctx ends late on a
-// host that is short of CPU: three hosts that took over the load of 76 forwarded 29, 59 and 36
-// calls more than half a second after their callers had disconnected.
+// host that is short of CPU: three hosts that took over the load of 76 hosts forwarded 29, 59 and
+// 36 calls more than half a second after their callers had disconnected.
 func (e *Exchanger) Send(ctx context.Context, address string, c *forward.Message) (*Reply, error) {
 	pc, err := e.acquire(ctx, address)
 	if err != nil {
@@ -164,7 +164,7 @@
 			return nil, errors.Wrap(err, "skip an answer to another call")
 		}
 	}
-	return nil, errors.New("the target answered only other calls")
+	return nil, errors.New("the target's answers have the ids of other calls")
 }
 
 // Close ends the exchange. The connection is reused if the answer was read to its end.
--- a/node/target/prefix.go
+++ b/node/target/prefix.go
@@ -11,9 +11,9 @@
 	return max(1, int64(bytes)/BytesPerToken)
 }
 
-// The prefixes of a prompt that are hashed: one ends after each block up to
-// denseBlocks, and from there on each prefix is twice as long as the one before, so
-// that a prompt of a million tokens has few of them.
+// The prefixes of a prompt that are hashed: the first denseBlocks of them grow by one block
+// each, and every later prefix is twice as long as the one before, so that a prompt of a
+// million tokens has few prefixes.
 const (
 	blockTokens  = 1024
 	blockBytes   = blockTokens * BytesPerToken
--- a/node/target/probes_test.go
+++ b/node/target/probes_test.go
@@ -51,7 +51,7 @@
 
 // TestProbesDetectDeadTarget guards against waiting on a host that lost power: while its answer
 // is awaited nothing is sent that could go unacknowledged, so that only keep-alive probes detect
-// its death. They must do so in time to free memory reserved elsewhere, but not after one lost packet.
+// its death. They must do so in time to free memory reserved elsewhere, and one lost packet must not end a call.
 func TestProbesDetectDeadTarget(t *testing.T) {
 	address, _ := startScriptedServer(t, func(conn net.Conn, r *http.Request, _, _ int) bool {
 		drainBody(r)
--- a/node/target/protocol.go
+++ b/node/target/protocol.go
@@ -5,7 +5,7 @@
 // buffered calls to plain services. Exchanger forwards callers' own requests over connections
 // that it pools itself, and sends each exactly once. Both report with an error whether the
 // failed call may have run, which decides whether a call may be retried. The package also
-// estimates token counts and hashes prompt prefixes for routing. Package internal/standin
+// estimates token counts and hashes prompt prefixes for routing. Package node/internal/standin
 // simulates an engine and a service for tests.
 package target
 
@@ -43,7 +43,8 @@
 	Tokens      int64  `json:"tokens"`
 }
 
-// Chunk is a line of an engine's answer. The last line has End set.
+// Chunk is a line of an engine's answer. The last line has End set, no token, and in Total the
+// number of tokens.
 type Chunk struct {
 	Attempt      string `json:"a"`
 	Index        int64  `json:"i"`
