--- a/node/telemetry/docs_test.go
+++ b/node/telemetry/docs_test.go
@@ -11,8 +11,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// TestOperationsPageListsEveryName keeps the page up to date: it must name each metric and
-// each key of the settings and of the daemon's file.
+// TestOperationsPageListsEveryName checks that docs/OPERATIONS.md names each metric, and each key of
+// the settings and of the daemon's configuration file.
 func TestOperationsPageListsEveryName(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	if err != nil {
--- a/node/telemetry/telemetry.go
+++ b/node/telemetry/telemetry.go
@@ -1,7 +1,7 @@
 // Package telemetry holds the metrics and the log output of a daemon. Its Recorder puts each
-// decision of the daemon on the blackboard, in the metrics and in the log, where lines about
-// successful requests are limited in rate. Operators read the metrics and the log; the
-// package itself decides only which lines to log.
+// decision of the daemon on the blackboard (the daemon's state in memory), in the metrics and in
+// the log, where lines about successful requests are limited in rate. Operators read the metrics
+// and the log; the package itself decides only which lines to log.
 package telemetry
 
 import (
@@ -19,23 +19,24 @@
 
 // Metrics are the metrics of a daemon. docs/OPERATIONS.md lists them.
 type Metrics struct {
-	Registry             *prometheus.Registry
-	Requests             *prometheus.CounterVec
-	FirstToken           *prometheus.HistogramVec
-	Tokens               prometheus.Counter
-	Retries              *prometheus.CounterVec
-	SilentTargets        *prometheus.CounterVec
-	Decisions            *prometheus.CounterVec
-	QueuedRequests       *prometheus.GaugeVec
-	Claims               *prometheus.CounterVec
-	PeerFrames           *prometheus.CounterVec
-	PeerBytes            *prometheus.CounterVec
-	PeerRefused          *prometheus.CounterVec
-	PeerUnwantedBytes    *prometheus.CounterVec
-	PeerWait             *prometheus.HistogramVec
-	SettingsRevision     prometheus.Gauge
-	SettingsParse        prometheus.Histogram
-	PlatformReads        *prometheus.CounterVec
+	Registry          *prometheus.Registry
+	Requests          *prometheus.CounterVec
+	FirstToken        *prometheus.HistogramVec
+	Tokens            prometheus.Counter
+	Retries           *prometheus.CounterVec
+	SilentTargets     *prometheus.CounterVec
+	Decisions         *prometheus.CounterVec
+	QueuedRequests    *prometheus.GaugeVec
+	Claims            *prometheus.CounterVec
+	PeerFrames        *prometheus.CounterVec
+	PeerBytes         *prometheus.CounterVec
+	PeerRefused       *prometheus.CounterVec
+	PeerUnwantedBytes *prometheus.CounterVec
+	PeerWait          *prometheus.HistogramVec
+	SettingsRevision  prometheus.Gauge
+	SettingsParse     prometheus.Histogram
+	PlatformReads     *prometheus.CounterVec
+	// Pauses counts the pauses of the process that made load reports, leases and permits invalid.
 	Pauses               prometheus.Counter
 	ReservationsReleased prometheus.Counter
 	Orders               *prometheus.CounterVec
