--- a/node/internal/soak/caller.go
+++ b/node/internal/soak/caller.go
@@ -60,7 +60,7 @@
 	if route > 0 {
 		request.Path = temporaryPrefix(route) + "x"
 	}
-	c := Call{ID: request.ID, Daemon: daemon, Path: path, Route: route, Sent: time.Now(), Timeout: path.Timeout, RequestBody: body}
+	c := Call{ID: request.ID, Daemon: daemon, Path: path, TemporaryRoute: route, Sent: time.Now(), Timeout: path.Timeout, RequestBody: body}
 	response := request.Do(ctx, client)
 	c.Done = time.Now()
 	c.Disconnected = ctx.Err() != nil
--- a/node/internal/soak/judge.go
+++ b/node/internal/soak/judge.go
@@ -13,9 +13,9 @@
 	Daemon int
 	Path   *Path
 	// Route is the number of the temporary route that is called, or 0 for the path's own route.
-	Route int
-	Sent  time.Time
-	Done  time.Time
+	TemporaryRoute int
+	Sent           time.Time
+	Done           time.Time
 	// Timeout is the time for the call that the request declares, from Sent.
 	Timeout time.Duration
 	// Disconnected means that the caller disconnected before the answer was complete, at Done.
@@ -234,7 +234,7 @@
 // during the call: a route that all of them have is not denied, and one that none has is not
 // served.
 func checkRoute(r *Record, c *Call) string {
-	if c.Route == 0 || !r.undisturbed(c.Daemon, c.Sent.Add(-undisturbedBefore-configApplyTime), c.Done, func(k Kind) bool { return isFault(k) || k == Term }) {
+	if c.TemporaryRoute == 0 || !r.undisturbed(c.Daemon, c.Sent.Add(-undisturbedBefore-configApplyTime), c.Done, func(k Kind) bool { return isFault(k) || k == Term }) {
 		return ""
 	}
 	all, none := true, true
@@ -243,14 +243,14 @@
 		if superseded || p.At.After(c.Done) {
 			continue
 		}
-		has := p.FirstRoute <= c.Route && c.Route <= p.LastRoute
+		has := p.FirstRoute <= c.TemporaryRoute && c.TemporaryRoute <= p.LastRoute
 		all, none = all && has, none && !has
 	}
 	switch {
 	case all && c.Status == 404:
-		return fmt.Sprintf("DENIED: status 404, but temporary route %d is in force", c.Route)
+		return fmt.Sprintf("DENIED: status 404, but temporary route %d is in force", c.TemporaryRoute)
 	case none && c.Status == 200:
-		return fmt.Sprintf("CONFIG: status 200, but temporary route %d is not in force", c.Route)
+		return fmt.Sprintf("CONFIG: status 200, but temporary route %d is not in force", c.TemporaryRoute)
 	}
 	return ""
 }
@@ -266,19 +266,19 @@
 	for i := range calls {
 		c := &calls[i]
 		number, same := r.processOf(c)
-		if c.Route == 0 || !same {
+		if c.TemporaryRoute == 0 || !same {
 			continue
 		}
 		key := processKey{c.Daemon, number}
 		if served[key] == nil {
 			served[key] = map[int]time.Time{}
 		}
-		at, before := served[key][c.Route]
+		at, before := served[key][c.TemporaryRoute]
 		switch {
 		case c.Status == 200 && (!before || c.Done.Before(at)):
-			served[key][c.Route] = c.Done
-		case c.Status == 404 && before && c.Sent.After(at.Add(configReorderSlack)) && !r.routeRemoved(c.Route, c.Done):
-			list = append(list, Violation{"CONFIG", c.ID, fmt.Sprintf("temporary route %d was served by the same process before and is denied", c.Route)})
+			served[key][c.TemporaryRoute] = c.Done
+		case c.Status == 404 && before && c.Sent.After(at.Add(configReorderSlack)) && !r.routeRemoved(c.TemporaryRoute, c.Done):
+			list = append(list, Violation{"CONFIG", c.ID, fmt.Sprintf("temporary route %d was served by the same process before and is denied", c.TemporaryRoute)})
 		}
 	}
 	return list
--- a/node/internal/soak/judge_test.go
+++ b/node/internal/soak/judge_test.go
@@ -125,7 +125,7 @@
 	published := []PublishedConfig{{timeAt(0), 1, 1}, {timeAt(10), 1, 2}, {timeAt(20), 2, 2}}
 	call := func(route, status int, sent float64) Call {
 		c, _ := successfulCall(safePath)
-		c.Route, c.Status, c.Sent, c.Done = route, status, timeAt(sent), timeAt(sent+0.1)
+		c.TemporaryRoute, c.Status, c.Sent, c.Done = route, status, timeAt(sent), timeAt(sent+0.1)
 		if status != 200 {
 			c.Body = ""
 		}
--- a/node/internal/soak/link_test.go
+++ b/node/internal/soak/link_test.go
@@ -55,7 +55,7 @@
 
 const (
 	echoTimeout = 10 * time.Second
-	holdTime    = 50 * time.Millisecond
+	noEchoTime  = 50 * time.Millisecond
 )
 
 // refusedDials is how many clients connect to a refusing link. Few of them get the reset while they
@@ -91,7 +91,7 @@
 	for _, f := range []Fault{Silent, OneWay} {
 		l.Set(f)
 		c := dial()
-		if echoes(c, holdTime) {
+		if echoes(c, noEchoTime) {
 			t.Errorf("link with fault %d echoed a line", f)
 		}
 		l.Set(NoFault)
