--- a/node/internal/soak/backend.go
+++ b/node/internal/soak/backend.go
@@ -26,7 +26,8 @@
 	engineService = "engines"
 )
 
-// Path is a route of the configuration and how callers use it.
+// Path is a route that each configuration has, and how callers use it. Calls of temporary
+// routes, which configurations add and remove, use safePath under another prefix.
 type Path struct {
 	Prefix, Kind, Service string
 	MaxAttempts           int
@@ -48,7 +49,8 @@
 	paths      = []*Path{safePath, unsafePath, streamPath, largePath}
 )
 
-// eventCount returns how many events the streamed answer to a call has.
+// eventCount returns how many events the streamed answer to a call has: 4 to 15, by a hash of
+// the call's ID, so that targets and judge expect the same number.
 func eventCount(id string) int { return 4 + int(rendezvous.Score("events", id)%12) }
 
 // eventText returns the text of event i of the answer to a call.
@@ -75,7 +77,8 @@
 
 	mu             sync.Mutex
 	injectFailures bool
-	// announceDraining and requestBackoff select the notices in the target's answers.
+	// announceDraining and requestBackoff select the notices in the target's answers: that the
+	// target drains, and that the daemon is to back off.
 	announceDraining, requestBackoff bool
 	// rateLimit is the limit in the target's answers, in calls per second; nil for none.
 	rateLimit *float64
@@ -149,8 +152,9 @@
 	eventInterval = 15 * time.Millisecond
 )
 
-// serve answers a call. With injected failures it may reject the call, return an error, close
-// the connection, hang or truncate a stream instead.
+// serve answers a call, with the target's notices. A call with a crashing body restarts the
+// target. With injected failures serve may reject the call, return an error, close the
+// connection, hang or truncate a stream instead.
 func (b *backend) serve(w http.ResponseWriter, r *http.Request, c standin.Call) {
 	execution := b.executions.add(Execution{ID: c.ID, Target: b.target.ID, Service: b.service, Account: c.Account(), APIKey: c.APIKey(), Started: time.Now(), LastEvent: c.LastEventID()})
 	defer b.executions.update(func() { execution.Ended = time.Now() })
@@ -163,7 +167,7 @@
 		standin.Reject(w, r, c)
 		return
 	}
-	outcome := 1.0
+	outcome := 1.0 // Success. Injected failures draw a number; the bounds below choose the failure.
 	if b.injectsFailures() {
 		outcome = rand.Float64()
 	}
@@ -185,11 +189,12 @@
 		case <-r.Context().Done():
 			return
 		}
-		standin.Succeed(safePath.Answer(c.ID))(w, r, c)
+		standin.Succeed(safePath.Answer(c.ID))(w, r, c) // All plain paths have the same answer.
 	}
 }
 
-// stream answers with a stream of events, from the one after the call's last event.
+// stream answers with a stream of events. A resumed call gets the events after the one that its
+// Last-Event-ID header names.
 func (b *backend) stream(w http.ResponseWriter, r *http.Request, c standin.Call, truncate bool) {
 	s := standin.EventStream{From: 1, To: eventCount(c.ID), Interval: eventInterval, Text: func(i int) string { return eventText(c.ID, i) }}
 	if after := c.LastEventID(); after != "" {
--- a/node/internal/soak/caller.go
+++ b/node/internal/soak/caller.go
@@ -45,22 +45,22 @@
 	return &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 4}}
 }
 
-// call sends a daemon one valid request and records the outcome. A route above 0 is the number
-// of a temporary route, which is called instead of the path's own.
-func (tb *testbed) call(ctx context.Context, client *http.Client, daemon int, path *Path, route int) Call {
-	return tb.callWithBody(ctx, client, daemon, path, route, "a body")
+// call sends a daemon one valid request and records the outcome. The request is for the path's
+// own route or, with a temporaryRoute above 0, for the temporary route of that number.
+func (tb *testbed) call(ctx context.Context, client *http.Client, daemon int, path *Path, temporaryRoute int) Call {
+	return tb.callWithBody(ctx, client, daemon, path, temporaryRoute, "a body")
 }
 
 // callWithBody is call with a given request body.
-func (tb *testbed) callWithBody(ctx context.Context, client *http.Client, daemon int, path *Path, route int, body string) Call {
+func (tb *testbed) callWithBody(ctx context.Context, client *http.Client, daemon int, path *Path, temporaryRoute int, body string) Call {
 	request := &standin.CallerRequest{
 		Daemon: tb.daemons[daemon].frontend.Address(), Host: callHost, Path: path.Prefix + "x", ID: tb.calls.newID(), APIKey: apiKey,
 		TokenCounts: path.TokenCounts, DeadlineMS: int(path.Timeout.Milliseconds()), Body: body,
 	}
-	if route > 0 {
-		request.Path = temporaryPrefix(route) + "x"
+	if temporaryRoute > 0 {
+		request.Path = temporaryPrefix(temporaryRoute) + "x"
 	}
-	c := Call{ID: request.ID, Daemon: daemon, Path: path, TemporaryRoute: route, Sent: time.Now(), Timeout: path.Timeout, RequestBody: body}
+	c := Call{ID: request.ID, Daemon: daemon, Path: path, TemporaryRoute: temporaryRoute, Sent: time.Now(), Timeout: path.Timeout, RequestBody: body}
 	response := request.Do(ctx, client)
 	c.Done = time.Now()
 	c.Disconnected = ctx.Err() != nil
@@ -90,12 +90,12 @@
 		daemon := tb.pickReadyDaemon()
 		stay := time.Now().Add(rand.N(maxStay))
 		for time.Now().Before(stay) && ctx.Err() == nil {
-			path, route := tb.pickPath()
+			path, temporaryRoute := tb.pickPath()
 			callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), path.Timeout+giveUpAfter)
 			if rand.Float64() < disconnectShare {
 				callCtx, cancel = context.WithTimeout(context.WithoutCancel(ctx), disconnectAfter)
 			}
-			tb.call(callCtx, client, daemon, path, route)
+			tb.call(callCtx, client, daemon, path, temporaryRoute)
 			cancel()
 			sleep(ctx, rand.N(maxThinkTime))
 		}
@@ -103,7 +103,8 @@
 	}
 }
 
-// pickPath draws a path and, with temporaryRouteShare, a temporary route, or 0.
+// pickPath draws a path and, with the probability temporaryRouteShare, the number of a temporary
+// route; the number is 0 otherwise.
 func (tb *testbed) pickPath() (*Path, int) {
 	switch draw := rand.Float64(); {
 	case draw < temporaryRouteShare:
--- a/node/internal/soak/judge.go
+++ b/node/internal/soak/judge.go
@@ -12,7 +12,8 @@
 	ID     string
 	Daemon int
 	Path   *Path
-	// Route is the number of the temporary route that is called, or 0 for the path's own route.
+	// TemporaryRoute is the number of the temporary route that is called, or 0 for the path's own
+	// route.
 	TemporaryRoute int
 	Sent           time.Time
 	Done           time.Time
@@ -36,7 +37,7 @@
 	Started, Ended                       time.Time
 	// Rejected means that the target answered that it did not execute the call.
 	Rejected bool
-	// LastEvent is the event after which the stream was to be resumed.
+	// LastEvent is the event after which the stream was to be resumed; empty for a whole stream.
 	LastEvent string
 	// Draining and Backoff are the notices in the target's answer: that it drains, and the time
 	// for which the daemon is to back off.
@@ -83,18 +84,27 @@
 }
 
 // Violation is a violated guarantee: the name of the rule, the call, daemon, target or reservation
-// concerned, and what was observed.
+// concerned, and what was observed. Some rules cover several checks: CONFIG timeouts and the use of
+// configurations, BUDGET attempts, backoffs and crashing calls, UNASKED the account and the API key.
 type Violation struct{ Rule, Subject, Description string }
 
 // String returns the violation as one line.
 func (v Violation) String() string { return v.Rule + " " + v.Subject + ": " + v.Description }
 
-// The time bounds of the rules; where the users require a bound, it is theirs.
+// The time bounds of the rules. Where the users of doorstack require a bound, the constant has the
+// value that they require.
 const (
-	undisturbedBefore  = 3 * time.Second        // without disturbance, before rules with a time bound apply
-	configApplyTime    = 2 * time.Second        // until daemons apply a new configuration
-	configReorderSlack = 250 * time.Millisecond // use of an older configuration after a newer one was observed
-	answerSlack        = 500 * time.Millisecond // an answer after the call's timeout, and the delivery of a notice
+	// undisturbedBefore is how long before a call its daemon must have been undisturbed for a rule
+	// to apply, and the time in which all daemons learn of a rate limit or of a crash.
+	undisturbedBefore = 3 * time.Second
+	// configApplyTime is how long daemons may take to apply a new configuration.
+	configApplyTime = 2 * time.Second
+	// configReorderSlack is how long calls may still be handled by an older configuration after a
+	// call was handled by a newer one.
+	configReorderSlack = 250 * time.Millisecond
+	// answerSlack is how long after a call's timeout its answer may arrive, and after the caller
+	// disconnected an execution may start; the delivery of a target's notice may take as long.
+	answerSlack = 500 * time.Millisecond
 	// loadSlack allows for delays on a machine that runs all processes, callers and targets.
 	loadSlack = 500 * time.Millisecond
 )
@@ -134,8 +144,8 @@
 	return ""
 }
 
-// checkRefusal checks that a refused call which must not be repeated was not executed, and that
-// each refusal has a Retry-After header.
+// checkRefusal checks calls that the daemon refused, with status 429 or 503: each refusal has a
+// Retry-After header, and a refused call that must not be repeated was not executed.
 func checkRefusal(r *Record, c *Call) string {
 	if c.Status != 429 && c.Status != 503 {
 		return ""
@@ -231,8 +241,8 @@
 }
 
 // checkRoute checks calls of temporary routes against the configurations that may be in force
-// during the call: a route that all of them have is not denied, and one that none has is not
-// served.
+// during the call: a route that all of them have is not denied, which is status 404, and one
+// that none has is not served.
 func checkRoute(r *Record, c *Call) string {
 	if c.TemporaryRoute == 0 || !r.undisturbed(c.Daemon, c.Sent.Add(-undisturbedBefore-configApplyTime), c.Done, func(k Kind) bool { return isFault(k) || k == Term }) {
 		return ""
@@ -273,11 +283,11 @@
 		if served[key] == nil {
 			served[key] = map[int]time.Time{}
 		}
-		at, before := served[key][c.TemporaryRoute]
+		at, servedBefore := served[key][c.TemporaryRoute]
 		switch {
-		case c.Status == 200 && (!before || c.Done.Before(at)):
+		case c.Status == 200 && (!servedBefore || c.Done.Before(at)):
 			served[key][c.TemporaryRoute] = c.Done
-		case c.Status == 404 && before && c.Sent.After(at.Add(configReorderSlack)) && !r.routeRemoved(c.TemporaryRoute, c.Done):
+		case c.Status == 404 && servedBefore && c.Sent.After(at.Add(configReorderSlack)) && !r.routeRemoved(c.TemporaryRoute, c.Done):
 			list = append(list, Violation{"CONFIG", c.ID, fmt.Sprintf("temporary route %d was served by the same process before and is denied", c.TemporaryRoute)})
 		}
 	}
--- a/node/internal/soak/judge_test.go
+++ b/node/internal/soak/judge_test.go
@@ -99,9 +99,9 @@
 		}, "LEAK"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			call, run := successfulCall(c.path)
+			call, execution := successfulCall(c.path)
 			record := &Record{}
-			record.Executions = map[string][]Execution{"c": c.change(record, &call, &run)}
+			record.Executions = map[string][]Execution{"c": c.change(record, &call, &execution)}
 			record.Calls = []Call{call}
 			expectRule(t, Judge(record), c.rule)
 		})
@@ -194,7 +194,7 @@
 	call := func(id, body string, sent time.Duration) Call {
 		return Call{ID: id, Path: safePath, Sent: at(sent), Done: at(sent + s/10), Status: 200, Complete: true, RequestBody: body, Body: safePath.Answer(id)}
 	}
-	run := func(id string, begins time.Duration, change func(*Execution)) Execution {
+	execution := func(id string, begins time.Duration, change func(*Execution)) Execution {
 		r := Execution{ID: id, Target: "t", Service: plainService, Account: accountName, Started: at(begins), Ended: at(begins + s/20)}
 		change(&r)
 		return r
@@ -203,13 +203,15 @@
 	backsOff := func(r *Execution) { r.Backoff, r.Rejected = 3*s, true }
 	drains := func(r *Execution) { r.Draining = true }
 	crashes := func(r *Execution) { r.Crashed = true }
-	newRecord := func(body string, first func(*Execution), later func(*Execution), gaps ...time.Duration) *Record {
+	// newRecord returns the record of a call at the start, whose execution is changed by first, and
+	// of calls sent at sendTimes after the start, whose executions are changed by later.
+	newRecord := func(body string, first func(*Execution), later func(*Execution), sendTimes ...time.Duration) *Record {
 		r := &Record{Executions: map[string][]Execution{}, Calls: []Call{call("0", body, 0)}, ProcessStarts: map[int][]time.Time{}}
-		r.Executions["0"] = []Execution{run("0", 0, first)}
-		for i, gap := range gaps {
+		r.Executions["0"] = []Execution{execution("0", 0, first)}
+		for i, sentAfter := range sendTimes {
 			id := fmt.Sprint(i + 1)
-			r.Calls = append(r.Calls, call(id, body, gap))
-			r.Executions[id] = []Execution{run(id, gap, later)}
+			r.Calls = append(r.Calls, call(id, body, sentAfter))
+			r.Executions[id] = []Execution{execution(id, sentAfter, later)}
 		}
 		return r
 	}
--- a/node/internal/soak/limits.go
+++ b/node/internal/soak/limits.go
@@ -16,15 +16,15 @@
 const TargetRateLimit Kind = "target-limits"
 
 const (
-	// rateLimitTime is how long the targets announce their limits: longer than the time that Judge
-	// gives daemons to learn a limit, undisturbedBefore, plus one limitWindow.
+	// rateLimitTime is how long the targets announce their limits. It is longer than
+	// undisturbedBefore, in which daemons may still learn a limit, and one limitWindow together.
 	rateLimitTime = 9 * time.Second
 	// maxRateLimit bounds the announced limits, in calls per second.
 	maxRateLimit = 4.0
 )
 
-// The users' bounds on calls to a target with a rate limit: within limitWindow at most limitFactor
-// times the limit, plus limitSlack calls.
+// The bounds that the users of doorstack set on calls to a target with a rate limit: within
+// limitWindow at most limitFactor times the limit, plus limitSlack calls.
 const (
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
@@ -69,8 +69,8 @@
 }
 
 // checkRateLimits checks that, from undisturbedBefore after a target first announced a rate limit, no
-// window has more calls to it than the bounds allow. Only calls by daemons that had relayed an
-// answer with the limit half a second before are counted.
+// window has more calls to it than the bounds allow. A call counts only if the daemon that sent it
+// had relayed an answer with the limit at least half a second (answerSlack) earlier.
 func checkRateLimits(r *Record) []Violation {
 	byTarget := map[string][]sentExecution{}
 	for i := range r.Calls {
--- a/node/internal/soak/limits_test.go
+++ b/node/internal/soak/limits_test.go
@@ -14,9 +14,9 @@
 		for daemon := range 2 {
 			id := fmt.Sprint(daemon, "-", i)
 			sent := timeAt(float64(i) / float64(callsPerSecond))
-			run := Execution{ID: id, Target: "t1", Service: safePath.Service, Account: accountName, Started: sent, Ended: sent.Add(10 * time.Millisecond), RateLimit: &perSecond}
-			c := Call{ID: id, Daemon: daemon, Path: safePath, Sent: sent, Done: run.Ended, Timeout: safePath.Timeout, Status: 200, Complete: true, Body: safePath.Answer(id)}
-			r.Calls, r.Executions[id] = append(r.Calls, c), []Execution{run}
+			execution := Execution{ID: id, Target: "t1", Service: safePath.Service, Account: accountName, Started: sent, Ended: sent.Add(10 * time.Millisecond), RateLimit: &perSecond}
+			c := Call{ID: id, Daemon: daemon, Path: safePath, Sent: sent, Done: execution.Ended, Timeout: safePath.Timeout, Status: 200, Complete: true, Body: safePath.Answer(id)}
+			r.Calls, r.Executions[id] = append(r.Calls, c), []Execution{execution}
 		}
 	}
 	return r
--- a/node/internal/soak/link_test.go
+++ b/node/internal/soak/link_test.go
@@ -54,8 +54,10 @@
 }
 
 const (
+	// echoTimeout bounds the wait for an echo.
 	echoTimeout = 10 * time.Second
-	noEchoTime  = 50 * time.Millisecond
+	// noEchoTime is how long a test waits to see that a link holds a line back.
+	noEchoTime = 50 * time.Millisecond
 )
 
 // refusedDials is how many clients connect to a refusing link. Few of them get the reset while they
@@ -97,7 +99,7 @@
 		l.Set(NoFault)
 		_ = c.SetReadDeadline(time.Now().Add(echoTimeout))
 		if line, err := bufio.NewReader(c).ReadString('\n'); err != nil || line != "line\n" {
-			t.Errorf("after the end of fault %d the link echoed %q, error %v; want the delayed line", f, line, err)
+			t.Errorf("after the end of fault %d the link echoed %q, error %v; want the line held back until then", f, line, err)
 		}
 	}
 	l.Set(Delayed)
--- a/node/internal/soak/notices.go
+++ b/node/internal/soak/notices.go
@@ -14,8 +14,9 @@
 	"doorstack.dev/platform/standin"
 )
 
-// The kinds of notice events, which also have a random source of their own. A notice is what a
-// target says of itself in an answer: that the daemon is to back off, or that the target drains.
+// The kinds of events that addNoticeEvents draws, from a random source of their own as in
+// restarts.go: the backoff notices of targets, and two more. A notice is what a target says of
+// itself in an answer: that the daemon is to back off, that the target drains, or its rate limit.
 const (
 	CallCrashes   Kind = "call-crashes"  // a call that crashes each target that executes it is sent repeatedly
 	TargetBackoff Kind = "target-rests"  // half of the targets reject calls and ask daemons to back off
@@ -29,8 +30,8 @@
 	crashBodyPrefix = "crash "
 	// crashInterval is the pause between two sends of a crashing call.
 	crashInterval = 120 * time.Millisecond
-	// finalRounds is how often each daemon gets a crashing call after all daemons can know the
-	// crashes.
+	// finalRounds is how often each daemon gets a crashing call again, once all daemons have had
+	// time to learn of the crashes.
 	finalRounds = 2
 	// backoffTime is the time for which targets ask daemons to back off.
 	backoffTime = 2 * time.Second
@@ -79,7 +80,8 @@
 	}
 }
 
-// crash ends the target's process during a call, and starts another one under its ID.
+// crash simulates that the target's process ends during a call and another one starts under its
+// ID: the target loses its reservations and closes its connections.
 func (b *backend) crash(w http.ResponseWriter, r *http.Request, c standin.Call) {
 	b.target.Restart(time.Now())
 	standin.CloseConnection(w, r, c)
@@ -137,7 +139,7 @@
 }
 
 // restoreStore restores the store from a backup taken at the start of the event. After a random
-// delay the operators and the targets write the lost entries again.
+// delay it writes the lost entries again, as operators and targets do.
 func (tb *testbed) restoreStore(ctx context.Context, e Event) {
 	backup := tb.store.Backup()
 	sleep(ctx, e.Duration)
@@ -258,9 +260,10 @@
 	return ""
 }
 
-// checkCrashingCalls checks that a call during which three targets have crashed is executed for
-// at most three more sends of its callers. It counts sends from the time when all daemons can
-// know the crashes, and only to daemons that did not lose their state shortly before.
+// checkCrashingCalls checks that at most three more requests with the same body are executed once
+// three targets have crashed on that body. A request counts only if it was sent later than
+// undisturbedBefore after the third crash, in which daemons learn of the crashes, and to a daemon
+// that did not lose its state shortly before.
 func checkCrashingCalls(r *Record) []Violation {
 	sends := map[string][]*Call{}
 	for i := range r.Calls {
@@ -290,7 +293,7 @@
 			}
 		}
 		if more > 3 {
-			list = append(list, Violation{"BUDGET", body, fmt.Sprintf("executed in %d more sends after three targets had crashed; %d crashes in all", more, len(crashes))})
+			list = append(list, Violation{"BUDGET", body, fmt.Sprintf("%d more requests with this body were executed after three targets had crashed; %d crashes in all", more, len(crashes))})
 		}
 	}
 	return list
--- a/node/internal/soak/plan.go
+++ b/node/internal/soak/plan.go
@@ -18,8 +18,8 @@
 // Kind is a kind of fault or of planned operation.
 type Kind string
 
-// The kinds of events. The first group are planned operations, during which no call may be
-// lost.
+// The kinds of events that NewPlan draws itself; restarts.go, notices.go and limits.go add more.
+// The first group are planned operations, during which no call may be lost.
 const (
 	Term        Kind = "term"   // a daemon gets SIGTERM and is started again
 	Hup         Kind = "hup"    // a daemon gets SIGHUP, to read its settings file again
@@ -34,14 +34,14 @@
 	FrontendOneWay Kind = "front-oneway" // the daemon's answers are held back
 	FrontendSilent Kind = "front-silent" // data in both directions is held back
 
-	TargetReset    Kind = "target-reset" // as for callers, on the link between daemons and a target
-	TargetOneWay   Kind = "target-oneway"
-	TargetSilent   Kind = "target-silent"
-	TargetFailures Kind = "target-fails" // targets close connections, return errors, hang and reject calls
+	TargetReset    Kind = "target-reset"  // connections between daemons and a target are reset
+	TargetOneWay   Kind = "target-oneway" // a target's answers are held back
+	TargetSilent   Kind = "target-silent" // data between daemons and a target is held back
+	TargetFailures Kind = "target-fails"  // targets close connections, return errors, hang and reject calls
 
-	StoreRefuse       Kind = "store-refuse" // connections to the store are reset, open ones and new ones
-	StoreSilent       Kind = "store-silent"
-	StoreReset        Kind = "store-reset"
+	StoreRefuse       Kind = "store-refuse" // for a time all connections to the store are reset, also new ones
+	StoreSilent       Kind = "store-silent" // data between daemons and the store is held back
+	StoreReset        Kind = "store-reset"  // some open connections to the store are reset, once
 	StoreDropHistory  Kind = "store-forget" // the store discards its history of changes
 	StoreStallWatches Kind = "store-mute"   // watches get no changes
 )
@@ -49,9 +49,9 @@
 // plannedKinds are the planned operations.
 var plannedKinds = []Kind{Term, Hup, Config, TargetDrain}
 
-// faultKinds are the faults. Target faults are listed several times and so drawn more often:
-// each hits only some of the targets, and the guarantees on calls that may have run are only
-// tested by them.
+// faultKinds are the faults. Some target faults are listed several times and so drawn more
+// often: each affects only some of the targets, and no other faults test the guarantees on
+// calls that a target may already have executed.
 var faultKinds = []Kind{
 	Kill, Suspend, FrontendDelay, FrontendReset, FrontendOneWay, FrontendSilent,
 	TargetFailures, TargetFailures, TargetFailures, TargetFailures,
@@ -67,7 +67,8 @@
 	// Start is when the event begins, from the start of the run; Duration is how long it lasts.
 	Start, Duration time.Duration
 	Kind            Kind
-	// Selector selects the daemon or target, modulo their number, and variants of the event.
+	// Selector is a random number. Its remainders choose the daemon or target and, where an event
+	// has variants, the variant.
 	Selector int
 }
 
@@ -78,7 +79,8 @@
 	// phaseDuration is how long each phase lasts: phases with planned operations only and
 	// phases with all kinds of events alternate.
 	phaseDuration = 5 * time.Second
-	// burstShare of the events are bursts of burstLength events of a kind, burstInterval apart.
+	// With a probability of burstShare an event begins a burst: burstLength events of its kind,
+	// burstInterval apart.
 	burstShare    = 0.2
 	burstLength   = 3
 	burstInterval = 250 * time.Millisecond
--- a/node/internal/soak/process.go
+++ b/node/internal/soak/process.go
@@ -40,8 +40,9 @@
 }
 
 // newProcess writes a daemon's settings file and starts the daemon, which logs to a file in
-// dir. Arguments peers and store are the daemon's own peer address and the store's address.
-func newProcess(index int, dir, program string, seeds []string, peers, store string) (*process, error) {
+// dir. The daemon listens for peers on peerAddress and joins the others through the peer
+// addresses in seeds; store is the store's address.
+func newProcess(index int, dir, program string, seeds []string, peerAddress, store string) (*process, error) {
 	addresses := make([]string, 4)
 	for i := range addresses {
 		var err error
@@ -58,7 +59,7 @@
 		index: index, program: program, metricsPort: metrics, settingsFile: filepath.Join(dir, name+".toml"),
 		boot: standin.Boot{
 			Name: name, IP: ip, DataCentre: fmt.Sprint("z", index%2+1), CallerAddress: addresses[0], ReadyAddress: addresses[1],
-			PeerAddress: peers, Seeds: seeds, StoreAddress: store,
+			PeerAddress: peerAddress, Seeds: seeds, StoreAddress: store,
 		},
 	}
 	if p.frontend, err = NewLink(addresses[3], p.boot.CallerAddress); err != nil {
--- a/node/internal/soak/restarts.go
+++ b/node/internal/soak/restarts.go
@@ -12,7 +12,7 @@
 // own, so that they did not change the other events of a seed when they were added.
 const (
 	TargetRestart       Kind = "target-anew"   // a target's process ends, and another starts under its ID
-	StoreInvalidEntries Kind = "store-foreign" // another writer adds invalid entries to the targets'
+	StoreInvalidEntries Kind = "store-foreign" // another writer adds invalid target entries to the store
 )
 
 // meanRestartInterval is the mean time between two events that addRestartEvents draws.
--- a/node/internal/soak/soak.go
+++ b/node/internal/soak/soak.go
@@ -34,7 +34,8 @@
 	// settleTime, after the recovery check, lets calls end, reservations expire and watches
 	// report.
 	settleTime = 4 * time.Second
-	// recoveryTimeout is the users' bound for serving every route again after the last fault.
+	// recoveryTimeout is the bound that the users of doorstack set for serving every route again
+	// after the last fault.
 	recoveryTimeout = 12 * time.Second
 )
 
--- a/node/internal/soak/soak_test.go
+++ b/node/internal/soak/soak_test.go
@@ -30,9 +30,9 @@
 	size   Size
 	cause  string
 }{
-	{1, ciDuration, ciSize, "seen once, under load: prompts larger than one engine's memory were refused for 12 s although the engines were idle. A burst of failures had opened a circuit breaker for 30 s, and two of the three remaining engines could not be given heavy parts of prompts"},
+	{1, ciDuration, ciSize, "seen once, under load: prompts larger than one engine's memory were refused for 12 s although the engines were idle. A burst of failures had opened a circuit breaker for 30 s, and two of the three remaining engines could not be given heavy parts of prompts (see heavyPart in core/routing)"},
 	{1796283407082669558, 20 * time.Second, Size{Daemons: 5, Plain: 3, Engines: 6}, "a target that had asked for a backoff of 2 s restarted after 1.5 s and got 24 calls from one daemon in the rest of that time: the notice was dropped with the process that had sent it"},
-	{1796298812632783829, 20 * time.Second, Size{Daemons: 5, Plain: 3, Engines: 6}, "a target with a rate limit of 1.6 calls per second crashed and restarted, and got 31 calls in 4 s: the coordinator that learned of the restart from a report forgot the limit, and no answer reminded it since the limit had not changed"},
+	{1796298812632783829, 20 * time.Second, Size{Daemons: 5, Plain: 3, Engines: 6}, "a target with a rate limit of 1.6 calls per second crashed and restarted, and got 31 calls in 4 s: the coordinator that learned of the restart from a report forgot the limit, and daemons reported a limit to it only when the limit had changed"},
 }
 
 // ciSeeds are the seeds that CI runs besides the regressions, for ciDuration with ciSize.
--- a/node/internal/soak/testbed.go
+++ b/node/internal/soak/testbed.go
@@ -150,7 +150,8 @@
 	return r
 }
 
-// pickTemporaryRoute draws a temporary route that is in force, not yet added or just removed.
+// pickTemporaryRoute draws the number of a temporary route that is in force, not yet added or
+// just removed.
 func (tb *testbed) pickTemporaryRoute() int {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -293,7 +294,7 @@
 func (tb *testbed) injectTargetFault(ctx context.Context, e Event) {
 	tb.mu.Lock()
 	b := tb.backends[e.Selector%len(tb.backends)]
-	var half []*backend // every second target fails: daemons soon avoid a single one
+	var half []*backend // Half of the targets fail, because daemons soon avoid a single failing one.
 	for i, other := range tb.backends {
 		if i%2 == e.Selector%2 {
 			half = append(half, other)
@@ -388,10 +389,10 @@
 	if err := tb.addTarget(b.service); err != nil {
 		panic(err) // No free port was found.
 	}
-	if selector%2 == 0 { // Half of the targets announce it in the store.
+	if selector%2 == 0 { // In half of the events the target's entry in the store announces the drain.
 		tb.store.PutDraining(b.target.ID, b.link.Address(), b.service, targetSlots)
 		sleep(ctx, drainTime)
-	} else { // Of the others some announce it in their answers, and some not at all.
+	} else { // In the others the target's answers announce the drain, or nothing does.
 		b.updateNotices(func() { b.announceDraining = selector%4 == 1 })
 		sleep(ctx, drainTime)
 	}
