--- a/node/internal/standin/batch.go
+++ b/node/internal/standin/batch.go
@@ -55,8 +55,9 @@
 	}
 }
 
-// prefillPrompts prefills prompts up to the step's token budget. It returns the number
-// of prompt tokens read, and the sum over them of their preceding tokens in millions.
+// prefillPrompts prefills prompts up to the step's token budget. It returns the number of
+// prompt tokens read and, for the cost of attention, this number weighted: each token counts
+// as many times as there are millions of prompt tokens before the part read in this step.
 func (e *Engine) prefillPrompts() (read int64, weighted float64) {
 	const million = 1e6
 	budget := e.cost.StepTokenBudget
--- a/node/internal/standin/engine.go
+++ b/node/internal/standin/engine.go
@@ -21,7 +21,7 @@
 //	FixedStepTime + PerPromptToken*(prompt tokens read) + PerStream*(streams) +
 //	ContextPerMillion*(prompt tokens read)*(tokens before them, in millions)
 //
-// A step reads at most StepTokenBudget prompt tokens, in order of priority level.
+// A step reads at most StepTokenBudget prompt tokens, those of the lowest level first.
 type CostModel struct {
 	// FixedStepTime is the part of a step's time that does not depend on its work.
 	FixedStepTime time.Duration
@@ -34,8 +34,8 @@
 	ContextPerMillion time.Duration
 	// StepTokenBudget is the maximum number of prompt tokens read in a step.
 	StepTokenBudget int64
-	// MemoryTokens is the size of the KV cache in tokens, CacheTokens the maximum
-	// size of the prefix cache.
+	// MemoryTokens is the memory for the KV caches of requests, in tokens. CacheTokens is
+	// the maximum size of the prefix cache, which is counted separately.
 	MemoryTokens int64
 	CacheTokens  int64
 }
@@ -60,7 +60,8 @@
 	ReportLag time.Duration
 	// DropEveryNthEvent drops every Nth cache event; zero drops none.
 	DropEveryNthEvent int
-	// TruncateAfter ends each stream without an end chunk after this many tokens.
+	// TruncateAfter ends each stream, without an end chunk, before the token with this
+	// index in the answer; zero truncates no stream.
 	TruncateAfter int64
 	// ReorderChunks swaps adjacent chunks, DuplicateChunks sends each chunk twice.
 	ReorderChunks, DuplicateChunks bool
@@ -92,14 +93,14 @@
 	memoryTokens   int64  // memory allocated without a reservation
 	reservation    string // ID, or empty
 	nextIndex      int64  // index of the next token to emit
-	max            int64  // number of tokens of the answer
+	max            int64  // number of tokens of the answer, counted from index 0
 	prefixHashes   []uint64
 	ended          bool
 	failure        string
 	emitted        []string // texts of the generated tokens, from index firstIndex on
 	firstIndex     int64
 	changed        chan struct{} // closed and replaced at each change
-	prefillOnly    bool          // a part of a group's prompt: no token is generated
+	prefillOnly    bool          // reads a part of a prompt split over a group of engines; generates no token
 	awaitingMemory bool          // no memory has been allocated yet
 }
 
@@ -289,7 +290,7 @@
 		return &target.ErrorAnswer{Code: target.CodeUnknownID, Message: "unknown reservation"}
 	}
 	if s.promptTokens+s.max > r.Tokens {
-		return &target.ErrorAnswer{Code: target.CodeNoMemory, Message: "the part needs more memory than its reservation"}
+		return &target.ErrorAnswer{Code: target.CodeNoMemory, Message: "the part of the prompt and its answer need more memory than the reservation"}
 	}
 	s.awaitingMemory = false
 	s.reservation = reservation
--- a/node/internal/standin/enginehttp.go
+++ b/node/internal/standin/enginehttp.go
@@ -225,8 +225,8 @@
 	cancel  context.CancelFunc
 }
 
-// Listen serves a handler on address, or on a free loopback port if address is empty. The
-// server runs run, if not nil, and cancels its context when the server is closed.
+// Listen serves a handler on address, or on a free loopback port if address is empty. If run
+// is not nil, it runs in the background with a context that Close cancels.
 func Listen(address string, handler http.Handler, run func(context.Context)) (*Server, error) {
 	if address == "" {
 		address = "127.0.0.1:0"
--- a/node/internal/standin/inprocess.go
+++ b/node/internal/standin/inprocess.go
@@ -16,8 +16,8 @@
 	Prefixes     []uint64
 }
 
-// RunningJob is a job submitted to an engine. Its methods take no lock: they are for a
-// caller that also makes the engine's steps.
+// RunningJob is a job submitted to an engine. Its methods take no lock: call them only from
+// the goroutine that calls the engine's Step.
 type RunningJob struct {
 	engine *Engine
 	seq    *sequence
--- a/node/internal/standin/platform.go
+++ b/node/internal/standin/platform.go
@@ -16,14 +16,14 @@
 	mu            sync.Mutex
 	revision      int64
 	values        map[string]settings.Part
-	deletedAt     map[string]int64
+	deletedAt     map[string]int64 // settings revision of each key's deletion
 	hosts         hostlist.List
 	hostChangedAt map[string]int64 // host list revision of each host's last change
 	hostRemovedAt map[string]int64 // host list revision of each host's removal
 	changed       chan struct{}
 	calls         int64
 	faults        PlatformFaults
-	staleChanges  *settings.Changes
+	staleChanges  *settings.Changes // the answer of serveConfig while Stale is set, else nil
 }
 
 // PlatformFaults are the faults that the platform injects. The zero value injects none.
@@ -193,6 +193,8 @@
 	writeJSON(w, http.StatusOK, p.hostsChangedAfter(since))
 }
 
+// serveConfig answers with the settings changed after revision "since". If there are none, it
+// waits for a change, for at most the duration "wait" (long polling).
 func (p *Platform) serveConfig(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	since, _ := strconv.ParseInt(query.Get("since"), 10, 64)
--- a/node/internal/standin/prefixcache.go
+++ b/node/internal/standin/prefixcache.go
@@ -15,7 +15,7 @@
 	byRecency   []uint64
 }
 
-// matchedTokens returns the number of a prompt's first tokens that are cached, and marks
+// matchedTokens returns how many tokens at the beginning of a prompt are cached, and marks
 // their prefixes as used.
 func (c *prefixCache) matchedTokens(prefixes []uint64) int64 {
 	matched := int64(0)
--- a/node/internal/standin/report.go
+++ b/node/internal/standin/report.go
@@ -35,8 +35,8 @@
 	return r
 }
 
-// recordReport adds a report to the history from which Report answers with the lag. Of
-// the reports older than twice the lag it keeps only the newest; the lock is held.
+// recordReport adds a report to the history, in which Report looks for one as old as the lag.
+// Of the reports older than twice the lag it keeps only the newest; the lock is held.
 func (e *Engine) recordReport() {
 	if e.faults.ReportLag == 0 {
 		e.reportHistory = nil
