--- a/node/internal/fleet/fleet.go
+++ b/node/internal/fleet/fleet.go
@@ -62,7 +62,8 @@
 	Server *standin.Server
 }
 
-// Daemon is a running daemon.
+// Daemon is a daemon of a fleet with its entry in the host list. It runs from its start until
+// Stop, Kill or its own end.
 type Daemon struct {
 	*daemon.Daemon
 	Host     hostlist.Host
@@ -256,8 +257,9 @@
 // URL returns the base URL for callers.
 func (d *Daemon) URL() string { return "http://" + d.Config.Listen }
 
-// Join adds a daemon that reads its settings from another address. It calls prepare before
-// it starts the daemon, and does not wait until the daemon is ready.
+// Join adds a daemon that reads its settings from the configuration service at the address
+// configuration (host:port), and the host list from the fleet's platform. It calls prepare
+// before it starts the daemon, and does not wait until the daemon is ready.
 func (f *Fleet) Join(configuration string, prepare func(*Daemon)) (*Daemon, error) {
 	if err := f.addDaemon(len(f.Daemons)); err != nil {
 		return nil, err
--- a/node/internal/fleet/group_test.go
+++ b/node/internal/fleet/group_test.go
@@ -11,10 +11,11 @@
 	"doorstack.dev/node/internal/standin"
 )
 
-// currentTime returns the current time of a daemon's clock.
+// currentTime returns the current time. All daemons of a fleet use the system clock.
 func currentTime(*Daemon) time.Time { return time.Now() }
 
-// groupPrompt returns a prompt of more than twice an engine's memory, which needs a group.
+// groupPrompt returns a prompt of more than twice an engine's memory, so that a group of three
+// engines must process it, each a part.
 func groupPrompt() string { return promptText(1_000_000) }
 
 // TestGroupServesLongPrompt checks that a group of engines answers a prompt beyond the memory
@@ -42,20 +43,20 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go sendGroupPrompt(ctx, f.Daemons[0])
-	eventually(t, "parts are reserved", func() bool { return totalUsedTokens(f) > 450_000 })
+	eventually(t, "more memory is reserved than one engine has", func() bool { return totalUsedTokens(f) > 450_000 })
 	cancel()
 	awaitMemoryFreed(t, f)
 	awaitIdleDaemons(t, f)
 }
 
 // TestGroupAnswersAfterEngineFailure checks that the caller of a group gets a complete answer
-// when the engine of any part fails, by closing its connections or by not answering, and that
+// when any engine of the group fails, by closing its connections or by not answering, and that
 // the other engines free their memory afterwards.
 func TestGroupAnswersAfterEngineFailure(t *testing.T) {
 	t.Parallel()
 	for i := range 6 {
 		victim, hangs := i/2, i%2 == 1
-		t.Run(fmt.Sprintf("part %d hangs %v", victim+1, hangs), func(t *testing.T) {
+		t.Run(fmt.Sprintf("engine %d of the group hangs: %v", victim+1, hangs), func(t *testing.T) {
 			t.Parallel()
 			o := claraOptions(1, 6)
 			o.Cost.PerPromptToken *= 4
@@ -132,7 +133,7 @@
 	f := startFleet(t, o)
 	for _, victim := range f.Daemons[:2] {
 		go sendGroupPrompt(context.Background(), victim)
-		eventually(t, "parts are reserved", func() bool { return totalUsedTokens(f) > 450_000 })
+		eventually(t, "more memory is reserved than one engine has", func() bool { return totalUsedTokens(f) > 450_000 })
 		// After Kill no message of the daemon reaches an engine.
 		victim.Kill()
 		awaitMemoryFreed(t, f)
--- a/node/internal/fleet/helpers_test.go
+++ b/node/internal/fleet/helpers_test.go
@@ -29,8 +29,8 @@
 	return c
 }
 
-// claraOptions returns the options of a fleet with the example settings and one service in
-// three data centres.
+// claraOptions returns the options of a fleet with the example settings and one service. The
+// hosts are distributed over three data centres.
 func claraOptions(daemons, engines int) Options {
 	// The rate limit is raised so that it affects only the tests about limits.
 	settings := strings.ReplaceAll(string(examples.Clara), "requests_per_second: 50", "requests_per_second: 50000")
@@ -158,8 +158,8 @@
 }
 
 // chatWithRetry is like chat, but repeats the request while it is refused with status 429, as
-// callers do. On a busy host the owner of an account's limit may be late in granting a daemon
-// its share, which is not what the tests that use chatWithRetry check.
+// callers do. On a busy host the daemon that divides an account's limit among the daemons may
+// be late in granting a share, which is not what the tests that use chatWithRetry check.
 func chatWithRetry(t *testing.T, d *Daemon, key, prompt string, tokens int) reply {
 	t.Helper()
 	var r reply
@@ -271,9 +271,9 @@
 // newKey returns a new idempotency key that carries its creation time.
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
 
-// awaitWitnessAge waits until every witness has run long enough to grant a new key. A granted
-// key alone does not show this: three of five witnesses suffice for it, while the others may
-// still be too new.
+// awaitWitnessAge waits until every daemon, as a witness of idempotency keys, has run long
+// enough to grant a key created now. A successful call does not show this: it needs the grants
+// of only three of five witnesses, while the others may not have run long enough.
 func awaitWitnessAge(t *testing.T, f *Fleet) {
 	t.Helper()
 	running := time.Now() // All daemons have started by now.
--- a/node/internal/fleet/once_test.go
+++ b/node/internal/fleet/once_test.go
@@ -28,8 +28,9 @@
 }
 
 // TestDuplicatesAtAllDaemonsRunOnce checks that duplicates sent to all daemons run once and all
-// get the same answer. It runs in the state right after a daemon has joined: the owners of
-// limits raise no share for 8 s, and each daemon may run one of the account's 100 calls.
+// get the same answer. It runs in the state right after a daemon has joined: for 8 s no daemon's
+// share of an account's limit is raised, so that of the 100 calls that the account may run at
+// the same time, each daemon may run one.
 func TestDuplicatesAtAllDaemonsRunOnce(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, claraOptions(5, 1))
@@ -59,9 +60,9 @@
 	}
 }
 
-// TestCallWithUnknownOutcomeIsNotRunAgain checks that a call stays at one execution with an
-// unknown outcome, whichever daemon gets its retries, after the service executed the call and
-// closed the connection before or within its answer.
+// TestCallWithUnknownOutcomeIsNotRunAgain checks retries of a call that the service executed,
+// closing the connection before or within its answer. Whichever daemon gets a retry must not
+// run the call again and must answer that the outcome is unknown.
 func TestCallWithUnknownOutcomeIsNotRunAgain(t *testing.T) {
 	t.Parallel()
 	for name, faults := range map[string]standin.ServiceFaults{
@@ -80,7 +81,7 @@
 			checkSingleExecution(t, f, key, replies...)
 			for _, r := range replies {
 				if r.err == nil || r.err.Execution != "unknown" {
-					t.Errorf("got %s, want unknown", describe(r))
+					t.Errorf("call or retry: got %s, want execution unknown", describe(r))
 				}
 			}
 		})
@@ -97,7 +98,7 @@
 	key := newKey()
 	first := confirm(t, f.Daemons[0], key)
 	if first.err == nil || first.err.Execution != "not_run" {
-		t.Fatalf("got %s, want not_run", describe(first))
+		t.Fatalf("call refused by the service: got %s, want execution not_run", describe(first))
 	}
 	checkSingleExecution(t, f, key, first)
 	f.Services[0].SetFaults(standin.ServiceFaults{})
@@ -119,7 +120,7 @@
 	second := confirm(t, f.Daemons[1], key)
 	checkSingleExecution(t, f, key, first, second)
 	if second.err == nil || second.err.Execution != "unknown" {
-		t.Errorf("got %s, want unknown", describe(second))
+		t.Errorf("duplicate at another daemon: got %s, want execution unknown", describe(second))
 	}
 }
 
--- a/node/internal/fleet/operations_test.go
+++ b/node/internal/fleet/operations_test.go
@@ -14,7 +14,7 @@
 	"doorstack.dev/node/internal/testlog"
 )
 
-// revisions returns the settings revision in force at each daemon.
+// settingsRevisions returns the settings revision in force at each daemon.
 func (f *Fleet) settingsRevisions() []int64 {
 	var list []int64
 	for _, d := range f.Daemons {
@@ -47,6 +47,8 @@
 	second := put("deadline: 30s", "deadline: 31s")
 	eventually(t, "all daemons use the second revision", allAtRevision(f, second))
 	invalid := put("deadline: 30s", "deadlime: 31s")
+	// An invalid revision may not reach every daemon: only a few daemons of each data centre
+	// watch the configuration service.
 	eventually(t, "one of the first two daemons has rejected the invalid revision", func() bool {
 		return f.Daemons[0].Board.Settings.Rejected().Revision == invalid || f.Daemons[1].Board.Settings.Rejected().Revision == invalid
 	})
@@ -215,7 +217,7 @@
 	}
 	f.Daemons[0].Stop()
 	if e, _ := getExplanation(t, f.Daemons[1], r.requestID); !strings.Contains(e.Note, "did not answer") {
-		t.Errorf("note on a request of a stopped daemon is %q, want one that the daemon did not answer", e.Note)
+		t.Errorf("note on a request of a stopped daemon is %q, want one that contains \"did not answer\"", e.Note)
 	}
 }
 
@@ -263,6 +265,6 @@
 		}
 	})
 	if peak > limit || admitted == 0 || refused == 0 {
-		t.Fatalf("%d requests ran at the same time with a limit of %d, %d admitted, %d refused; want at most the limit, and some of both", peak, limit, admitted, refused)
+		t.Fatalf("%d requests ran at the same time with a limit of %d, %d admitted, %d refused; want at most the limit, and both admitted and refused requests", peak, limit, admitted, refused)
 	}
 }
--- a/node/internal/fleet/recovery_test.go
+++ b/node/internal/fleet/recovery_test.go
@@ -9,8 +9,9 @@
 )
 
 // TestDataCentreFailure checks that the remaining data centres complete their requests in
-// flight and serve new ones after all hosts of one data centre failed at once. Calls with an
-// idempotency key are served after the first failure; after the second they run at most once.
+// flight and serve new ones after all hosts of one data centre failed at once. A second data
+// centre then fails too. Calls with an idempotency key are served after the first failure;
+// after the second they run at most once.
 func TestDataCentreFailure(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, claraOptions(6, 6))
