--- a/node/internal/tryout/tryout.go
+++ b/node/internal/tryout/tryout.go
@@ -143,8 +143,8 @@
 }
 
 // maxAttempts bounds how often postWithRetry sends a request, and retryDelay is the pause
-// after a refusal: on a busy host the owner of an account's limit may be late in granting a
-// daemon its share.
+// after a refusal: on a busy host the daemon that divides an account's limit among the daemons
+// may be late in granting a share.
 const (
 	maxAttempts = 20
 	retryDelay  = 250 * time.Millisecond
