--- a/node/internal/coordbench/calls.go
+++ b/node/internal/coordbench/calls.go
@@ -15,14 +15,15 @@
 	// of its logarithm, and MaxPrompt the maximum length.
 	MeanPrompt, PromptSigma, MaxPrompt float64
 	// MeanEvents is the mean number of events of an answer, EventsSigma the standard deviation
-	// of its logarithm.
+	// of its logarithm. An event carries the tokens that a pass decodes for the call.
 	MeanEvents, EventsSigma float64
 	// Goal is the wanted time to the first event, GapGoal the longest wanted gap between two
 	// events, and Timeout how long a call may wait for its placement.
 	Goal, GapGoal, Timeout time.Duration
-	// Value is the value of a call of mean prompt length that is answered in time.
+	// Value is the value of a call of mean prompt length that is answered in time, in a unit
+	// common to all classes. A longer prompt has a higher value.
 	Value float64
-	// RateFactors are the factors of Rate in the odd and in the even periods of rateFactorPeriod.
+	// RateFactors are factors of Rate that alternate every rateFactorPeriod, index 0 first.
 	RateFactors [2]float64
 }
 
@@ -37,7 +38,8 @@
 	maxEventsFactor = 2.5
 )
 
-// abandonAfter returns how long a caller waits without any event before it disconnects.
+// abandonAfter returns how long a caller waits for the first or the next event before it disconnects.
+// The simulation only records this: the engines answer an abandoned call to its end.
 func (k *CallClass) abandonAfter() time.Duration { return max(2*time.Second, 4*k.Goal, 8*k.GapGoal) }
 
 // call is a simulated call and its progress. Times are since the start of the simulation.
@@ -51,7 +53,7 @@
 	value        float64
 
 	coordinator  *coordinator
-	attempt      int           // earlier attempts
+	attempt      int           // number of earlier attempts
 	sentAt       time.Duration // when the caller sent the current attempt
 	engine       *simEngine
 	pendingParts int // parts of the prompt that are not prefilled yet
@@ -108,7 +110,7 @@
 }
 
 // drawDataCentre draws the data centre where a call arrives. With MoveCallers, half of the calls in
-// the second half of the simulation arrive at the first data centre.
+// the second half of the simulation are moved from the data centre drawn to the first one.
 func (s *Setup) drawDataCentre(at time.Duration, rng *rand.Rand) int {
 	draw, moved := rng.IntN(s.DataCentres), rng.Float64() < 0.5
 	if s.MoveCallers && at >= s.Duration/2 && moved {
--- a/node/internal/coordbench/coordbench_test.go
+++ b/node/internal/coordbench/coordbench_test.go
@@ -76,8 +76,8 @@
 
 // TestTwoCoordinatorsServeAsMuchAsOne checks that two coordinators with 30 engines each serve as much
 // as one with 60 if daemons choose the less loaded of two, also when half of the callers move to one
-// data centre. If each daemon uses only the coordinator of its own data centre, the loss exceeds 0.03,
-// because 30 engines cannot prefill the long prompts of three quarters of the callers.
+// data centre. If each daemon uses only the coordinator of its own data centre, the value share is more
+// than 0.03 lower, because 30 engines cannot prefill the long prompts of three quarters of the callers.
 func TestTwoCoordinatorsServeAsMuchAsOne(t *testing.T) {
 	const seeds, load = 3, 1.15 // A little above the workload's own load, so that engines are short in the data centre that callers move to.
 	share := func(coordinators int, choice Choice) float64 {
@@ -91,9 +91,9 @@
 		return sum / seeds
 	}
 	one, two, home := share(1, HomeDataCentre), share(2, BetterOfTwo), share(2, HomeDataCentre)
-	t.Logf("value share: one coordinator %.3f, better of two %.3f, own data centre's of two %.3f", one, two, home)
+	t.Logf("value share: one coordinator %.3f, better of two coordinators %.3f, only the home one of two %.3f", one, two, home)
 	if one < 0.9 {
-		t.Errorf("value share of one coordinator is %.3f, want at least 0.9: the simulated load does not match the users' load", one)
+		t.Errorf("value share of one coordinator is %.3f, want at least 0.9: the simulated load is further above the pool's capacity than intended", one)
 	}
 	if two < one-0.03 {
 		t.Errorf("value share of two coordinators is %.3f, want at most 0.03 below the %.3f of one", two, one)
--- a/node/internal/coordbench/engine.go
+++ b/node/internal/coordbench/engine.go
@@ -1,7 +1,7 @@
-// Package coordbench simulates a pool of model engines in virtual time, whose calls are placed by
-// one coordinator that knows all engines, or by several that each know a part of them. Queueing
-// and placement are the daemon's own code (blackboard, core/routing); engines and callers are
-// simulated. The same seed gives the same results.
+// Package coordbench simulates a pool of model engines in virtual time. A coordinator is a daemon
+// that queues the pool's calls and places them on engines. Either one coordinator knows all engines,
+// or several each know a part of them. Queueing and placement are the daemon's own code (blackboard,
+// core/routing); engines and callers are simulated. The same seed gives the same results.
 //
 // The simulation measures how much worse a pool's calls are served when several daemons coordinate
 // the pool, and compares the ways in which a daemon can choose among the coordinators. The
@@ -22,8 +22,8 @@
 	timing *engine.Timing
 	// chunkTokens is the maximum number of prompt tokens that a step prefills.
 	chunkTokens int64
-	// parts are the pending prefills, in order: parts of split prompts go before whole prompts,
-	// the newest first.
+	// parts are the pending prefills, in order: first the parts of split prompts, from the newest
+	// to the oldest, then the whole prompts, from the oldest to the newest.
 	parts    []*promptPart
 	decoding []*call
 	busy     bool
@@ -48,8 +48,9 @@
 }
 
 // nextPass returns the length of the next pass and the parts whose prefill it completes. The
-// length is zero if there is nothing to do. A prompt whose prefill completes in a pass with decoding
-// requests has its first event at the end of the same pass.
+// length is zero if there is nothing to do. A whole prompt has its first event at the end of the
+// pass that completes its prefill if that pass has decoding requests, else at the end of the next
+// pass. For split prompts see finishPart.
 func (e *simEngine) nextPass() (length time.Duration, prefilled []*promptPart) {
 	if len(e.decoding) == 0 && len(e.parts) == 0 {
 		return 0, nil
--- a/node/internal/coordbench/overload_test.go
+++ b/node/internal/coordbench/overload_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// TestOverloadedPoolRefusesBeforeCallersLeave checks that, at 1.4 times the load that the engines can
-// prefill, audits that cannot be placed are refused before their callers give up: none of the callers
-// abandons its call in three simulations of 30 s, including the periods of many audits.
+// TestOverloadedPoolRefusesBeforeCallersLeave checks that, at 1.4 times the workload's call rates, more
+// than the engines can prefill, audits that cannot be placed are refused before their callers give up:
+// none of the callers abandons its call in three simulations of 30 s, including the periods of many
+// audits.
 func TestOverloadedPoolRefusesBeforeCallersLeave(t *testing.T) {
 	_, _, classes := simulateSeeds(t, &workloadCase{"overload", Dense(), 20, 1.4}, 30*time.Second, 3)
 	audits := classes["audit"]
--- a/node/internal/coordbench/result.go
+++ b/node/internal/coordbench/result.go
@@ -6,8 +6,8 @@
 type Result struct {
 	// ValueShare is the earned share of the value of all calls.
 	ValueShare float64
-	// WorstWindow is the lowest such share of the calls that arrived in one window of
-	// windowLength.
+	// WorstWindow is the lowest value share of any window of windowLength, where a call counts
+	// in the window in which it arrived.
 	WorstWindow float64
 	// Classes are the outcomes by name of the class.
 	Classes map[string]ClassResult
@@ -15,14 +15,14 @@
 
 // ClassResult is the outcome of the calls of one class.
 type ClassResult struct {
-	// Calls counts all calls. Refused includes those without a complete answer at the end of
-	// the simulation.
+	// Calls counts all calls; each is on time, late, refused or abandoned. Refused includes
+	// those without a complete answer at the end of the simulation.
 	Calls, OnTime, Late, Refused int
-	// LateByGap counts the late calls that missed only their gap goal, and Abandoned those
+	// LateByGap counts the late calls that missed only their gap goal, and Abandoned the calls
 	// whose callers disconnected.
 	LateByGap, Abandoned int
-	// OfferedValue is the value of all calls, and EarnedValue that of the answered ones, where
-	// late answers count with lateValueShare.
+	// OfferedValue is the value of all calls. EarnedValue is the value of the calls on time
+	// plus lateValueShare of the value of the late ones.
 	OfferedValue, EarnedValue float64
 }
 
--- a/node/internal/coordbench/simulation.go
+++ b/node/internal/coordbench/simulation.go
@@ -19,7 +19,8 @@
 type Choice string
 
 const (
-	// HomeDataCentre chooses the coordinator of the daemon's own data centre.
+	// HomeDataCentre chooses the home coordinator, that of the daemon's own data centre. If there
+	// are fewer coordinators than data centres, some data centres share one.
 	HomeDataCentre Choice = "home"
 	// Random chooses a coordinator at random.
 	Random Choice = "any"
@@ -50,7 +51,8 @@
 	messageDelay = time.Millisecond
 	// loadReportInterval is how often coordinators report their load to all daemons.
 	loadReportInterval = 250 * time.Millisecond
-	// dispatchInterval is how often a coordinator dispatches its queue without any event.
+	// dispatchInterval is how often a coordinator dispatches its queue even if no call arrives
+	// or makes progress.
 	dispatchInterval = 20 * time.Millisecond
 	// drainTime is the time after Setup.Duration in which answers may still complete.
 	drainTime = 20 * time.Second
@@ -216,8 +218,8 @@
 	sim.dispatch(c.coordinator)
 }
 
-// After the dispatch of a queue of throttleMinLength calls or more, the next dispatch waits for
-// throttleInterval, as in the daemon.
+// A queue of throttleMinLength calls or more is dispatched only if throttleInterval has passed since
+// the last dispatch, much as in the daemon, which counts the calls that the last dispatch left.
 const (
 	throttleMinLength = 8
 	throttleInterval  = 8 * time.Millisecond
@@ -250,7 +252,7 @@
 }
 
 // sendToEngines sends a placed call to its engines, by way of the daemon that requested the
-// placement. A call that the coordinator refused is retried or refused.
+// placement. If the coordinator refused the call, the caller may retry it (see retryOrRefuse).
 func (sim *simulation) sendToEngines(c *call, p *blackboard.Placement) {
 	if p.Decision.Verdict != routing.Place {
 		sim.retryOrRefuse(c)
@@ -307,7 +309,7 @@
 				sim.recordEvent(e, p.call)
 			}
 		}
-		e.busy = false // Cleared last, so that the next pass decodes all prompts that this pass has prefilled.
+		e.busy = false // Cleared last: finishPart must not start the next pass before all prefilled prompts are decoding.
 		sim.startPass(e)
 	})
 }
--- a/node/internal/coordbench/workloads.go
+++ b/node/internal/coordbench/workloads.go
@@ -12,8 +12,8 @@
 	// MemoryTokens is the memory in tokens, Slots the maximum number of concurrent requests.
 	MemoryTokens, Slots int64
 	// PrefillTokensPerMS is the number of prompt tokens prefilled in a millisecond, and
-	// PairsMSPerM the milliseconds added for a million pairs of a prompt token and a token
-	// before it.
+	// PairsMSPerM the milliseconds that attention adds for a million pairs of a prompt token
+	// and a token before it.
 	PrefillTokensPerMS, PairsMSPerM float64
 	// StepMS is the time of a step, PerSequenceMS the time that each decoding request adds to
 	// it, and ContextMSPerK the time that a thousand tokens of their contexts add.
@@ -45,8 +45,8 @@
 `, e.MemoryTokens, 1000*e.PrefillTokensPerMS, e.Slots, e.StepMS, e.PerSequenceMS, e.ContextMSPerK, e.PairsMSPerM, e.StepsPerPass))
 }
 
-// Spacious returns a workload for engines with ample memory: an audit fits into the memory of one
-// engine. An event has 80 tokens.
+// Spacious returns a workload for engines with ample memory: an audit, a call of the class with the
+// longest prompts, fits into the memory of one engine. An event has 80 tokens.
 func Spacious() *Workload {
 	return &Workload{
 		Engine: EngineKind{
@@ -110,10 +110,11 @@
 	return w
 }
 
-// ManySlots returns Dense with engines that have 24 slots, slow prefill and short events.
+// ManySlots returns Dense with engines that have 24 slots, slow prefill and short events. Answers have
+// as many tokens as Dense's, in more events.
 func ManySlots() *Workload {
 	w := Dense()
-	longer := 48.0 / 14
+	longer := 48.0 / 14 // Dense's tokens of an event, divided by this workload's.
 	w.Engine.Slots, w.Engine.StepsPerPass, w.Engine.PrefillTokensPerMS = 24, 14, 60
 	for i := range w.Classes {
 		w.Classes[i].Rate /= 3
@@ -122,7 +123,8 @@
 	return w
 }
 
-// FewSlots returns Dense with engines that have 6 slots and fast prefill, and with short answers.
+// FewSlots returns Dense with engines that have 6 slots, fast prefill and short events. Answers have
+// as many events as Dense's, and so fewer tokens.
 func FewSlots() *Workload {
 	w := Dense()
 	w.Engine.Slots, w.Engine.StepsPerPass, w.Engine.PrefillTokensPerMS = 6, 7, 300
