--- a/node/internal/policybench/policy.go
+++ b/node/internal/policybench/policy.go
@@ -30,7 +30,7 @@
 	recordMissedReport(engine int, now time.Time)
 }
 
-// placement is a request and the engine it is sent to.
+// placement is a request and the engine it is sent to. Only the request's ID must be set.
 type placement struct {
 	request *request
 	engine  int
@@ -152,7 +152,7 @@
 type baselinePolicy struct {
 	name         string
 	engines      int
-	lastEngine   int
+	lastEngine   int // counter for round_robin; the engine's index is its remainder by engines
 	rng          *rand.Rand
 	inFlight     []int
 	othersLoad   []int // requests of other daemons, by engine
@@ -207,7 +207,7 @@
 			}
 		}
 		return s.lessLoaded(s.rng.IntN(s.engines), s.rng.IntN(s.engines))
-	default:
+	default: // round_robin
 		for {
 			s.lastEngine++
 			if !s.unavailable[s.lastEngine%s.engines] {
--- a/node/internal/policybench/policy_test.go
+++ b/node/internal/policybench/policy_test.go
@@ -100,7 +100,8 @@
 	return list
 }
 
-// tableRow runs a setup with and without long prompts and returns a row of the table.
+// tableRow runs a setup with and without long prompts and returns a row of the table. The slowdown is
+// the p95 of the short prompts' times to first token, divided by that without long prompts.
 func tableRow(t *testing.T, s Setup) []string {
 	with := runInBubble(t, s)
 	alone := s
--- a/node/internal/policybench/run.go
+++ b/node/internal/policybench/run.go
@@ -27,7 +27,7 @@
 	Tree       *settings.Tree
 }
 
-// engineCount is the number of engines, as in the users' present pools.
+// engineCount is the number of engines, as in the present pools of the two users.
 const engineCount = 20
 
 // Result is the outcome of a run.
@@ -66,7 +66,7 @@
 	busy           []bool
 	killed         []bool
 	jobs           [][]*job
-	policies       []policy
+	policies       []policy // the policy of Setup.Policy, by daemon
 	requests       map[int]*request
 	lastCacheEvent [][]int64 // sequence number seen last, by daemon and engine
 }
@@ -83,8 +83,8 @@
 	placeInterval  = 50 * time.Millisecond
 	// drainTime is the time after Setup.Duration in which requests may still complete.
 	drainTime = 120 * time.Second
-	// missedReports is the number of reports that a killed engine misses each time it is polled,
-	// as many as a daemon waits for before it takes a target for dead.
+	// missedReports is the number of missed reports that each poll of a killed engine records: as
+	// many as make a daemon take a target for dead, so that the first poll is enough.
 	missedReports = 3
 )
 
@@ -109,8 +109,9 @@
 	return r.summarize()
 }
 
-// meanPromptWithLong returns the mean prompt length of the mix including long prompts,
-// so that a mix without them has the same stream of short prompts.
+// meanPromptWithLong returns the mean prompt length of the mix including long prompts.
+// Run derives the rate of requests from it, so that a mix without long prompts has the
+// same stream of short prompts.
 func (m Mix) meanPromptWithLong() float64 {
 	m.LongShare = drawnLongShare
 	return m.meanPrompt()
--- a/node/internal/policybench/workload.go
+++ b/node/internal/policybench/workload.go
@@ -1,7 +1,7 @@
-// Package policybench simulates the routing policy with stand-in engines in virtual
-// time and measures the times to first token. It compares the policy with simpler
-// ones on the same requests, whose mix is that of one of the two users. The same seed
-// gives the same results.
+// Package policybench simulates doorstack's routing policy with stand-in engines in
+// virtual time and measures the times to first token. It compares the policy with
+// simpler ones on the same requests, whose mix is that of one of the two users, Clara
+// and Kilnmark (see package examples). The same seed gives the same results.
 package policybench
 
 import (
@@ -80,9 +80,9 @@
 	daemonCount  = 6
 )
 
-// generateRequests draws the requests of a time at a rate per second. Where LongShare
-// is zero, long requests are still drawn and then dropped, so that leaving them out
-// does not change the short ones.
+// generateRequests draws the requests that arrive within length, at the given mean rate
+// per second. Where LongShare is zero, long requests are still drawn and then dropped,
+// so that leaving them out does not change the short ones.
 func (m Mix) generateRequests(rate float64, length time.Duration, seed uint64) []*request {
 	arrivals := rand.New(rand.NewPCG(seed, 1))
 	sizes := rand.New(rand.NewPCG(seed, 2))
@@ -127,7 +127,7 @@
 	return r
 }
 
-// uniquePrefixes returns prefix hashes for a prompt that no other prompt shares.
+// uniquePrefixes returns the prefix hashes of a prompt; no other prompt has the same hashes.
 func uniquePrefixes(id int, prompt int64) []uint64 {
 	var hashes []uint64
 	for i := 0; target.PrefixTokens(i) <= prompt && i < 24; i++ {
