--- a/node/cluster/verdicts.go
+++ b/node/cluster/verdicts.go
@@ -51,7 +51,7 @@
 func (c *Cluster) serveCrash(_ context.Context, from string, in poison.Crash) (empty, error) {
 	if found := c.Board.Poison.RecordCrash(in, time.Now()); found.Quarantined {
 		v := found.Verdict
-		c.Recorder.Log.Warn("call is quarantined", "call", in.Request.String(), "target", in.Target, "count", v.Count,
+		c.Recorder.Log.Warn("a call is quarantined", "call", in.Request.String(), "target", in.Target, "count", v.Count,
 			"reason", "several targets crashed under the call", "peer", from)
 		c.BroadcastVerdict(v)
 	}
@@ -78,7 +78,7 @@
 func (c *Cluster) serveTrial(_ context.Context, from string, request poison.Key) (bool, error) {
 	granted := c.Board.Poison.StartTrial(request, time.Now())
 	if granted {
-		c.Recorder.Log.Info("trial of a quarantined call is granted", "call", request.String(), "peer", from)
+		c.Recorder.Log.Info("a quarantined call is tried once more", "call", request.String(), "peer", from)
 	}
 	return granted, nil
 }
