--- a/node/api/body.go
+++ b/node/api/body.go
@@ -40,7 +40,7 @@
 
 // readBodyWithLimit is like readBody, with a size limit of most bytes.
 func (s *Server) readBodyWithLimit(w http.ResponseWriter, r *http.Request, most int64) (*requestBody, error) {
-	b, err := s.readLimited(w, r, most)
+	b, err := s.readBodyChunks(w, r, most)
 	if err != nil {
 		closeAfterAnswer(w)
 	}
@@ -53,7 +53,7 @@
 
 // readLimited reads the body of a request in chunks, up to most bytes. The caller releases the
 // returned body.
-func (s *Server) readLimited(w http.ResponseWriter, r *http.Request, most int64) (*requestBody, error) {
+func (s *Server) readBodyChunks(w http.ResponseWriter, r *http.Request, most int64) (*requestBody, error) {
 	if r.ContentLength > most {
 		return nil, tooLargeError(most)
 	}
