--- a/node/api/body.go
+++ b/node/api/body.go
@@ -38,9 +38,9 @@
 	return s.readBodyWithLimit(w, r, s.limits.MaxBody)
 }
 
-// readBodyWithLimit is like readBody, with a size limit of most bytes.
-func (s *Server) readBodyWithLimit(w http.ResponseWriter, r *http.Request, most int64) (*requestBody, error) {
-	b, err := s.readBodyChunks(w, r, most)
+// readBodyWithLimit is like readBody, for a body of at most limit bytes.
+func (s *Server) readBodyWithLimit(w http.ResponseWriter, r *http.Request, limit int64) (*requestBody, error) {
+	b, err := s.readBodyChunks(w, r, limit)
 	if err != nil {
 		closeAfterAnswer(w)
 	}
@@ -51,11 +51,11 @@
 // first read the rest of a rejected body, for as long as the caller takes to send it.
 func closeAfterAnswer(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
 
-// readLimited reads the body of a request in chunks, up to most bytes. The caller releases the
-// returned body.
-func (s *Server) readBodyChunks(w http.ResponseWriter, r *http.Request, most int64) (*requestBody, error) {
-	if r.ContentLength > most {
-		return nil, tooLargeError(most)
+// readBodyChunks reads a body of at most limit bytes in chunks. The returned body must be
+// released.
+func (s *Server) readBodyChunks(w http.ResponseWriter, r *http.Request, limit int64) (*requestBody, error) {
+	if r.ContentLength > limit {
+		return nil, tooLargeError(limit)
 	}
 	control := http.NewResponseController(w)
 	b := &requestBody{memory: s.bodyMemory}
@@ -64,7 +64,7 @@
 		// Extend the deadline only while the caller makes progress.
 		_ = control.SetReadDeadline(time.Now().Add(s.limits.ReadProgressTimeout))
 		n, err := io.ReadFull(r.Body, buffer)
-		if growErr := b.appendData(buffer[:n], most); growErr != nil {
+		if growErr := b.appendData(buffer[:n], limit); growErr != nil {
 			b.release()
 			return nil, growErr
 		}
--- a/node/api/body_test.go
+++ b/node/api/body_test.go
@@ -60,8 +60,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Closing the body would read an answer that is held open to its end. The connection
-	// is closed instead.
+	// The body is not closed, since that would wait for the rest of an answer that /hold
+	// delays until the test ends. The connection is closed instead.
 	text := make([]byte, 64)
 	n, _ := resp.Body.Read(text)
 	return string(text[:n])
--- a/node/api/budget.go
+++ b/node/api/budget.go
@@ -9,7 +9,7 @@
 	used  int64
 }
 
-// reserve reserves n bytes, or none of them, and reports whether it did.
+// reserve reserves n bytes and reports whether so many were free. If not, it reserves nothing.
 func (b *memoryBudget) reserve(n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -20,7 +20,7 @@
 	return true
 }
 
-// release returns n reserved bytes.
+// release frees n reserved bytes.
 func (b *memoryBudget) release(n int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/node/api/lag_test.go
+++ b/node/api/lag_test.go
@@ -25,7 +25,7 @@
 
 // TestLaggingDaemonRefusesCallsThatCannotMeetGoal checks that a daemon that lags in processing its
 // events refuses a call with a short goal at once and with Retry-After, does not refuse one with a
-// long goal, and does not refuse the first one again once the lag is over.
+// long goal, and no longer refuses calls with a short goal once the lag is over.
 func TestLaggingDaemonRefusesCallsThatCannotMeetGoal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tree, err := settings.Parse([]byte(goalSettings))
@@ -43,13 +43,13 @@
 			handler.ServeHTTP(w, r)
 			return w, time.Since(began)
 		}
-		wait := func(d time.Duration) {
+		addLagSample := func(d time.Duration) {
 			board.Lag.Begin(time.Now())
 			<-time.After(d)
 			board.Lag.End(time.Now())
 		}
-		wait(150 * time.Millisecond)
-		wait(150 * time.Millisecond)
+		addLagSample(150 * time.Millisecond)
+		addLagSample(150 * time.Millisecond) // A single long sample does not count as lag.
 		got, took := ask("/chat/x")
 		if got.Code != http.StatusServiceUnavailable || took != 0 || got.Header().Get("Retry-After") == "" || !strings.Contains(got.Body.String(), "overloaded") {
 			t.Errorf("call with a short goal: got %d %q after %v with Retry-After %q, want 503 overloaded at once with Retry-After", got.Code, got.Body, took, got.Header().Get("Retry-After"))
@@ -57,7 +57,7 @@
 		if got, _ := ask("/audit/x"); strings.Contains(got.Body.String(), "overloaded") {
 			t.Errorf("call with a goal of 4s: got %d %q, want it not refused as overloaded", got.Code, got.Body)
 		}
-		wait(time.Millisecond)
+		addLagSample(time.Millisecond)
 		if got, _ := ask("/chat/x"); strings.Contains(got.Body.String(), "overloaded") {
 			t.Errorf("call with a short goal after the lag: got %d %q, want it not refused as overloaded", got.Code, got.Body)
 		}
--- a/node/api/openai.go
+++ b/node/api/openai.go
@@ -137,8 +137,9 @@
 	return fault.New(fault.BadRequest, "the request body is invalid: "+err.Error(), "correct the JSON")
 }
 
-// promptText returns a conversation as a single text. Conversations that begin with the same
-// messages share a prefix of that text.
+// promptText returns a conversation as a single text: the content of a single message, or each
+// message with its role. Conversations of several messages share a prefix of the text if they begin
+// with the same messages.
 func promptText(messages []chatMessage) string {
 	if len(messages) == 1 {
 		return string(messages[0].Content)
--- a/node/api/paths.go
+++ b/node/api/paths.go
@@ -27,8 +27,8 @@
 	dialect target.Dialect
 }
 
-// PathHandler returns a handler for forwarded calls, whose headers are read and written in
-// the dialect d.
+// PathHandler returns a handler for forwarded calls. The dialect d reads and writes their headers
+// in the platform's format.
 func (s *Server) PathHandler(d target.Dialect) http.Handler {
 	return &pathServer{Server: s, dialect: d}
 }
@@ -106,8 +106,8 @@
 const drainingRetryAfter = 50 * time.Millisecond
 
 // beginCall admits a call and counts it as in flight. While the daemon is starting, the call
-// waits up to the limit that admission.Starting gives. After a nil error the caller must call
-// the blackboard's End once.
+// waits for at most admission.Starting.MaxWait. Each nil error needs one EndRequest of the
+// blackboard.
 func (s *pathServer) beginCall(c *pathCall) error {
 	if s.board.BeginForward() {
 		return nil
@@ -130,15 +130,15 @@
 		"retry the request").WithRetry(state.RetryAfter(rand.Float64())))
 }
 
-// checkLag refuses a call that cannot meet its route's goal because the daemon lags in
-// processing its own events.
+// checkLag refuses a call that cannot meet its path's goal for the time to the answer because
+// events that arrive at the daemon wait too long to be processed.
 func (s *pathServer) checkLag(c *pathCall) error {
 	check := admission.OverloadCheck{Lag: s.board.Lag.Sustained(time.Now()), Goal: c.path.Goal}
 	if !check.Refuse() {
 		return nil
 	}
 	return s.refuse(c, fault.New(fault.Overloaded,
-		fmt.Sprintf("this host is overloaded: events wait %v for its processor", check.Lag.Round(time.Millisecond)),
+		fmt.Sprintf("this host is overloaded: arrived events wait %v to be processed", check.Lag.Round(time.Millisecond)),
 		"retry; another host will serve the request").WithRetry(check.RetryAfter()))
 }
 
@@ -275,7 +275,7 @@
 	}
 }
 
-// Begin implements requestcontrol.AnswerWriter.
+// WriteHead implements requestcontrol.AnswerWriter.
 func (a *answerWriter) WriteHead(status int, h http.Header, length int64) {
 	a.headWritten = true
 	header := a.w.Header()
--- a/node/api/server.go
+++ b/node/api/server.go
@@ -1,8 +1,8 @@
 // Package api is the HTTP interface for callers: the OpenAI-compatible endpoints, plain services,
 // and calls that are forwarded by host name and path prefix.
 //
-// It authenticates callers, limits the size and memory of request bodies, decides whether the
-// daemon accepts a call (by its phase and its lag), resolves the route and the deadline, and
+// It authenticates callers, limits the size and memory of request bodies, decides from the
+// daemon's phase and overload whether it accepts a call, resolves the route and the deadline, and
 // writes the answer or the error of requestcontrol.Director, which runs the request.
 package api
 
@@ -42,7 +42,8 @@
 	// ReadProgressTimeout is the longest time in which the caller must send the next chunk of a
 	// body.
 	ReadProgressTimeout time.Duration
-	// WriteProgressTimeout is the longest time in which the caller must read a part of the answer.
+	// WriteProgressTimeout limits each write of a part of the answer, and so how slowly the caller
+	// may read.
 	WriteProgressTimeout time.Duration
 }
 
--- a/node/api/starting_test.go
+++ b/node/api/starting_test.go
@@ -58,8 +58,8 @@
 }
 
 // TestCallWaitIsBoundedWithoutSettings checks that a daemon that has just started refuses a call
-// before callers give up the connection, and that one that has had no settings for long refuses a
-// call at once.
+// before callers drop the connection, and that a daemon that has had no settings for 1.5 s refuses
+// a call at once. Each call is sent when the previous one has been refused.
 func TestCallWaitIsBoundedWithoutSettings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, handler := newStartingServer()
--- a/node/api/stream.go
+++ b/node/api/stream.go
@@ -54,7 +54,7 @@
 }
 
 // eventStream writes an answer as server-sent events, one for each token. The status is sent
-// with the first token, so that an earlier failure is answered with its own status. The JSON
+// with the first token, so that a failure before it is answered with its own status. The JSON
 // around the text is the same in each event and is encoded once.
 type eventStream struct {
 	x            *exchange
@@ -73,8 +73,8 @@
 
 // newEventStream returns a stream for the answer to call. A write that takes longer than
 // writeTimeout fails.
-func newEventStream(x *exchange, call *modelCall, writeStep time.Duration) (*eventStream, error) {
-	e := &eventStream{x: x, call: call, control: http.NewResponseController(x.w), writeTimeout: writeStep}
+func newEventStream(x *exchange, call *modelCall, writeTimeout time.Duration) (*eventStream, error) {
+	e := &eventStream{x: x, call: call, control: http.NewResponseController(x.w), writeTimeout: writeTimeout}
 	e.encoder = json.NewEncoder(&e.buffer)
 	e.encoder.SetEscapeHTML(false)
 	example, err := json.Marshal(e.newChunk(textPlaceholder, nil))
