--- a/node/daemon/daemon.go
+++ b/node/daemon/daemon.go
@@ -157,12 +157,13 @@
 	d.loops = append(d.loops, hosts.Run, reports.Run)
 }
 
-// feedMaxHold is how long the settings controller waits for a change of the feed. Waiting makes
-// no call to the store.
+// feedMaxHold is how long the settings controller waits for a change in the adapter's Settings.
+// The wait itself costs no call to the store, which only the adapter's Targets reads.
 const feedMaxHold = 5 * time.Second
 
 // provisionAdapter sets up the parts that differ on a platform: the directory of targets, the
-// exchange of forwarded calls, and the monitors of slowdown and lag.
+// exchanger that sends forwarded calls to targets, the poller of slow targets, and the monitor of
+// the daemon's lag.
 func (d *Daemon) provisionAdapter() {
 	d.settings.MaxHold = feedMaxHold
 	directory := &controller.Directory{Board: d.Board, Source: d.adapter.Targets, Recorder: d.recorder, ShouldWatch: d.shouldWatch, OnChange: d.cluster.HeartbeatNow, MaxHold: watch.HoldTime(d.adapter.StoreSettleTime)}
@@ -172,20 +173,21 @@
 	d.director.Placer = d.cluster.Placer
 	d.cluster.DisableLeases = true
 	d.director.Exchanger = target.NewExchanger(d.adapter.Dialect)
-	paces := &controller.SlowdownPoller{Board: d.Board, Exchanger: d.director.Exchanger, Recorder: d.recorder, Coordinates: d.cluster.Placer.Coordinates}
+	slowdowns := &controller.SlowdownPoller{Board: d.Board, Exchanger: d.director.Exchanger, Recorder: d.recorder, Coordinates: d.cluster.Placer.Coordinates}
 	lag := &controller.LagMonitor{Board: d.Board, Recorder: d.recorder}
-	d.loops = append(d.loops, lag.Run, directory.Run, d.director.Exchanger.Run, paces.Run)
+	d.loops = append(d.loops, lag.Run, directory.Run, d.director.Exchanger.Run, slowdowns.Run)
 }
 
-// onAdopt applies a new revision of the settings to the targets and announces it to the
-// neighbours.
+// onAdopt applies a new revision of the settings to the targets and announces it to peers with a
+// heartbeat.
 func (d *Daemon) onAdopt() {
 	d.Board.SyncTargets()
 	d.cluster.HeartbeatNow()
 }
 
-// shouldWatch reports whether this daemon watches the platform's store or the configuration
-// service, given the live members that it knows.
+// shouldWatch reports whether this daemon is one of the few that watch the source of settings and
+// targets, given the live members that it knows. Members on hosts with much processor capacity
+// (strong ones) are preferred.
 func (d *Daemon) shouldWatch() bool {
 	var living []membership.Member
 	for _, m := range d.Board.Members.Members() {
--- a/node/daemon/drain.go
+++ b/node/daemon/drain.go
@@ -35,8 +35,8 @@
 	close(d.drained)
 }
 
-// killMargin is how long before the process is killed a daemon with calls in flight exits, so that
-// its last log lines are written.
+// killMargin is how long before the platform kills the process the wait for calls in flight ends,
+// so that the last log lines are written.
 const killMargin = 200 * time.Millisecond
 
 // closeActiveCalls closes the connections of callers if calls are still in flight when the process
--- a/node/daemon/kratoslog.go
+++ b/node/daemon/kratoslog.go
@@ -11,23 +11,23 @@
 )
 
 // unusedSignal is a signal that the process never receives, as a daemon starts no child process.
-// Without any signal given, the library would handle all of them.
+// Without any signal given, Kratos would handle all of them.
 const unusedSignal = syscall.SIGCHLD
 
-// kratosLoggerOnce guards the library's logger, which is global in the process.
+// kratosLoggerOnce guards the logger of Kratos, which is global in the process.
 var kratosLoggerOnce sync.Once
 
-// setKratosLogger redirects the library's log lines to log. Only the first call has an effect.
+// setKratosLogger redirects the log lines of Kratos to log. Only the first call has an effect.
 func setKratosLogger(log *slog.Logger) {
 	kratosLoggerOnce.Do(func() { klog.SetLogger(kratosLogger{log}) })
 }
 
-// kratosLogger forwards the library's log lines to slog.
+// kratosLogger forwards the log lines of Kratos to slog.
 type kratosLogger struct {
 	log *slog.Logger
 }
 
-// Log implements the library's Logger interface.
+// Log implements the Logger interface of Kratos.
 func (l kratosLogger) Log(level klog.Level, keyvals ...any) error {
 	levels := map[klog.Level]slog.Level{
 		klog.LevelDebug: slog.LevelDebug,
--- a/node/daemon/servers.go
+++ b/node/daemon/servers.go
@@ -60,7 +60,7 @@
 		kratos.ID(d.Config.Name),
 		kratos.Server(servers...),
 		kratos.StopTimeout(stopTimeout),
-		// The library must not handle signals: it would stop the listeners at once,
+		// Kratos must not handle signals: it would stop the listeners at once,
 		// while the daemon drains before it stops them.
 		kratos.Signal(unusedSignal),
 	)
@@ -68,7 +68,7 @@
 }
 
 // newServer opens a listener for the config key and stores the actual address in *address, as its
-// port may be 0. The library's request timeout of one second is disabled, as requests have their
+// port may be 0. The request timeout of Kratos, one second, is disabled, as requests have their
 // own deadlines.
 func newServer(key string, address *string, handler http.Handler) (*khttp.Server, error) {
 	listener, err := net.Listen("tcp", *address)
@@ -82,7 +82,7 @@
 		khttp.Timeout(0),
 		khttp.StrictSlash(false),
 	)
-	// Bypass the library's router, which would redirect some paths to a cleaned form.
+	// Bypass the router of Kratos, which would redirect some paths to a cleaned form.
 	server.Handler = handler
 	server.ReadHeaderTimeout = readHeaderTimeout
 	return server, nil
