--- a/node/admin/admin.go
+++ b/node/admin/admin.go
@@ -62,7 +62,8 @@
 	Denied  int64 `json:"denied"`
 }
 
-// ShareStatus is the fraction of an account's limits that this daemon may use.
+// ShareStatus is the fraction of an account's limits that this daemon may use. Floor is the part of
+// it that needs no lease.
 type ShareStatus struct {
 	Account  string  `json:"account"`
 	Fraction float64 `json:"fraction"`
@@ -89,13 +90,14 @@
 	Adopted     time.Time            `json:"adopted,omitzero"`
 	Rejected    blackboard.Rejection `json:"rejected,omitzero"`
 	// StorePosition is the position up to which this daemon knows the targets' entries in the
-	// platform's store: era and revision, or the revision alone if the store has no eras.
+	// platform's store: era (it rises with each restore of the store) and revision, or the
+	// revision alone if the store has no eras.
 	StorePosition string `json:"store,omitempty"`
 	// Quarantined is the number of calls that no daemon sends because they crash targets.
 	Quarantined int                        `json:"quarantined,omitempty"`
 	InFlight    int64                      `json:"in_flight"`
-	Waiting     map[string]int             `json:"waiting"`
-	HostsRead   time.Time                  `json:"hosts_read,omitzero"`
+	Waiting     map[string]int             `json:"waiting"`             // requests by pool
+	HostsRead   time.Time                  `json:"hosts_read,omitzero"` // when the host list was read
 	Accounts    []blackboard.AccountStatus `json:"accounts"`
 	Targets     []blackboard.TargetStatus  `json:"targets"`
 	Explain     ExplainStatus              `json:"explain"`
@@ -127,7 +129,7 @@
 	Daemon string `json:"daemon"`
 	// Records are the decisions about the request, oldest first.
 	Records []decision.Record `json:"records"`
-	// Replays are the results of replaying Records, by index.
+	// Replays are the results of computing the decisions in Records again, by index.
 	Replays []decision.ReplayResult `json:"replays,omitempty"`
 	// Note says why there are no records, or which may be missing.
 	Note string `json:"note,omitempty"`
