--- a/node/report/page.go
+++ b/node/report/page.go
@@ -135,7 +135,7 @@
 		}
 		bars.Color, bars.Offset = plotutil.Color(q), vg.Length(q-1)*width
 		p.Add(bars)
-		p.Legend.Add([]string{"10 of 100", "50", "90"}[q], bars)
+		p.Legend.Add([]string{"10th percentile", "50", "90"}[q], bars)
 	}
 	for i := range s.Classes {
 		names = append(names, s.Classes[i].Name)
--- a/node/report/read.go
+++ b/node/report/read.go
@@ -15,8 +15,8 @@
 	"github.com/go-faster/errors"
 )
 
-// logLine holds the fields of a decision's or a start stage's log line, as node/telemetry writes
-// it.
+// logLine holds the fields of the log lines about decisions and start stages, as node/telemetry
+// writes them.
 type logLine struct {
 	Time                       time.Time      `json:"time"`
 	Message                    string         `json:"msg"`
