--- a/node/cmd/doorstack/status.go
+++ b/node/cmd/doorstack/status.go
@@ -59,7 +59,7 @@
 	for _, n := range s.Waiting {
 		waiting += n
 	}
-	_, _ = fmt.Fprintf(out, "in flight %d, waiting %d, explanations %d KB (%d dropped), keys held %d\n", s.InFlight, waiting, s.Explain.Bytes>>10, s.Explain.Evicted, s.Fleet.Claims.Keys)
+	_, _ = fmt.Fprintf(out, "in flight %d, waiting %d, decision records %d KB (%d evicted), idempotency keys %d\n", s.InFlight, waiting, s.Explain.Bytes>>10, s.Explain.Evicted, s.Fleet.Claims.Keys)
 	if s.StorePosition != "" || s.Quarantined > 0 {
 		_, _ = fmt.Fprintf(out, "store known to %s, calls quarantined %d\n", s.StorePosition, s.Quarantined)
 	}
