--- a/node/cmd/doorstack/explain.go
+++ b/node/cmd/doorstack/explain.go
@@ -18,7 +18,7 @@
 type explainCommand struct {
 	adminFlags
 	Request string `arg:"" help:"The request id, as in X-Request-Id."`
-	Replay  bool   `help:"Make each decision again from its record and compare."`
+	Replay  bool   `help:"Compute each decision again from its record and compare."`
 }
 
 // Run implements the command.
--- a/node/cmd/doorstack/main.go
+++ b/node/cmd/doorstack/main.go
@@ -11,16 +11,16 @@
 
 // cli is the command line.
 type cli struct {
-	Check    checkCommand     `cmd:"" help:"Check settings files whole, and print every problem with its place."`
-	Settings settingsCommand  `cmd:"" help:"Look at the settings tree."`
-	Explain  explainCommand   `cmd:"" help:"Tell why a request went where it went, waited or was refused."`
-	Status   statusCommand    `cmd:"" help:"Show a daemon and what it knows of the fleet."`
-	Targets  targetsCommand   `cmd:"" help:"Show the targets as a daemon sees them."`
-	Accounts accountsCommand  `cmd:"" help:"Show what client accounts use at a daemon."`
+	Check    checkCommand     `cmd:"" help:"Check settings files and print every problem with its position."`
+	Settings settingsCommand  `cmd:"" help:"Show the settings tree."`
+	Explain  explainCommand   `cmd:"" help:"Explain why a request was routed to its target, waited or was refused."`
+	Status   statusCommand    `cmd:"" help:"Show the status of a daemon and of the fleet as it knows it."`
+	Targets  targetsCommand   `cmd:"" help:"Show the targets as a daemon knows them."`
+	Accounts accountsCommand  `cmd:"" help:"Show the use by client accounts at a daemon."`
 	HashKey  hashKeyCommand   `cmd:"" help:"Print the hash of an API key read from standard input."`
-	Report   reportCommand    `cmd:"" help:"Make a page with plots of the daemons' logs."`
-	Try      tryCommand       `cmd:"" help:"Run the whole system on loopback with stand-ins, and show what it does."`
-	Standin  standinCommand   `cmd:"" help:"Run stand-ins for the platform and the targets, to try real daemons against."`
+	Report   reportCommand    `cmd:"" help:"Write a page with plots from the daemons' logs."`
+	Try      tryCommand       `cmd:"" help:"Run the whole system on loopback with stand-ins and show what it does."`
+	Standin  standinCommand   `cmd:"" help:"Run stand-ins for the platform and the targets, for trials of real daemons."`
 	Version  kong.VersionFlag `help:"Print the version and exit."`
 }
 
--- a/node/cmd/doorstack/settings.go
+++ b/node/cmd/doorstack/settings.go
@@ -74,7 +74,7 @@
 
 // settingsCommand groups the commands about the settings tree.
 type settingsCommand struct {
-	Effective effectiveCommand `cmd:"" help:"Show each value in force at a path, and the node that sets it."`
+	Effective effectiveCommand `cmd:"" help:"Show each value in effect at a path, and the node that sets it."`
 }
 
 // effectiveCommand shows the values in effect at a path of the tree.
--- a/node/cmd/doorstack/standin.go
+++ b/node/cmd/doorstack/standin.go
@@ -18,8 +18,8 @@
 // daemons.
 type standinCommand struct {
 	Settings string            `required:"" type:"path" placeholder:"FILE" help:"The settings document to publish."`
-	Listen   string            `default:"127.0.0.1:9000" help:"Where the platform's service listens; give loopback only."`
-	Daemon   map[string]string `placeholder:"NAME=IP:PORT" help:"A daemon for the host list, with its address for peers. Repeat it for each."`
+	Listen   string            `default:"127.0.0.1:9000" help:"The address that the platform's service listens on; use loopback only."`
+	Daemon   map[string]string `placeholder:"NAME=IP:PORT" help:"A daemon to list as a host, with its address for peers. May be repeated."`
 	Targets  int               `default:"3" help:"The number of targets of each pool."`
 	Region   string            `default:"pt" help:"The region of all hosts."`
 	Centre   string            `default:"lis-1" help:"The data centre of all hosts."`
--- a/node/cmd/doorstack/status.go
+++ b/node/cmd/doorstack/status.go
@@ -14,9 +14,9 @@
 // statusCommand shows the status of a daemon and its fleet.
 type statusCommand struct {
 	adminFlags
-	Watch   bool          `help:"Show it again and again until interrupted."`
-	Every   time.Duration `default:"1s" help:"The pause between two looks with --watch."`
-	Traffic bool          `help:"Show what the daemon exchanges with its peers, by kind of message."`
+	Watch   bool          `help:"Refresh the status until interrupted."`
+	Every   time.Duration `default:"1s" help:"The refresh interval with --watch."`
+	Traffic bool          `help:"Show the traffic between the daemon and its peers, by kind of message."`
 }
 
 // clearScreen is the terminal sequence that moves the cursor home and clears the screen.
--- a/node/cmd/doorstackd/main.go
+++ b/node/cmd/doorstackd/main.go
@@ -20,11 +20,11 @@
 
 // cli is the command line.
 type cli struct {
-	Config   string           `xor:"file" required:"" type:"path" placeholder:"FILE" help:"The daemon's own file: addresses, data centre, platform, peer keys."`
-	Platform bool             `xor:"file" required:"" help:"Run on the users' platform, whose settings file the environment names."`
-	Metrics  string           `placeholder:"PORT" help:"With --platform: the port for operators and metrics on the host's own address."`
+	Config   string           `xor:"file" required:"" type:"path" placeholder:"FILE" help:"The daemon's configuration file: addresses, data centre, platform, peer keys."`
+	Platform bool             `xor:"file" required:"" help:"Run on the users' platform. An environment variable names its settings file."`
+	Metrics  string           `placeholder:"PORT" help:"With --platform: the port for operators and metrics, on the host's own address."`
 	Check    bool             `help:"Check the file and exit."`
-	LogLevel slog.Level       `default:"info" help:"Least level of log lines: debug, info, warn or error."`
+	LogLevel slog.Level       `default:"info" help:"Lowest level to log: debug, info, warn or error."`
 	Version  kong.VersionFlag `help:"Print the version and exit."`
 }
 
