--- a/model/check.sh
+++ b/model/check.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Checks the specifications exhaustively, and checks the checks: without each
-# rule the checker must find a violation.
+# Verifies the specifications exhaustively, and verifies that each rule is needed:
+# with any rule removed the checker must find a violation.
 set -euo pipefail
 cd "$(dirname "$0")"
 
@@ -11,8 +11,8 @@
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 
-# verify SPEC [-DSWITCH...]: prints the number of errors found, and fails if the
-# search was not exhaustive.
+# verify SPEC [-DSWITCH...]: prints the number of errors found; fails if the search
+# ended without an error and was not exhaustive.
 verify() {
 	local spec=$PWD/$1
 	shift
@@ -31,8 +31,9 @@
 	)
 }
 
-# expect safe|violated SPEC [-DSWITCH...]: starts a check in the background, a few
-# at a time, so that all of them stay under two minutes and half of the memory.
+# expect safe|violated SPEC [-DSWITCH...]: starts a check in the background. At most
+# $parallel checks run at a time, so that the whole script takes less than two minutes
+# and half of the machine's memory.
 parallel=3
 expect() {
 	local want=$1
--- a/model/claim.pml
+++ b/model/claim.pml
@@ -1,24 +1,24 @@
 /*
- * At most once without a store: the claim protocol of core/claim.
+ * At-most-once sending without a store: the claim protocol of core/claim.
  *
- * One key, two claimers, hosts 0..3 that are witnesses. The host list changes
- * once, from {0,1,2} to {1,2,3}; majorities of the two need not meet: {0,1} and
- * {2,3}. Messages may be lost (a claimer skips a witness), delayed, and answered
- * in any order (each grant is a step of its own). Witnesses restart and forget,
- * twice at most. The key's time may run out, after which all have forgotten it.
- * Claimers may stand still anywhere.
+ * The model has one key, two claimers and hosts 0..3 that serve as witnesses. The host
+ * list changes once, from {0,1,2} to {1,2,3}; a majority of one list need not intersect
+ * a majority of the other: {0,1} and {2,3}. Messages may be lost (a claimer skips a
+ * witness), delayed, and answered in any order (each grant is a step of its own).
+ * Witnesses restart and lose their grants, at most twice in total. The key may expire,
+ * after which every witness has removed it. Claimers may pause at any step.
  *
  * docs/design/claims.md maps each step to its function in Go.
  *
  * Rules, each with a switch that removes it (spin -DNO_...):
- *   NO_BASE     a claim needs a majority in every list since the key's birth
+ *   NO_BASE     a claim needs a majority in every list since the key's creation
  *   NO_MAJORITY a claim needs a majority
  *   NO_ONCE     a witness grants a key to one attempt only
- *   NO_YOUNG    a restarted witness does not grant keys older than itself
- *   NO_PERMIT   a permit has ended before witnesses forget the key
+ *   NO_YOUNG    a restarted witness does not grant keys created before its start
+ *   NO_PERMIT   a permit expires before witnesses remove the key
  *   NO_FINAL    a claimer that gave up never sends
  *
- * ONE runs one claimer without faults, which must send: progress.
+ * ONE runs a single claimer without faults and checks progress: it must send.
  */
 
 #define HOSTS 4
@@ -30,49 +30,49 @@
 
 #define IN(l, w) ((w) >= (l) && (w) <= (l) + 2)
 
-byte list = 0;             /* the list in force */
-byte holder[HOSTS];        /* 0, or the claimer that has the key, plus one */
-bool young[HOSTS];         /* restarted since the key was born */
-bool over = false;         /* the key's time is over */
+byte currentList = 0;  /* the host list in force */
+byte holder[HOSTS];    /* 0, or the index of the claimer that holds the key, plus one */
+bool restarted[HOSTS]; /* the witness restarted after the key was created */
+bool expired = false;  /* the key has expired */
 byte restarts = 0;
 byte sent = 0;
 byte finished = 0;
 
 /* Witness.claim */
-inline ask(w, me, got) {
+inline requestGrant(w, me, granted) {
 	if
 #ifndef NO_ONCE
 	:: holder[w] != 0 && holder[w] != me + 1 -> skip
 #endif
 #ifndef NO_YOUNG
-	:: young[w] && holder[w] == 0 -> skip
+	:: restarted[w] && holder[w] == 0 -> skip
 #endif
-	:: else -> holder[w] = me + 1; got = got | (1 << w)
+	:: else -> holder[w] = me + 1; granted = granted | (1 << w)
 	fi
 }
 
 #define ALL 15
-#define HAS(got, w) (((got) >> (w)) & 1)
-#define WINS(got, l) (HAS(got, l) + HAS(got, l + 1) + HAS(got, l + 2) >= 2)
+#define HAS(granted, w) (((granted) >> (w)) & 1)
+#define MAJORITY(granted, l) (HAS(granted, l) + HAS(granted, l + 1) + HAS(granted, l + 2) >= 2)
 
 proctype Claimer(byte me) {
-	byte got = 0;
+	byte granted = 0;
 	byte w = 0;
 	byte asked = 0;
-	byte base = 0;
-	byte last;
+	byte firstList = 0;
+	byte lastList;
 	byte l;
-	bool wins = true;
+	bool won = true;
 
-	/* History.Sets: the lists from the key's birth to the one read last. The
-	   list that the claimer has read may lag behind the one in force. */
+	/* History.Sets: the lists from the key's creation to the latest one that the
+	   claimer has read, which may lag behind the list in force. */
 	atomic {
 		if
-		:: last = list
-		:: list > 0 -> last = list - 1
+		:: lastList = currentList
+		:: currentList > 0 -> lastList = currentList - 1
 		fi;
 #ifdef NO_BASE
-		base = last;
+		firstList = lastList;
 #endif
 	}
 	do
@@ -86,11 +86,11 @@
 			fi;
 			asked = asked | (1 << w);
 			if
-			:: w >= base && w <= last + 2 -> ask(w, me, got)
+			:: w >= firstList && w <= lastList + 2 -> requestGrant(w, me, granted)
 #ifndef ONE
 			:: true -> skip        /* the message or the answer is lost */
 #endif
-			:: !(w >= base && w <= last + 2) -> skip
+			:: !(w >= firstList && w <= lastList + 2) -> skip
 			fi;
 			w = 0
 		}
@@ -99,31 +99,31 @@
 
 	/* Claimer.State */
 	atomic {
-		l = base;
+		l = firstList;
 		do
-		:: l <= last ->
+		:: l <= lastList ->
 #ifdef NO_MAJORITY
-			wins = wins && (HAS(got, l) + HAS(got, l + 1) + HAS(got, l + 2) >= 1);
+			won = won && (HAS(granted, l) + HAS(granted, l + 1) + HAS(granted, l + 2) >= 1);
 #else
-			wins = wins && WINS(got, l);
+			won = won && MAJORITY(granted, l);
 #endif
 			l++
 		:: else -> break
 		od;
 		l = 0;
-		last = 0;
-		base = 0;
+		lastList = 0;
+		firstList = 0;
 		asked = 0
 	}
 	if
-	:: wins ->
-		/* Claimer.MaySend: checked last thing, in one step with the send. The
-		   permit ends long before any witness forgets the key. */
+	:: won ->
+		/* Claimer.MaySend: checked immediately before the send, in one step with it.
+		   The permit expires long before any witness removes the key. */
 		atomic {
 			if
 #ifndef NO_PERMIT
-			:: over -> skip
-			:: !over -> sent++
+			:: expired -> skip
+			:: !expired -> sent++
 #else
 			:: true -> sent++
 #endif
@@ -143,9 +143,9 @@
 		:: else -> break
 		od;
 #ifdef NO_FINAL
-		/* An answer that comes late is counted after all. */
+		/* An answer that arrives after the claimer gave up is counted. */
 		if
-		:: got != 0 -> sent++
+		:: granted != 0 -> sent++
 		:: true -> skip
 		fi
 #endif
@@ -158,23 +158,23 @@
 proctype Faults() {
 	byte w;
 	do
-	:: atomic { list == 0 && !over -> list = 1 }
+	:: atomic { currentList == 0 && !expired -> currentList = 1 }
 	:: atomic {
-		/* A witness restarts and forgets. */
+		/* A witness restarts and loses its grants. */
 		restarts < 2 ->
 		select(w : 0 .. 3);
 		restarts++;
 		holder[w] = 0;
-		young[w] = true
+		restarted[w] = true
 	   }
 	:: atomic {
-		/* The key's time is over: all forget it and, for a key without a date,
-		   would grant it again. */
-		!over ->
-		over = true;
+		/* The key expires: every witness removes it and, if the key has no creation
+		   time, would grant it again. */
+		!expired ->
+		expired = true;
 		w = 0;
 		do
-		:: w < HOSTS -> holder[w] = 0; young[w] = false; w++
+		:: w < HOSTS -> holder[w] = 0; restarted[w] = false; w++
 		:: else -> break
 		od
 	   }
--- a/model/coordinator.pml
+++ b/model/coordinator.pml
@@ -1,83 +1,84 @@
 /*
- * A call that is placed by the coordinator of its pool: node/cluster, placement.go at the
- * asker's side and coordinate.go at the coordinator's.
+ * Placement of a call by the coordinator of its pool: node/cluster, placement.go for the
+ * requester and coordinate.go for the coordinator.
  *
- * One call with one attempt, its asker, two coordinators of which the second is asked when
- * the first did not answer, and one target that may leave. Messages between daemons are
- * lost, or come late and in any order. The asker repeats a question that waits, decides
- * alone when nobody answered in time, sends the call, and tells whoever it asked of the
- * end. Coordinators count the call at the target from their placement to its end.
+ * The model has one call with one attempt, its requester, two coordinators of which the
+ * second is asked if the first did not answer, and one target that may leave. Messages
+ * between daemons may be lost, delayed and reordered. The requester repeats a pending
+ * request, decides without a coordinator if no answer came in time, sends the call, and
+ * reports its end to every coordinator that it asked. A coordinator counts the call at the
+ * target from its placement to its end.
  *
- * Advice is never what a rule rests on: the call is sent at most once, and not to a target
- * that the asker itself knows to leave. And in the end no coordinator counts a call that
- * is over.
+ * Safety never depends on a placement: the call is sent at most once, and not to a target
+ * that the requester itself knows to be leaving. Eventually no coordinator counts a call
+ * that has ended.
  *
- * Not in the model: what is advised, and the queue in which questions wait.
+ * Not in the model: which target is chosen, and the queue in which requests wait.
  *
  * Switches that remove a rule:
- *   NO_FORGET  an answer that comes after the asker went on by itself is dropped
- *   NO_CHECK   a placement is checked against the asker's own list of targets
- *   NO_SAME    a question that is repeated gets the same answer and counts once
- *   NO_EXPIRY  what is counted runs out after the call's deadline
+ *   NO_FORGET  an answer that arrives after the requester went on without it is dropped
+ *   NO_CHECK   a placement is checked against the requester's own list of targets
+ *   NO_SAME    a repeated request gets the same answer and is counted once
+ *   NO_EXPIRY  a counted call expires after its deadline
  */
 
 #define COORDINATORS 2
-#define QUESTIONS 3  /* how often the asker asks, repeats included */
-#define WIRE 3       /* messages under way from one daemon to another */
+#define MAX_REQUESTS 3  /* requests that the requester sends, repeats included */
+#define MAX_IN_FLIGHT 3 /* messages in flight from one daemon to another */
 
-mtype = { QUESTION, END };
-mtype = { ASKING, ALONE, SENT, OVER };
+mtype = { REQUEST, END };
+mtype = { WAITING, UNCOORDINATED, SENT, DONE };
 
-chan toCoordinator[COORDINATORS] = [WIRE] of { mtype };
-chan toAsker[COORDINATORS] = [WIRE] of { bool };
+chan toCoordinator[COORDINATORS] = [MAX_IN_FLIGHT] of { mtype };
+chan toRequester[COORDINATORS] = [MAX_IN_FLIGHT] of { bool };
 
-mtype asker = ASKING;
-byte asks = 0;           /* the coordinator that is asked now */
+mtype requesterState = WAITING;
+byte asked = 0; /* the coordinator that is asked now */
 byte counted[COORDINATORS];
 byte sends = 0;
-bool leaves = false;     /* the asker knows that the target leaves */
+bool targetLeaving = false; /* the requester knows that the target is leaving */
 
-inline tell(c, news) {
+inline transmit(c, message) {
 	if
-	:: nfull(toCoordinator[c]) -> toCoordinator[c] ! news
-	:: true -> skip      /* it is lost */
+	:: nfull(toCoordinator[c]) -> toCoordinator[c] ! message
+	:: true -> skip      /* the message is lost */
 	fi
 }
 
 inline send() {
 	sends++;
 	assert(sends <= 1);
-	asker = SENT
+	requesterState = SENT
 }
 
-proctype Asker() {
-	byte questions = 0, c;
+proctype Requester() {
+	byte requests = 0, c;
 	do
-	:: atomic { asker == ASKING && questions < QUESTIONS -> questions++; tell(asks, QUESTION) }
-	:: atomic { asker == ASKING && asks == 0 && questions > 0 -> tell(asks, END); asks = 1 }
-	:: atomic { asker == ASKING && asks == 1 && questions > 0 -> tell(asks, END); asker = ALONE }
-	:: atomic { asker == ASKING && toAsker[asks] ?? [true] ->
-		toAsker[asks] ?? true;
+	:: atomic { requesterState == WAITING && requests < MAX_REQUESTS -> requests++; transmit(asked, REQUEST) }
+	:: atomic { requesterState == WAITING && asked == 0 && requests > 0 -> transmit(asked, END); asked = 1 }
+	:: atomic { requesterState == WAITING && asked == 1 && requests > 0 -> transmit(asked, END); requesterState = UNCOORDINATED }
+	:: atomic { requesterState == WAITING && toRequester[asked] ?? [true] ->
+		toRequester[asked] ?? true;
 		if
 #ifndef NO_CHECK
-		:: leaves -> tell(asks, END); asker = ALONE
-		:: !leaves -> send()
+		:: targetLeaving -> transmit(asked, END); requesterState = UNCOORDINATED
+		:: !targetLeaving -> send()
 #else
-		:: true -> assert(!leaves); send()
+		:: true -> assert(!targetLeaving); send()
 #endif
 		fi }
 #ifdef NO_FORGET
-	:: atomic { asker != ASKING && toAsker[0] ?? [true] -> toAsker[0] ?? true; send() }
+	:: atomic { requesterState != WAITING && toRequester[0] ?? [true] -> toRequester[0] ?? true; send() }
 #endif
-	:: atomic { asker == ALONE -> send() }   /* it finds another target itself */
-	:: atomic { !leaves -> leaves = true }
-	:: atomic { asker == SENT -> tell(0, END); tell(1, END); asker = OVER; break }
+	:: atomic { requesterState == UNCOORDINATED -> send() }   /* the requester chooses another target itself */
+	:: atomic { !targetLeaving -> targetLeaving = true }
+	:: atomic { requesterState == SENT -> transmit(0, END); transmit(1, END); requesterState = DONE; break }
 	od
 }
 
 proctype Coordinator(byte me) {
 	do
-	:: atomic { toCoordinator[me] ?? [QUESTION] -> toCoordinator[me] ?? QUESTION;
+	:: atomic { toCoordinator[me] ?? [REQUEST] -> toCoordinator[me] ?? REQUEST;
 		if
 #ifndef NO_SAME
 		:: counted[me] > 0
@@ -89,21 +90,21 @@
 		fi;
 		assert(counted[me] <= 1);
 		if
-		:: nfull(toAsker[me]) -> toAsker[me] ! true
+		:: nfull(toRequester[me]) -> toRequester[me] ! true
 		:: true -> skip
 		fi }
 	:: atomic { toCoordinator[me] ?? [END] -> toCoordinator[me] ?? END; counted[me] = 0 }
 #ifndef NO_EXPIRY
-	:: atomic { asker == OVER && counted[me] > 0 && empty(toCoordinator[me]) -> counted[me] = 0 }
+	:: atomic { requesterState == DONE && counted[me] > 0 && empty(toCoordinator[me]) -> counted[me] = 0 }
 #endif
-	/* A coordinator that counts on for ever does not come to its end: a deadlock. */
-	:: atomic { asker == OVER && empty(toCoordinator[me]) && counted[me] == 0 -> break }
+	/* A coordinator that never stops counting the call does not terminate: a deadlock. */
+	:: atomic { requesterState == DONE && empty(toCoordinator[me]) && counted[me] == 0 -> break }
 	od
 }
 
 init {
 	atomic {
-		run Asker();
+		run Requester();
 		run Coordinator(0);
 		run Coordinator(1)
 	}
--- a/model/facts.pml
+++ b/model/facts.pml
@@ -1,145 +1,146 @@
 /*
- * Who is a living target, told by a store that may be away and by peers whose news may
- * be old: the table of core/hostlist.
+ * Which targets are alive, according to a store that may be unavailable and to peers whose
+ * updates may be outdated: the table of core/hostlist.
  *
- * One target, one store, two daemons of which one may restart once. Each change of the
- * target's entry has a revision. While the store is away the entry may run out though
- * the target lives; then it is back before the time of grace after the store's return is
- * over (the users' promise). The target may also leave for good. Daemons read the store
- * whenever it answers, and take in any fact that the other one ever told, in any order.
+ * The model has one target, one store, and two daemons of which one may restart once. Each
+ * change of the target's entry has a revision. While the store is down the entry may expire
+ * though the target is alive; the target then registers again within the grace period after
+ * the store's return, as the platform guarantees. The target may also leave for good.
+ * Daemons read the store whenever it answers, and receive any update that the other daemon
+ * ever published, in any order.
  *
- * Never is a living target taken as gone, nor one listed again by a fact older than its
- * removal; and in the end each daemon knows the truth.
+ * A living target is never taken as gone, and a target is never listed again by an update
+ * older than its removal; eventually each daemon has the correct state.
  *
- * Not in the model: an outage that no daemon notices (removals of many targets at once
- * are taken for one, by a share that the settings of the table give), and time in
- * seconds: GRACE stands for the store's return until the time of grace is over.
+ * Not in the model: an outage that no daemon notices (the table takes the removal of many
+ * targets at once for an outage, by a share that is a parameter of the table), and time in
+ * seconds: GRACE stands for the time from the store's return to the end of the grace period.
  *
  * Switches that remove a rule:
- *   NO_DOUBT     a removal around an outage is in doubt, and the target stays listed
- *   NO_READ      a doubt ends only at a daemon that has read the store since
- *   NO_SILENCE   a removal in doubt is not told to peers
- *   NO_WHOLE     what a read of the whole did not list is not taken from older facts
- *   NO_REVISION  an older fact does not replace a newer one
- *   NO_REMEMBER  the removal of a target that is not listed is remembered
- *   NO_TICK      a doubt ends after the time of grace
+ *   NO_DOUBT     a removal around an outage is unconfirmed, and the target stays listed
+ *   NO_READ      a removal is confirmed only by a daemon that has read the store since
+ *   NO_SILENCE   an unconfirmed removal is not published to peers
+ *   NO_WHOLE     a target missing from a full read is not added by older updates
+ *   NO_REVISION  an older update does not replace a newer one
+ *   NO_REMEMBER  the removal of a target that is not listed leaves a tombstone
+ *   NO_TICK      a removal is confirmed after the grace period
  */
 
 #define DAEMONS 2
-#define STEPS 5      /* what a daemon does before the store is at rest */
+#define STEPS 5 /* steps of a daemon before the store has settled */
 #define REVISIONS 5
 
-mtype = { UP, AWAY, GRACE, REST };
+mtype = { UP, DOWN, GRACE, SETTLED };
 
 mtype phase = UP;
 byte rev = 1;               /* the newest revision; the target is registered at 1 */
-bool up[REVISIONS];         /* whether the entry is there as of a revision */
-bool lives = true;
-bool ran = false;           /* the entry ran out and is not back */
+bool registered[REVISIONS]; /* whether the entry exists as of a revision */
+bool alive = true;
+bool expired = false; /* the entry expired and is not back */
 
-byte known[DAEMONS];        /* the revision of what a daemon believes */
+byte knownRev[DAEMONS]; /* the revision of the state that a daemon holds */
 bool listed[DAEMONS];
-byte doubted[DAEMONS];      /* the revision of a removal in doubt, or 0 */
-byte whole[DAEMONS];        /* the revision of its first read, which lists the whole */
-byte seen[DAEMONS];         /* the revision up to which it has read the store */
-bool fresh[DAEMONS];        /* it has read the store since the time of grace was over */
-byte gone[DAEMONS];         /* the newest removal that it took as true, in this life */
-bool told[DAEMONS * REVISIONS * 2]; /* facts that a daemon told, removals first */
+byte unconfirmed[DAEMONS];               /* the revision of an unconfirmed removal, or 0 */
+byte firstRead[DAEMONS];                 /* the revision of the first read, which is a full one */
+byte readUpTo[DAEMONS];                  /* the revision up to which the daemon has read the store */
+bool readAfterGrace[DAEMONS];            /* the daemon has read the store since the end of the grace period */
+byte tombstone[DAEMONS];                 /* the newest removal that the daemon confirmed since its start */
+bool published[DAEMONS * REVISIONS * 2]; /* updates that a daemon published, removals first */
 
-#define TOLD(d, r, v) told[((d) * REVISIONS + (r)) * 2 + (v)]
+#define PUBLISHED(d, r, v) published[((d) * REVISIONS + (r)) * 2 + (v)]
 
 inline change(v) {
 	rev++;
-	up[rev] = v
+	registered[rev] = v
 }
 
 proctype Store() {
-	bool left = false, away = false;
+	bool left = false, wasDown = false;
 	do
-	:: atomic { phase == UP && !away -> away = true; phase = AWAY }
-	:: atomic { phase == AWAY && up[rev] && !ran -> change(false); ran = true }
-	:: atomic { phase == AWAY -> phase = GRACE }
-	:: atomic { phase == GRACE && ran && lives -> change(true); ran = false }
-	:: atomic { phase == GRACE && !(ran && lives) -> phase = REST }
-	:: atomic { phase != AWAY && !left && lives && up[rev] -> left = true; lives = false; change(false) }
-	:: atomic { phase == AWAY && !left && ran -> left = true; lives = false }
-	:: atomic { phase == UP -> phase = REST; break }
-	:: phase == REST -> break
+	:: atomic { phase == UP && !wasDown -> wasDown = true; phase = DOWN }
+	:: atomic { phase == DOWN && registered[rev] && !expired -> change(false); expired = true }
+	:: atomic { phase == DOWN -> phase = GRACE }
+	:: atomic { phase == GRACE && expired && alive -> change(true); expired = false }
+	:: atomic { phase == GRACE && !(expired && alive) -> phase = SETTLED }
+	:: atomic { phase != DOWN && !left && alive && registered[rev] -> left = true; alive = false; change(false) }
+	:: atomic { phase == DOWN && !left && expired -> left = true; alive = false }
+	:: atomic { phase == UP -> phase = SETTLED; break }
+	:: phase == SETTLED -> break
 	od
 }
 
-inline confirm(d, r) {
-	assert(!lives);
+inline confirmRemoval(d, r) {
+	assert(!alive);
 	listed[d] = false;
-	known[d] = r;
+	knownRev[d] = r;
 	if
-	:: gone[d] < r -> gone[d] = r
+	:: tombstone[d] < r -> tombstone[d] = r
 	:: else
 	fi;
-	TOLD(d, r, 0) = true;
-	doubted[d] = 0 /* last, as r may stand for it */
+	PUBLISHED(d, r, 0) = true;
+	unconfirmed[d] = 0 /* last, because the argument r may be unconfirmed[d] itself */
 }
 
-inline list(d, r) {
-	assert(gone[d] < r);
+inline listTarget(d, r) {
+	assert(tombstone[d] < r);
 	listed[d] = true;
-	known[d] = r;
-	doubted[d] = 0;
-	TOLD(d, r, 1) = true
+	knownRev[d] = r;
+	unconfirmed[d] = 0;
+	PUBLISHED(d, r, 1) = true
 }
 
-/* Table.put */
-inline put(d, r) {
+/* Table.putIfNewer */
+inline putIfNewer(d, r) {
 	if
 #ifdef NO_REVISION
-	:: known[d] != r -> list(d, r)
+	:: knownRev[d] != r -> listTarget(d, r)
 #else
 #ifdef NO_WHOLE
-	:: r > known[d] && r > doubted[d] -> list(d, r)
+	:: r > knownRev[d] && r > unconfirmed[d] -> listTarget(d, r)
 #else
-	:: r > known[d] && r > doubted[d] && (known[d] > 0 || r > whole[d]) -> list(d, r)
-	:: known[d] == 0 && r <= whole[d] && phase != GRACE
-	:: known[d] == 0 && r <= whole[d] && phase == GRACE -> list(d, r); doubted[d] = whole[d]
+	:: r > knownRev[d] && r > unconfirmed[d] && (knownRev[d] > 0 || r > firstRead[d]) -> listTarget(d, r)
+	:: knownRev[d] == 0 && r <= firstRead[d] && phase != GRACE
+	:: knownRev[d] == 0 && r <= firstRead[d] && phase == GRACE -> listTarget(d, r); unconfirmed[d] = firstRead[d]
 #endif
 #endif
 	:: else
 	fi
 }
 
-/* Table.remove: a removal from the store, or, then sure, from a peer */
-inline remove(d, r, sure) {
+/* Table.removeEntry: a removal from the store, or a confirmed one from a peer */
+inline removeEntry(d, r, confirmed) {
 	if
-	:: r <= known[d]
-	:: r > known[d] && !listed[d] ->
+	:: r <= knownRev[d]
+	:: r > knownRev[d] && !listed[d] ->
 #ifdef NO_REMEMBER
-		if :: gone[d] < r -> gone[d] = r :: else fi
+		if :: tombstone[d] < r -> tombstone[d] = r :: else fi
 #else
-		confirm(d, r)
+		confirmRemoval(d, r)
 #endif
-	:: r > known[d] && listed[d] && (sure || phase != GRACE) -> confirm(d, r)
-	:: r > known[d] && listed[d] && !sure && phase == GRACE ->
+	:: r > knownRev[d] && listed[d] && (confirmed || phase != GRACE) -> confirmRemoval(d, r)
+	:: r > knownRev[d] && listed[d] && !confirmed && phase == GRACE ->
 #ifdef NO_DOUBT
-		confirm(d, r)
+		confirmRemoval(d, r)
 #else
-		if :: doubted[d] < r -> doubted[d] = r :: else fi;
+		if :: unconfirmed[d] < r -> unconfirmed[d] = r :: else fi;
 #ifdef NO_SILENCE
-		TOLD(d, r, 0) = true
+		PUBLISHED(d, r, 0) = true
 #endif
 #endif
 	fi
 }
 
-/* a read of the store, which brings what changed since the last one */
-inline read(d) {
+/* a read of the store, which returns the changes since the last read */
+inline readStore(d) {
 	if
-	:: seen[d] == rev
-	:: seen[d] < rev && up[rev] -> put(d, rev)
-	:: seen[d] < rev && !up[rev] && whole[d] == 0 && known[d] == 0 /* it lists only what is there */
-	:: seen[d] < rev && !up[rev] && (whole[d] > 0 || known[d] > 0) -> remove(d, rev, false)
+	:: readUpTo[d] == rev
+	:: readUpTo[d] < rev && registered[rev] -> putIfNewer(d, rev)
+	:: readUpTo[d] < rev && !registered[rev] && firstRead[d] == 0 && knownRev[d] == 0 /* a full read lists existing entries only */
+	:: readUpTo[d] < rev && !registered[rev] && (firstRead[d] > 0 || knownRev[d] > 0) -> removeEntry(d, rev, false)
 	fi;
-	if :: whole[d] == 0 -> whole[d] = rev :: else fi;
-	seen[d] = rev;
-	fresh[d] = (phase == REST)
+	if :: firstRead[d] == 0 -> firstRead[d] = rev :: else fi;
+	readUpTo[d] = rev;
+	readAfterGrace[d] = (phase == SETTLED)
 }
 
 /* Table.Tick */
@@ -147,16 +148,16 @@
 	if
 #ifndef NO_TICK
 #ifdef NO_READ
-	:: doubted[d] > 0 && phase == REST -> confirm(d, doubted[d])
+	:: unconfirmed[d] > 0 && phase == SETTLED -> confirmRemoval(d, unconfirmed[d])
 #else
-	:: doubted[d] > 0 && phase == REST && fresh[d] -> confirm(d, doubted[d])
+	:: unconfirmed[d] > 0 && phase == SETTLED && readAfterGrace[d] -> confirmRemoval(d, unconfirmed[d])
 #endif
 #endif
 	:: else
 	fi
 }
 
-inline hear(d, other) {
+inline receive(d, other) {
 	byte r = 1, v = 0;
 	if
 	:: r = 1
@@ -169,9 +170,9 @@
 	:: v = 1
 	fi;
 	if
-	:: !TOLD(other, r, v)
-	:: TOLD(other, r, v) && v == 1 -> put(d, r)
-	:: TOLD(other, r, v) && v == 0 -> remove(d, r, true)
+	:: !PUBLISHED(other, r, v)
+	:: PUBLISHED(other, r, v) && v == 1 -> putIfNewer(d, r)
+	:: PUBLISHED(other, r, v) && v == 0 -> removeEntry(d, r, true)
 	fi
 }
 
@@ -179,24 +180,24 @@
 	byte steps = 0;
 	bool restarted = (me == 0);
 	do
-	:: atomic { steps < STEPS && phase != AWAY -> steps++; read(me) }
-	:: atomic { steps < STEPS -> steps++; hear(me, 1 - me) }
+	:: atomic { steps < STEPS && phase != DOWN -> steps++; readStore(me) }
+	:: atomic { steps < STEPS -> steps++; receive(me, 1 - me) }
 	:: atomic { steps < STEPS -> steps++; tick(me) }
 	:: atomic { steps < STEPS && !restarted -> restarted = true;
-		known[me] = 0; listed[me] = false; doubted[me] = 0; gone[me] = 0; whole[me] = 0; seen[me] = 0; fresh[me] = false }
-	:: atomic { phase == REST -> break }
+		knownRev[me] = 0; listed[me] = false; unconfirmed[me] = 0; tombstone[me] = 0; firstRead[me] = 0; readUpTo[me] = 0; readAfterGrace[me] = false }
+	:: atomic { phase == SETTLED -> break }
 	od;
-	/* In the end: one more read, and the end of a doubt. */
+	/* Finally: one more read, after which an unconfirmed removal is confirmed. */
 	atomic {
-		read(me);
+		readStore(me);
 		tick(me);
-		assert(listed[me] == lives || lives != up[rev])
+		assert(listed[me] == alive || alive != registered[rev])
 	}
 }
 
 init {
 	atomic {
-		up[1] = true;
+		registered[1] = true;
 		run Store();
 		run Daemon(0);
 		run Daemon(1)
--- a/model/lease.pml
+++ b/model/lease.pml
@@ -1,40 +1,40 @@
 /*
- * One owner for each target, without a store: the lease protocol of core/lease.
+ * At most one owner for each target, without a store: the lease protocol of core/lease.
  *
- * Two daemons, three witnesses of which one may restart once, one target. Time is a counter that moves on by
- * itself, so anybody may stand still for any time at any step. A lease lasts TTL
- * at its owner, counted from before it asked, and TTL at each witness, counted
- * from its grant.
+ * The model has two daemons, three witnesses of which one may restart once, and one target.
+ * Time is a counter that advances independently, so any process may pause for any time at
+ * any step. A lease lasts TTL at its owner, counted from before its request, and TTL at
+ * each witness, counted from its grant.
  *
- * CHECKS: the target refuses an order with a number below the highest it saw;
- * orders may be on their way for any time.
- * IGNORES: it carries out every order. An order is then on its way for at most
- * SEND, after which its sender has closed the connection and the target gets it
- * no more; the last check, this bound and the new owner's wait protect it.
+ * CHECKS: the target refuses an order whose fencing token is below the highest it saw;
+ * orders may be in flight for any time.
+ * IGNORES: the target executes every order. An order is then in flight for at most SEND,
+ * after which its sender has closed the connection and the target no longer receives it;
+ * the check before the send, this bound and the new owner's wait protect the target.
  *
- * Never is an order carried out after one of a later owner, and no number is
- * used by two owners.
+ * An order is never executed after one of a later owner, and no token is used by two
+ * owners.
  *
  * Switches that remove a rule:
  *   NO_QUORUM    a lease needs a majority
  *   NO_YOUNG     a restarted witness grants nothing for TTL
- *   NO_CLOCK     (CHECKS) a number is the time of the claim, so that it rises
- *                from owner to owner without anybody's memory
- *   NO_FENCE     (CHECKS) the target compares numbers
- *   NO_LASTCHECK (IGNORES) the lease is checked last thing before the send
+ *   NO_CLOCK     (CHECKS) a token is the time of the request, so that it increases
+ *                from owner to owner without stored state
+ *   NO_FENCE     (CHECKS) the target compares tokens
+ *   NO_LASTCHECK (IGNORES) the lease is checked immediately before the send
  *   NO_WAITOUT   (IGNORES) a new owner waits SEND before its first order
  *
- * ONE runs one daemon without faults, which must have its order carried out.
+ * ONE runs one daemon without faults, whose order must be executed.
  */
 
 #ifdef IGNORES
 #define TTL 3
 #define END 5
-#define TRIES(me) 1
+#define MAX_ROUNDS(me) 1
 #else
 #define TTL 2
 #define END 4
-#define TRIES(me) (2 - me)
+#define MAX_ROUNDS(me) (2 - me)
 #endif
 #define SEND 1
 #ifdef ONE
@@ -44,104 +44,104 @@
 #endif
 
 byte now = 0;
-byte holder[3];       /* 0, or the owner plus one */
-byte until[3];        /* the grant ends */
-byte quiet[3];        /* restarted: grants nothing before this time */
+byte holder[3];       /* 0, or the index of the owner plus one */
+byte expires[3];      /* when the grant expires */
+byte refusesUntil[3]; /* the witness restarted and grants nothing before this time */
 
-byte targetFence = 0; /* the highest number that the target saw */
-byte lastFence = 0;   /* the number of the last order carried out */
-byte user[10];         /* who used a number, plus one */
-bool applied = false;
+byte targetToken = 0; /* the highest token that the target saw */
+byte lastToken = 0;   /* the token of the last order executed */
+byte tokenOwner[10];  /* the owner that used a token, plus one */
+bool executed = false;
 
 /* Witness.Acquire */
-inline ask(w, me, got) {
+inline acquire(w, me, grants) {
 	if
 #ifndef NO_YOUNG
-	:: now < quiet[w] -> skip
+	:: now < refusesUntil[w] -> skip
 #endif
-	:: holder[w] != 0 && holder[w] != me + 1 && now < until[w] -> skip
+	:: holder[w] != 0 && holder[w] != me + 1 && now < expires[w] -> skip
 	:: else ->
 		holder[w] = me + 1;
-		until[w] = now + TTL;
-		got++
+		expires[w] = now + TTL;
+		grants++
 	fi
 }
 
-inline round(w, me, got) {
+inline requestLease(w, me, grants) {
 	if
-	:: true -> ask(w, me, got)
+	:: true -> acquire(w, me, grants)
 #ifndef ONE
-	:: me == 0 -> skip   /* lost */
+	:: me == 0 -> skip   /* the message is lost */
 #endif
 	fi;
 	w++
 }
 
 proctype Owner(byte me) {
-	byte fence;
-	byte start;
-	byte ready;
-	byte got;
+	byte token;
+	byte roundStart;
+	byte acquiredAt;
+	byte grants;
 	byte w;
 	byte sentAt;
-	byte tries = 0;
+	byte rounds = 0;
 
 	do
-	:: now < END && tries < TRIES(me) ->
+	:: now < END && rounds < MAX_ROUNDS(me) ->
 		atomic {
-			tries++;
-			/* Owner.Start: the number is the time, never ahead of the clock */
+			rounds++;
+			/* Owner.StartRound: the token is the time, never later than the clock shows */
 #ifdef NO_CLOCK
-			fence = tries;
+			token = rounds;
 #else
-			fence = now + 1;
+			token = now + 1;
 #endif
-			start = now;
-			got = 0;
+			roundStart = now;
+			grants = 0;
 			w = 0
 		}
 		if
 		:: me == 0 ->
 			do
-			:: w < 3 -> atomic { round(w, me, got) }
+			:: w < 3 -> atomic { requestLease(w, me, grants) }
 			:: else -> break
 			od
 		:: else ->
 			/* The second daemon's round is one step, to bound the search; the
-			   first one's is taken apart around it. */
+			   first daemon's steps interleave with it. */
 			atomic {
 				do
-				:: w < 3 -> round(w, me, got)
+				:: w < 3 -> requestLease(w, me, grants)
 				:: else -> break
 				od
 			}
 		fi;
 		if
 #ifdef NO_QUORUM
-		:: got >= 1 ->
+		:: grants >= 1 ->
 #else
-		:: got >= 2 ->
+		:: grants >= 2 ->
 #endif
-			ready = now;
+			acquiredAt = now;
 #ifdef IGNORES
 #ifndef NO_WAITOUT
-			/* Owner.MayOrder: the old owner's last order has arrived by now */
-			(now > ready + SEND || now > END);
+			/* Owner.MayOrder: the previous owner's last order has arrived by now */
+			(now > acquiredAt + SEND || now > END);
 #endif
 #endif
 			/* Owner.MayOrder, checked in one step with the send */
 			atomic {
 				if
 #ifndef NO_LASTCHECK
-				:: now >= start + TTL || now > END -> sentAt = END + 1
-				:: now < start + TTL && now <= END ->
+				:: now >= roundStart + TTL || now > END -> sentAt = END + 1
+				:: now < roundStart + TTL && now <= END ->
 #else
 				:: now > END -> sentAt = END + 1
 				:: now <= END ->
 #endif
 					sentAt = now;
-					assert(user[fence] == 0 || user[fence] == me + 1);
-					user[fence] = me + 1
+					assert(tokenOwner[token] == 0 || tokenOwner[token] == me + 1);
+					tokenOwner[token] = me + 1
 				fi
 			}
 			/* The order arrives, late, or not at all. */
@@ -155,28 +155,28 @@
 					if
 #ifdef CHECKS
 #ifndef NO_FENCE
-					:: fence < targetFence -> skip
+					:: token < targetToken -> skip
 #endif
 #endif
 					:: else ->
-						assert(fence >= lastFence);
-						lastFence = fence;
-						applied = true;
+						assert(token >= lastToken);
+						lastToken = token;
+						executed = true;
 						if
-						:: fence > targetFence -> targetFence = fence
+						:: token > targetToken -> targetToken = token
 						:: else -> skip
 						fi
 					fi
 				:: else -> skip
 				fi;
 				sentAt = 0;
-				ready = 0
+				acquiredAt = 0
 			}
 		:: else -> skip
 		fi;
 		atomic {
-			start = 0;
-			got = 0;
+			roundStart = 0;
+			grants = 0;
 			w = 0
 		}
 	:: else -> break
@@ -195,8 +195,8 @@
 	if
 	:: atomic {
 		holder[1] = 0;
-		until[1] = 0;
-		quiet[1] = now + TTL
+		expires[1] = 0;
+		refusesUntil[1] = now + TTL
 	   }
 	:: true
 	fi
@@ -214,6 +214,6 @@
 	}
 #ifdef ONE
 	_nr_pr == 1;
-	assert(applied)
+	assert(executed)
 #endif
 }
--- a/model/membership.pml
+++ b/model/membership.pml
@@ -1,31 +1,32 @@
 /*
- * Who is alive, in a fleet that no list names: core/membership with an open table.
+ * Failure detection in a fleet without a host list: core/membership with an open table.
  *
- * Three daemons, one of them the seed of all. One may be cut off from the others and come back; one may end and start
- * again, with a clock that stands before or after the last one's; one may say that it
- * leaves, and goes on for a while. Whoever does not hear a daemon may declare it dead.
- * Rumors may be lost at any time: a daemon is only sure to hear what a peer tells it in an
- * exchange after a heartbeat whose digest differs, or when it looks for a lost one.
+ * The model has three daemons, one of them the seed of all. One may be partitioned from the
+ * others and reconnect; one may end and start again, with a clock before or after that of
+ * its previous start; one may announce that it leaves, and run on for a while. A daemon may
+ * declare dead any daemon that it does not hear. Rumors may be lost at any time: a daemon
+ * is only sure to receive what a peer sends in an exchange after a heartbeat with a
+ * different digest, or when it contacts a dead member again.
  *
- * In the end, when nobody is cut off and heartbeats go round, all that run know each
- * other as alive, and nobody knows as alive one that has ended or leaves.
+ * Once no daemon is partitioned and heartbeats are exchanged, all running daemons see each
+ * other as alive, and none sees as alive a daemon that has ended or is leaving.
  *
- * Not in the model: that the dead are forgotten after a minute, and who watches whom
- * (everybody may).
+ * Not in the model: the removal of dead members after a minute, and the choice of
+ * neighbours (any daemon may watch any other).
  *
  * Switches that remove a rule:
- *   NO_DENY    a daemon that hears of its own death denies it
- *   NO_RAISE   a denial has a higher incarnation than what it denies
+ *   NO_DENY    a daemon that receives a rumor of its own death refutes it
+ *   NO_RAISE   a refutation has a higher incarnation than the rumor
  *   NO_NEWER   a rumor replaces only an older one
- *   NO_DIGEST  daemons whose digests differ tell each other what they know; the program
- *              compares in 64 parts and tells of those that differ, the model has one part
- *   NO_LOST    daemons that were lost are looked for again
- *   NO_LEAVE   a daemon that leaves does not deny it
+ *   NO_DIGEST  daemons whose digests differ exchange their rumors; the program compares 64
+ *              buckets and sends those that differ, the model has one bucket
+ *   NO_LOST    dead members are contacted again
+ *   NO_LEAVE   a leaving daemon does not refute its departure
  */
 
 #define N 3
-#define STEPS 7   /* what happens before the network is whole again */
-#define ROUNDS 4  /* rounds of heartbeats after that */
+#define STEPS 7  /* steps before the partition heals and faults end */
+#define ROUNDS 4 /* rounds of heartbeats after that */
 
 #define NONE 0
 #define ALIVE 1
@@ -33,132 +34,132 @@
 #define LEFT 3
 
 #define NOBODY N
-#define SEED 1     /* the daemon that all know from their settings; it may end for good */
+#define SEED 1 /* the seed in the settings of all daemons; it may end for good */
 
-byte state[N * N];        /* what daemon i believes of x, at i * N + x */
+byte state[N * N]; /* the state of x as daemon i sees it, at i * N + x */
 byte incarnation[N * N];
-byte own[N];              /* a daemon's own incarnation */
+byte ownIncarnation[N]; /* a daemon's own incarnation */
 bool up[N];
 bool leaving[N];
-byte cut = NOBODY;        /* the daemon that is cut off */
+byte partitioned = NOBODY; /* the daemon that is partitioned from the others */
 
-#define OF(i, x) (i) * N + (x)
-#define REACHES(i, j) (up[i] && up[j] && cut != (i) && cut != (j))
+#define AT(i, x) (i) * N + (x)
+#define REACHES(i, j) (up[i] && up[j] && partitioned != (i) && partitioned != (j))
 
-/* Table.Receive: daemon d hears that m is in a state, as of an incarnation. */
+/* Table.Receive: daemon d receives a rumor about the state of m, as of an incarnation. */
 inline receive(d, m, st, inc) {
 	if
 	:: m == d ->
 		if
 #ifndef NO_DENY
 #ifdef NO_LEAVE
-		:: st != ALIVE && inc >= own[d]
+		:: st != ALIVE && inc >= ownIncarnation[d]
 #else
-		:: st != ALIVE && inc >= own[d] && !leaving[d]
+		:: st != ALIVE && inc >= ownIncarnation[d] && !leaving[d]
 #endif
 #ifdef NO_RAISE
-			-> own[d] = inc
+			-> ownIncarnation[d] = inc
 #else
-			-> own[d] = inc + 1
+			-> ownIncarnation[d] = inc + 1
 #endif
 #endif
 		:: else
 		fi
-	:: m != d && state[OF(d, m)] == NONE ->
+	:: m != d && state[AT(d, m)] == NONE ->
 		if
-		:: st == ALIVE -> state[OF(d, m)] = st; incarnation[OF(d, m)] = inc
+		:: st == ALIVE -> state[AT(d, m)] = st; incarnation[AT(d, m)] = inc
 		:: else
 		fi
-	:: m != d && state[OF(d, m)] != NONE ->
+	:: m != d && state[AT(d, m)] != NONE ->
 		if
 #ifdef NO_NEWER
 		:: true
 #else
-		:: inc > incarnation[OF(d, m)] || inc == incarnation[OF(d, m)] && st > state[OF(d, m)]
+		:: inc > incarnation[AT(d, m)] || inc == incarnation[AT(d, m)] && st > state[AT(d, m)]
 #endif
-			-> state[OF(d, m)] = st; incarnation[OF(d, m)] = inc
+			-> state[AT(d, m)] = st; incarnation[AT(d, m)] = inc
 		:: else
 		fi
 	fi
 }
 
-/* Table.Everybody: p tells q all that it knows. */
-inline tellAll(p, q) {
-	receive(q, p, ALIVE, own[p]);
+/* Table.AllRumors: p sends q everything that it knows. */
+inline sendAllRumors(p, q) {
+	receive(q, p, ALIVE, ownIncarnation[p]);
 	x = 0;
 	do
-	:: x < N && x != p && state[OF(p, x)] != NONE -> receive(q, x, state[OF(p, x)], incarnation[OF(p, x)]); x++
-	:: x < N && (x == p || state[OF(p, x)] == NONE) -> x++
+	:: x < N && x != p && state[AT(p, x)] != NONE -> receive(q, x, state[AT(p, x)], incarnation[AT(p, x)]); x++
+	:: x < N && (x == p || state[AT(p, x)] == NONE) -> x++
 	:: x == N -> break
 	od
 }
 
-/* Table.Digest: whether i and j list the same daemons as alive, themselves included */
-#define LISTS(i, k) ((i) == (k) || state[OF(i, k)] == ALIVE)
-#define SAME(i, j) (LISTS(i, 0) == LISTS(j, 0) && LISTS(i, 1) == LISTS(j, 1) && LISTS(i, 2) == LISTS(j, 2))
+/* Table.Digest: whether i and j see the same daemons as alive, themselves included */
+#define SEES_ALIVE(i, k) ((i) == (k) || state[AT(i, k)] == ALIVE)
+#define SAME_VIEW(i, j) (SEES_ALIVE(i, 0) == SEES_ALIVE(j, 0) && SEES_ALIVE(i, 1) == SEES_ALIVE(j, 1) && SEES_ALIVE(i, 2) == SEES_ALIVE(j, 2))
 
-/* a keeps a link to b, which it takes to be alive, and sends a heartbeat. */
+/* a has a link to b, which it sees as alive, and sends a heartbeat. */
 inline heartbeat(a, b) {
 	if
-	:: state[OF(b, a)] != NONE -> receive(b, a, ALIVE, own[a])
+	:: state[AT(b, a)] != NONE -> receive(b, a, ALIVE, ownIncarnation[a])
 	:: else
 	fi;
 #ifndef NO_DIGEST
 	if
-	:: !SAME(a, b) -> tellAll(b, a); tellAll(a, b)
+	:: !SAME_VIEW(a, b) -> sendAllRumors(b, a); sendAllRumors(a, b)
 	:: else
 	fi
 #endif
 }
 
-/* a introduces itself to b: a seed, or a daemon that was lost. */
+/* a introduces itself to b: a seed, or a dead member. */
 inline introduce(a, b) {
-	receive(b, a, ALIVE, own[a]);
-	tellAll(b, a)
+	receive(b, a, ALIVE, ownIncarnation[a]);
+	sendAllRumors(b, a)
 }
 
-#define ALONE(i) (state[OF(i, 0)] != ALIVE && state[OF(i, 1)] != ALIVE && state[OF(i, 2)] != ALIVE)
+#define ISOLATED(i) (state[AT(i, 0)] != ALIVE && state[AT(i, 1)] != ALIVE && state[AT(i, 2)] != ALIVE)
 
-/* What e does about f in its turn, if it reaches it. */
-inline turn(e, f) {
+/* What e does about f in its turn, if f is reachable. */
+inline contact(e, f) {
 	if
-	:: REACHES(e, f) && state[OF(e, f)] == ALIVE -> heartbeat(e, f)
+	:: REACHES(e, f) && state[AT(e, f)] == ALIVE -> heartbeat(e, f)
 #ifndef NO_LOST
-	:: REACHES(e, f) && state[OF(e, f)] == DEAD -> introduce(e, f)
+	:: REACHES(e, f) && state[AT(e, f)] == DEAD -> introduce(e, f)
 #endif
-	:: REACHES(e, f) && state[OF(e, f)] != ALIVE && f == SEED && ALONE(e) -> introduce(e, f)
+	:: REACHES(e, f) && state[AT(e, f)] != ALIVE && f == SEED && ISOLATED(e) -> introduce(e, f)
 	:: else
 	fi
 }
 
-inline declare(e, f) {
+inline declareDead(e, f) {
 	if
-	:: up[e] && state[OF(e, f)] == ALIVE && !REACHES(e, f) -> state[OF(e, f)] = DEAD
+	:: up[e] && state[AT(e, f)] == ALIVE && !REACHES(e, f) -> state[AT(e, f)] = DEAD
 	:: else
 	fi
 }
 
 inline restart(e, start) {
-	own[e] = start;
+	ownIncarnation[e] = start;
 	x = 0;
 	do
-	:: x < N -> state[OF(e, x)] = NONE; incarnation[OF(e, x)] = 0; x++
+	:: x < N -> state[AT(e, x)] = NONE; incarnation[AT(e, x)] = 0; x++
 	:: x == N -> break
 	od;
 	up[e] = true
 }
 
-/* What must hold in the end: i is right about j, if i runs and means to stay. */
-#define KNOWS(i, j) ((i) == (j) || !up[i] || leaving[i] || (state[OF(i, j)] == ALIVE) == (up[j] && !leaving[j]))
+/* The final condition: i is right about j, if i runs and is not leaving. */
+#define VIEW_CORRECT(i, j) ((i) == (j) || !up[i] || leaving[i] || (state[AT(i, j)] == ALIVE) == (up[j] && !leaving[j]))
 
 active proctype Fleet() {
 	byte steps = 0, round = 0, i, j, x;
-	bool wasCut = false, ended = false, left = false;
+	bool wasPartitioned = false, ended = false, left = false;
 	atomic {
-		/* In the beginning all know each other. */
+		/* Initially all daemons know each other. */
 		i = 0;
 		do
-		:: i < N -> up[i] = true; own[i] = 2; i++
+		:: i < N -> up[i] = true; ownIncarnation[i] = 2; i++
 		:: i == N -> break
 		od;
 		i = 0;
@@ -168,8 +169,8 @@
 		od
 	}
 	do
-	:: atomic { steps < STEPS && !wasCut -> wasCut = true; steps++; cut = 0 }
-	:: atomic { steps < STEPS && cut != NOBODY -> steps++; cut = NOBODY }
+	:: atomic { steps < STEPS && !wasPartitioned -> wasPartitioned = true; steps++; partitioned = 0 }
+	:: atomic { steps < STEPS && partitioned != NOBODY -> steps++; partitioned = NOBODY }
 	:: atomic { steps < STEPS && !ended -> ended = true; steps++; up[1] = false }
 	:: atomic { steps < STEPS && !up[1] -> steps++;
 		if
@@ -177,13 +178,13 @@
 		:: restart(1, 4)
 		fi }
 	:: atomic { steps < STEPS && !left -> left = true; steps++; leaving[2] = true;
-		if /* the rumor reaches anybody, or nobody */
+		if /* the rumor reaches one daemon, or none */
 		:: REACHES(2, 0) -> i = 0
 		:: REACHES(2, 1) -> i = 1
 		:: true -> i = NOBODY
 		fi;
 		if
-		:: i != NOBODY -> receive(i, 2, LEFT, own[2])
+		:: i != NOBODY -> receive(i, 2, LEFT, ownIncarnation[2])
 		:: i == NOBODY
 		fi }
 	:: atomic { steps < STEPS ->
@@ -191,20 +192,20 @@
 		if :: j = (i + 1) % N :: j = (i + 2) % N fi;
 		steps++;
 		if
-		:: true -> declare(i, j)
-		:: true -> turn(i, j)
+		:: true -> declareDead(i, j)
+		:: true -> contact(i, j)
 		fi }
 	:: steps == STEPS -> break
 	od;
 	atomic {
-		cut = NOBODY;
+		partitioned = NOBODY;
 		if
 		:: !up[1] -> restart(1, 1)
-		:: !up[1] && !left -> skip             /* it does not come back */
+		:: !up[1] && !left -> skip             /* the daemon does not come back */
 		:: up[1] -> skip
 		fi;
-		if /* one that leaves says so to whom it still reaches, and may end now */
-		:: leaving[2] -> receive(0, 2, LEFT, own[2]); receive(1, 2, LEFT, own[2])
+		if /* a leaving daemon announces it to those it still reaches, or has ended by now */
+		:: leaving[2] -> receive(0, 2, LEFT, ownIncarnation[2]); receive(1, 2, LEFT, ownIncarnation[2])
 		:: leaving[2] -> up[2] = false
 		:: !leaving[2] -> skip
 		fi;
@@ -214,7 +215,7 @@
 			i = round % N;
 			j = (i + 1) % N;
 			do
-			:: j != i -> declare(i, j); turn(i, j); j = (j + 1) % N
+			:: j != i -> declareDead(i, j); contact(i, j); j = (j + 1) % N
 			:: j == i -> break
 			od;
 			round++
@@ -223,7 +224,7 @@
 		i = 0;
 		do
 		:: i < N * N ->
-			assert(KNOWS(i / N, i % N));
+			assert(VIEW_CORRECT(i / N, i % N));
 			i++
 		:: i == N * N -> break
 		od
--- a/model/settings.pml
+++ b/model/settings.pml
@@ -1,78 +1,80 @@
 /*
- * Settings that spread from the store and from daemon to daemon as differences: Snapshot of
- * core/settings, catchUp of node/cluster.
+ * Propagation of settings from the store and between daemons as differences: Snapshot of
+ * core/settings, updateSettings of node/cluster.
  *
- * A text of two parts with three revisions, whose parts may change and change back; two
- * daemons, which read some of the revisions from the store, and ask each other for what
- * changed since their own. Answers are lost, come late, after the daemon has read the store or
- * started anew, and one of them has a part that is not what was sent. Once the store is at
- * rest, daemon 1 reaches its peer alone.
+ * The model has a document of two parts with three revisions, whose parts may change and
+ * change back, and two daemons, which read some of the revisions from the store and request
+ * from each other the changes since their own revision. Answers may be lost, or arrive after
+ * the daemon has read the store or restarted, and one of them has a corrupted part. Once the
+ * store has settled, daemon 1 reaches only its peer.
  *
- * What is in force has always the content of its revision, and a revision never goes back
- * within a daemon's life; in the end both have the newest.
+ * The content in force always matches its revision, and a revision never goes back while a
+ * daemon runs; eventually both daemons have the newest revision.
  *
- * That a difference from a newer revision than the one in force is refused has no switch: its
- * digest would not fit either, and asking for the whole at once saves the look.
+ * The rule that refuses a difference from a revision newer than the one in force has no
+ * switch: its digest would not match either; the rule only saves computing it before the
+ * full settings are requested.
  *
- * Not in the model: the checks of a text, which are the same everywhere, and deleted parts.
+ * Not in the model: the validation of a document, which is the same at all daemons, and
+ * deleted parts.
  *
  * Switches that remove a rule:
- *   NO_OLDER   what is no newer than the revision in force changes nothing
- *   NO_DIGEST  what does not lead to its sender's content is refused
- *   NO_WHOLE   where a difference was refused for that, the whole is asked for
+ *   NO_OLDER   a revision that is not newer than the one in force changes nothing
+ *   NO_DIGEST  a difference that does not yield its sender's content is refused
+ *   NO_WHOLE   after such a refusal the full settings are requested
  */
 
 #define DAEMONS 2
 #define NEWEST 3
-#define READS 2      /* reads of the store by each daemon before it is at rest */
-#define ASKS 1       /* questions to the peer before that */
-#define LAST_ASKS 2  /* and after: a difference, and the whole where that is refused */
+#define READS 2          /* reads of the store by each daemon before the store has settled */
+#define REQUESTS 1       /* requests to the peer before that */
+#define FINAL_REQUESTS 2 /* and after: a difference, and the full settings if that is refused */
 
 byte published = 0;
-bit text[2 * (NEWEST + 1)];    /* the parts of each revision */
-bool rest = false;
+bit content[2 * (NEWEST + 1)]; /* the parts of each revision */
+bool settled = false;
 
-byte rev[DAEMONS];             /* in force; 0 is a daemon that has none */
+byte rev[DAEMONS]; /* the revision in force; 0 if the daemon has none */
 bit part[2 * DAEMONS];
-byte changed[2 * DAEMONS];     /* the revision at which the daemon saw the part change */
-bool whole[DAEMONS];           /* the next question asks for the whole */
-bool garbled = false;
-byte life = 0;                 /* starts of daemon 1 */
+byte changed[2 * DAEMONS]; /* the revision at which the daemon saw the part change */
+bool needFull[DAEMONS];    /* the next request asks for the full settings */
+bool corrupted = false;
+byte restarts = 0; /* restarts of daemon 1 */
 
-/* since, revision, then for each part its revision (0: not in it) and value, then the content */
+/* since, revision, then for each part its revision (0: not included) and value, then the content */
 chan answers[DAEMONS] = [1] of { byte, byte, byte, bit, byte, bit, bit, bit };
 
-#define TEXT(r, p) text[2 * (r) + p]
+#define CONTENT(r, p) content[2 * (r) + p]
 #define PART(d, p) part[2 * (d) + p]
 #define CHANGED(d, p) changed[2 * (d) + p]
 
-inline inForce(d) {
-	assert(rev[d] == 0 || (PART(d, 0) == TEXT(rev[d], 0) && PART(d, 1) == TEXT(rev[d], 1)))
+inline checkContent(d) {
+	assert(rev[d] == 0 || (PART(d, 0) == CONTENT(rev[d], 0) && PART(d, 1) == CONTENT(rev[d], 1)))
 }
 
-/* A daemon reads the whole of the newest revision. */
-inline read(d) {
+/* A daemon reads the newest revision in full. */
+inline readStore(d) {
 	if
 	:: published > rev[d] ->
 		if
-		:: rev[d] == 0 || PART(d, 0) != TEXT(published, 0) -> CHANGED(d, 0) = published
+		:: rev[d] == 0 || PART(d, 0) != CONTENT(published, 0) -> CHANGED(d, 0) = published
 		:: else -> skip
 		fi;
 		if
-		:: rev[d] == 0 || PART(d, 1) != TEXT(published, 1) -> CHANGED(d, 1) = published
+		:: rev[d] == 0 || PART(d, 1) != CONTENT(published, 1) -> CHANGED(d, 1) = published
 		:: else -> skip
 		fi;
-		PART(d, 0) = TEXT(published, 0);
-		PART(d, 1) = TEXT(published, 1);
+		PART(d, 0) = CONTENT(published, 0);
+		PART(d, 1) = CONTENT(published, 1);
 		rev[d] = published
 	:: else -> skip
 	fi
 }
 
-/* Daemon d asks its peer, whose answer is on its way at once. */
-inline ask(d) {
-	since = (whole[d] -> 0 : rev[d]);
-	whole[d] = false;
+/* Daemon d sends a request to its peer, whose answer is in flight at once. */
+inline requestChanges(d) {
+	since = (needFull[d] -> 0 : rev[d]);
+	needFull[d] = false;
 	if
 	:: atomic { rev[1 - d] > since && nfull(answers[d]) ->
 		answers[d] ! since, rev[1 - d],
@@ -83,72 +85,73 @@
 	fi
 }
 
-/* take puts one part of an answer over the one in force: of a difference, the newer one. */
-inline take(p, r, v) {
+/* mergePart chooses between a part of an answer and the one in force; for a difference,
+   the newer of the two. */
+inline mergePart(p, r, v) {
 	if
-	:: r > 0 && v != PART(me, p) && (since == 0 || CHANGED(me, p) <= r) -> next[p] = v; at[p] = r
-	:: r > 0 && rev[me] == 0 -> next[p] = v; at[p] = r
-	:: else -> next[p] = PART(me, p); at[p] = CHANGED(me, p)
+	:: r > 0 && v != PART(me, p) && (since == 0 || CHANGED(me, p) <= r) -> merged[p] = v; mergedAt[p] = r
+	:: r > 0 && rev[me] == 0 -> merged[p] = v; mergedAt[p] = r
+	:: else -> merged[p] = PART(me, p); mergedAt[p] = CHANGED(me, p)
 	fi
 }
 
 inline apply() {
-	answers[me] ? since, to, r0, v0, r1, v1, w0, w1;
+	answers[me] ? since, toRev, r0, v0, r1, v1, c0, c1;
 	if
-	:: !garbled && !rest -> garbled = true; v0 = 1 - v0
+	:: !corrupted && !settled -> corrupted = true; v0 = 1 - v0
 	:: true -> skip
 	fi;
-	take(0, r0, v0);
-	take(1, r1, v1);
+	mergePart(0, r0, v0);
+	mergePart(1, r1, v1);
 	if
 #ifndef NO_OLDER
-	:: to <= rev[me] -> skip
+	:: toRev <= rev[me] -> skip
 #endif
 	:: since > rev[me] -> skip
 	:: else ->
 		if
 #ifndef NO_DIGEST
-		:: next[0] != w0 || next[1] != w1 ->
+		:: merged[0] != c0 || merged[1] != c1 ->
 #ifndef NO_WHOLE
-			whole[me] = true
+			needFull[me] = true
 #else
 			skip
 #endif
 #endif
 		:: else ->
-			assert(to >= rev[me]);
-			PART(me, 0) = next[0]; CHANGED(me, 0) = at[0];
-			PART(me, 1) = next[1]; CHANGED(me, 1) = at[1];
-			rev[me] = to;
-			inForce(me)
+			assert(toRev >= rev[me]);
+			PART(me, 0) = merged[0]; CHANGED(me, 0) = mergedAt[0];
+			PART(me, 1) = merged[1]; CHANGED(me, 1) = mergedAt[1];
+			rev[me] = toRev;
+			checkContent(me)
 		fi
 	fi
 }
 
 proctype Daemon(byte me) {
-	byte reads = 0, asks = 0, since, to, r0, r1;
-	bit v0, v1, w0, w1;
-	bit next[2];
-	byte at[2];
+	byte reads = 0, requests = 0, since, toRev, r0, r1;
+	bit v0, v1, c0, c1;
+	bit merged[2];
+	byte mergedAt[2];
 	do
-	:: atomic { !rest && reads < READS -> reads++; read(me); inForce(me) }
-	:: atomic { !rest && asks < ASKS -> asks++; ask(me) }
-	:: atomic { !rest && nempty(answers[me]) -> answers[me] ? _, _, _, _, _, _, _, _ }  /* it is lost */
+	:: atomic { !settled && reads < READS -> reads++; readStore(me); checkContent(me) }
+	:: atomic { !settled && requests < REQUESTS -> requests++; requestChanges(me) }
+	:: atomic { !settled && nempty(answers[me]) -> answers[me] ? _, _, _, _, _, _, _, _ }  /* the answer is lost */
 	:: atomic { nempty(answers[me]) -> apply() }
-	:: atomic { me == 1 && life == 0 && !rest -> life = 1; rev[1] = 0; whole[1] = false; PART(1, 0) = 0; PART(1, 1) = 0; CHANGED(1, 0) = 0; CHANGED(1, 1) = 0 }
-	:: atomic { rest -> asks = 0; reads = 0; break }
+	:: atomic { me == 1 && restarts == 0 && !settled -> restarts = 1; rev[1] = 0; needFull[1] = false; PART(1, 0) = 0; PART(1, 1) = 0; CHANGED(1, 0) = 0; CHANGED(1, 1) = 0 }
+	:: atomic { settled -> requests = 0; reads = 0; break }
 	od;
 	atomic {
 		if
-		:: me == 0 -> read(0); inForce(0)
+		:: me == 0 -> readStore(0); checkContent(0)
 		:: else -> skip
 		fi
 	};
 	do
 	:: atomic { rev[me] == NEWEST && empty(answers[me]) -> break }
 	:: atomic { nempty(answers[me]) -> apply() }
-	/* Whoever does not have the newest after so many questions never comes to its end. */
-	:: atomic { rev[0] == NEWEST && rev[me] < NEWEST && asks < LAST_ASKS && empty(answers[me]) -> asks++; ask(me) }
+	/* A daemon that lacks the newest revision after this many requests never terminates. */
+	:: atomic { rev[0] == NEWEST && rev[me] < NEWEST && requests < FINAL_REQUESTS && empty(answers[me]) -> requests++; requestChanges(me) }
 	od
 }
 
@@ -161,13 +164,13 @@
 	:: atomic { published < NEWEST ->
 		published++;
 		if
-		:: TEXT(published, 0) = 0
-		:: TEXT(published, 0) = 1
+		:: CONTENT(published, 0) = 0
+		:: CONTENT(published, 0) = 1
 		fi;
 		if
-		:: TEXT(published, 1) = 0
-		:: TEXT(published, 1) = 1
+		:: CONTENT(published, 1) = 0
+		:: CONTENT(published, 1) = 1
 		fi }
-	:: atomic { published == NEWEST -> rest = true; break }
+	:: atomic { published == NEWEST -> settled = true; break }
 	od
 }
