--- a/bench/regression.sh
+++ b/bench/regression.sh
@@ -1,8 +1,10 @@
 #!/usr/bin/env bash
-# Scores the sites that a change must not harm, one after the other, and prints each site's
-# score and gate. KIT names the folder of the users' sites, BENCH their bench, WHY goes into
-# the journal. Daily, the large site is played as small twins; with LANDING=1 its large days
-# are played too, one at a time: each is some 300 processes and 3 GB.
+# Scores the sites used for regression checks, one after the other, and prints each site's
+# score and gate. Environment variables: KIT is the folder of the users' sites, BENCH the
+# program of their bench, WHY the reason recorded in the journal (default: "Regression run"),
+# JOBS the number of parallel runs (default: 3). The large site is run in its small version;
+# LANDING=1 also runs its large days, one at a time, as each takes some 300 processes and
+# 3 GB of memory.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 why=${WHY:-Regression run}
