--- a/test.sh
+++ b/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Checks everything: format, linter, model, tests with the race detector (fuzz
-# seeds included). Installs what it needs and is not there.
+# Runs all checks: format, linter, model, tests with the race detector (fuzz seeds
+# included). Installs the linter and the model checker if they are missing.
 set -euo pipefail
 cd "$(dirname "$0")"
 
@@ -25,14 +25,14 @@
 	bash model/check.sh
 fi
 
-# Tests that fail for a fault that is known and not mended are passed over: KNOWN-RED.txt
-# holds one a line, the test's name first, then its cause and its issue.
+# Tests that fail because of a known unfixed fault are skipped. KNOWN-RED.txt lists them,
+# one per line: the name of the test, then the cause and the issue.
 skip=()
 if [ -s KNOWN-RED.txt ]; then
-	echo "== known red, passed over"
+	echo "== skipped tests with known failures"
 	cat KNOWN-RED.txt
 	if [ "$(wc -l <KNOWN-RED.txt)" -gt 3 ]; then
-		echo "KNOWN-RED.txt has more than three lines; mend one first"
+		echo "KNOWN-RED.txt has more than three lines; fix one of the tests first"
 		exit 1
 	fi
 	skip=(-skip "^($(cut -d' ' -f1 KNOWN-RED.txt | paste -sd'|'))\$")
