--- a/core/storeread/storeread.go
+++ b/core/storeread/storeread.go
@@ -127,9 +127,9 @@
 	return hostlist.NewPosition(max(0, r.era-1), revision)
 }
 
-// ReadPosition returns the position up to which the store has been read; full tells whether the
-// last read was a full one. After a full read of a settled era the position is above those of all
-// changes up to the same revision.
+// ReadPosition returns the position up to which the store has been read. If full is true, the last
+// call of the store was a full read. After a full read of a settled era the position is above those
+// of all changes up to the same revision.
 func (r *Reader) ReadPosition(full bool, now time.Time) hostlist.Position {
 	at := hostlist.NewPosition(r.era, r.cursor)
 	if full && r.settled(now) && r.era > hostlist.FirstEra {
