--- a/core/fault/fault.go
+++ b/core/fault/fault.go
@@ -142,7 +142,7 @@
 }
 
 // From returns the typed failure that err wraps. Any other error becomes Internal with
-// Unknown execution, since the error does not tell whether the request ran.
+// Unknown execution, since an untyped error does not state whether the request ran.
 func From(err error) *Error {
 	var typed *Error
 	if errors.As(err, &typed) {
