--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -19,7 +19,8 @@
 	"doorstack.dev/core/engine"
 )
 
-// State is the stage of a target's life cycle, which tells whether it takes requests.
+// State is the stage of a target's life cycle. It determines whether the target takes new
+// requests.
 type State uint8
 
 // The states of a target.
