--- a/core/hostlist/table.go
+++ b/core/hostlist/table.go
@@ -149,7 +149,8 @@
 }
 
 // completeUpTo returns the position up to which the update leaves no change unknown to the table.
-// The argument tells whether the update's removals are unconfirmed or it may lack lost writes.
+// If unconfirmed is true, the update's removals are not confirmed yet, or it may lack writes that
+// were lost when the store was restored.
 // An update from a peer (Confirmed) is complete up to its AsOf only, as it may hold later changes
 // although the peer withholds unconfirmed removals. Changes from the store come in order, so they
 // are complete up to the newest; Revision accounts for unconfirmed removals among them.
