--- a/node/cluster/fetch.go
+++ b/node/cluster/fetch.go
@@ -14,10 +14,10 @@
 
 const (
 	// fetchTimeout bounds a fetch from a peer. fetchIdleTimeout ends it earlier if nothing
-	// arrives for so long, unless the peer has failed lately: an overloaded or unreachable
-	// peer must not delay the fetch from another one, since settings have to be in force 2 s
-	// after their publication. As long as parts of an answer arrive the fetch goes on, since
-	// the bytes already sent would be wasted otherwise.
+	// arrives for so long, unless a fetch from the peer failed within the last slowPeerPenalty:
+	// an overloaded or unreachable peer must not delay the fetch from another one, since
+	// settings have to be in force 2 s after their publication. As long as parts of an answer
+	// arrive the fetch goes on, since the bytes already sent would be wasted otherwise.
 	fetchTimeout     = 5 * time.Second
 	fetchIdleTimeout = 600 * time.Millisecond
 	// slowPeerPenalty is how long a peer that did not answer a fetch ranks behind all
@@ -109,8 +109,8 @@
 }
 
 // takeBest empties the queue, so that reports do not pile up during a fetch, and returns
-// the best of its reports and the given one: the newest, with peers that failed lately
-// ranked last.
+// the best of its reports and the given one: the newest, with reports of slow peers ranked
+// last as long as another peer's report is newer than this daemon's revision.
 func (f *fetcher) takeBest(best heartbeatReport) heartbeatReport {
 	now := time.Now()
 	for {
@@ -131,7 +131,7 @@
 
 // candidate is a peer from which this daemon may fetch.
 type candidate struct {
-	// slow is true for a peer that did not answer a fetch lately.
+	// slow is true for a peer from which a fetch failed within the last slowPeerPenalty.
 	slow     bool
 	revision int64
 }
@@ -164,7 +164,7 @@
 	return err
 }
 
-// isSlow reports whether a peer did not answer a fetch lately.
+// isSlow reports whether a fetch from the peer failed within slowPeerPenalty before now.
 func (f *fetcher) isSlow(name string, now time.Time) bool { return now.Before(f.slowUntil[name]) }
 
 // watchHeadStart is how long a daemon waits for its own watch of the store to bring what a
--- a/node/cluster/fetch_test.go
+++ b/node/cluster/fetch_test.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// TestSlowPeerIsChosenIfOnlyItHasAnUpdate checks that a peer that failed lately is asked
-// where no other has a newer revision.
+// TestSlowPeerIsChosenIfOnlyItHasAnUpdate checks that a peer marked as slow after a failed
+// fetch is still chosen if no other peer has a revision newer than this daemon's.
 func TestSlowPeerIsChosenIfOnlyItHasAnUpdate(t *testing.T) {
 	c := newTestPlacer(t, 1).cluster
 	f := c.settingsFetcher
