--- a/node/onplatform/answers_test.go
+++ b/node/onplatform/answers_test.go
@@ -204,9 +204,9 @@
 	}
 }
 
-// TestRestartedStreamIsNotJoined covers a second target that does not resume a broken stream but
+// TestRestartedStreamIsNotAppended covers a second target that does not resume a broken stream but
 // starts again from the first event: the caller does not get events twice.
-func TestRestartedStreamIsNotJoined(t *testing.T) {
+func TestRestartedStreamIsNotAppended(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	f.scriptFirstCall(standin.AnswerStream(1, 3, true), standin.AnswerStream(1, 6, false))
 	got := f.do(f.newRequest(streamPath))
--- a/node/onplatform/limit_simulation_test.go
+++ b/node/onplatform/limit_simulation_test.go
@@ -23,12 +23,12 @@
 )
 
 // The platform's rule for declared rate limits: from limitLearnTime after a daemon first relayed a target's
-// limit, the target may get in any limitWindow at most limitShare times the calls that the limit allows
+// limit, the target may get in any limitWindow at most limitFactor times the calls that the limit allows
 // plus limitSlack. Only calls count that come at least relayLeadTime after their daemon relayed the limit.
 const (
 	limitLearnTime = 3 * time.Second
 	limitWindow    = 4 * time.Second
-	limitShare     = 1.5
+	limitFactor    = 1.5
 	limitSlack     = 5
 	relayLeadTime  = 500 * time.Millisecond
 )
@@ -250,7 +250,7 @@
 				passTime(6 * time.Second)
 				cancel()
 				end()
-				allowed := int(limitShare*c.perSecond*limitWindow.Seconds() + limitSlack)
+				allowed := int(limitFactor*c.perSecond*limitWindow.Seconds() + limitSlack)
 				for id, target := range f.targets {
 					if most := target.maxCallsInWindow(); most > allowed {
 						t.Errorf("%s got %d calls in %v, want %d at most", id, most, limitWindow, allowed)
--- a/node/onplatform/not_executed_test.go
+++ b/node/onplatform/not_executed_test.go
@@ -17,11 +17,11 @@
 	return false
 }
 
-// TestNoNotExecutedStatusAfterLostAnswer covers a target that executes a call and whose answer is
+// TestExecutedCallIsNotReportedAsNotExecuted covers a target that executes a call and whose answer is
 // lost; the second target then rejects the call, asks to wait, drains or answers 503. Whatever ends
 // the second attempt, the caller must not be told that its call was not executed: the caller would
 // repeat the work of the first attempt, or count it as not done.
-func TestNoNotExecutedStatusAfterLostAnswer(t *testing.T) {
+func TestExecutedCallIsNotReportedAsNotExecuted(t *testing.T) {
 	lost := map[string]func(http.ResponseWriter, *http.Request, standin.Call){
 		"closed":    standin.CloseConnection,
 		"truncated": standin.Truncate,
