--- a/node/onplatform/answers_test.go
+++ b/node/onplatform/answers_test.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestDaemonWithoutConfigurationAnswers503 checks that a daemon without a configuration answers 503
-// with Retry-After instead of rejecting the API key or the path, which it cannot judge, and it is not
-// ready.
+// TestDaemonWithoutConfigurationAnswers503 checks that a daemon without a configuration is not ready and
+// answers 503 with Retry-After. It cannot tell whether the call's API key and path are valid, so that
+// the answer must not be 401 or 404.
 func TestDaemonWithoutConfigurationAnswers503(t *testing.T) {
 	f := &fleet{t: t, store: standin.NewStore(), client: http.DefaultClient, targets: map[string]*standin.Target{}}
 	d := f.addDaemon(0)
@@ -78,12 +78,12 @@
 		status int
 		signed bool
 	}{
-		"closed":             {standin.CloseConnection, 502, false},
-		"500":                {standin.Answer(500, "no"), 500, true},
-		"503 without notice": {standin.Answer(503, "no"), 502, false},
-		"429 without notice": {standin.Answer(429, "no"), 502, false},
-		"truncated":          {standin.Truncate, 502, false},
-		"unsigned":           {standin.AnswerUnsigned, 502, false},
+		"closed":                     {standin.CloseConnection, 502, false},
+		"500":                        {standin.Answer(500, "no"), 500, true},
+		"503 without X-Not-Executed": {standin.Answer(503, "no"), 502, false},
+		"429 without X-Not-Executed": {standin.Answer(429, "no"), 502, false},
+		"truncated":                  {standin.Truncate, 502, false},
+		"unsigned":                   {standin.AnswerUnsigned, 502, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 1, 2)
@@ -132,7 +132,7 @@
 func TestSafeCallIsRetriedAtAnotherTarget(t *testing.T) {
 	for name, first := range map[string]func(http.ResponseWriter, *http.Request, standin.Call){
 		"closed": standin.CloseConnection, "500": standin.Answer(500, "no"), "truncated": standin.Truncate,
-		"rejected": standin.Reject, "503 without notice": standin.Answer(503, "no"),
+		"rejected": standin.Reject, "503 without X-Not-Executed": standin.Answer(503, "no"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 1, 2)
@@ -205,7 +205,8 @@
 }
 
 // TestRestartedStreamIsNotAppended covers a second target that does not resume a broken stream but
-// starts again from the first event: the caller does not get events twice.
+// starts again from the first event: its events are not appended to the first target's, so that the
+// caller gets no event twice.
 func TestRestartedStreamIsNotAppended(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	f.scriptFirstCall(standin.AnswerStream(1, 3, true), standin.AnswerStream(1, 6, false))
@@ -226,9 +227,9 @@
 	}
 }
 
-// startRawTarget starts a target that writes the bytes from answer for each call on a connection;
-// answer gets the call's request id and its number.
-func startRawTarget(t *testing.T, f *fleet, id string, answer func(call string, n int) string) {
+// startRawTarget starts a target that writes, for each call, the bytes that answer returns. Its arguments
+// are the call's request id and its number among the target's calls, starting at 1.
+func startRawTarget(t *testing.T, f *fleet, id string, answer func(requestID string, n int) string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -259,8 +260,8 @@
 	f.eventually("the daemon to know the raw target", func() bool { return len(f.daemons[0].Board.Targets.Addresses()) == len(f.targets)+1 })
 }
 
-// TestAnswersToOtherCallsAreSkipped checks that a target that writes extra answers on a connection,
-// after the right one or before the next right one, does not make the daemon return the wrong answer.
+// TestAnswersToOtherCallsAreSkipped covers a target that writes extra answers on a connection, before or
+// after the answer to the call. The daemon returns only the answer with the call's request id.
 func TestAnswersToOtherCallsAreSkipped(t *testing.T) {
 	f := newFleet(t, 1, 0)
 	startRawTarget(t, f, "raw", func(id string, n int) string {
@@ -290,8 +291,8 @@
 	}
 }
 
-// TestWrongTargetAtAddress checks that a target whose id differs from the id published for its address
-// does not fail calls.
+// TestWrongTargetAtAddress covers an address at which another target answers than the one that is
+// published for it. Calls still succeed.
 func TestWrongTargetAtAddress(t *testing.T) {
 	f := newFleet(t, 1, 2)
 	f.targets["t1"].ID = "somebody-else"
@@ -336,20 +337,20 @@
 	}
 }
 
-// hangAfter returns a script that runs after, if it is not nil, and then writes nothing until the
-// daemon closes the connection.
-func hangAfter(after func(http.ResponseWriter, *http.Request, standin.Call)) func(http.ResponseWriter, *http.Request, standin.Call) {
+// hangAfter returns a script that runs another script, unless that is nil, and then writes nothing until
+// the daemon closes the connection.
+func hangAfter(script func(http.ResponseWriter, *http.Request, standin.Call)) func(http.ResponseWriter, *http.Request, standin.Call) {
 	return func(w http.ResponseWriter, r *http.Request, c standin.Call) {
-		if after != nil {
-			after(w, r, c)
+		if script != nil {
+			script(w, r, c)
 		}
 		<-r.Context().Done()
 	}
 }
 
-// TestRepeatableCallLeavesSilentTarget checks that if a target writes nothing for much longer than the
-// route's goal, a call that may be executed twice is sent to another target; a call that may not keeps
-// waiting.
+// TestRepeatableCallLeavesSilentTarget covers a target that writes nothing for much longer than the
+// route's latency goal. A call that may be executed twice is sent to another target; any other call
+// keeps waiting.
 func TestRepeatableCallLeavesSilentTarget(t *testing.T) {
 	for name, c := range map[string]struct {
 		path        string
@@ -369,7 +370,7 @@
 			a := f.newRequest(c.path)
 			got := f.do(a)
 			if served := got.Err == nil && got.Status == 200 && got.Body == c.body; served != (c.sends == 2) {
-				t.Errorf("call of %s = %+v, want 200 with body %q: %v", c.path, got, c.body, c.sends == 2)
+				t.Errorf("call of %s = %+v, is a 200 with body %q: %v, want %v", c.path, got, c.body, served, c.sends == 2)
 			}
 			if got.Status == 503 || got.Status == 429 {
 				t.Errorf("call that may have been executed = %+v, want neither 503 nor 429", got)
--- a/node/onplatform/caller_disconnect_test.go
+++ b/node/onplatform/caller_disconnect_test.go
@@ -36,8 +36,8 @@
 }
 
 // TestQueuedCallOfDisconnectedCallerIsNotSent covers a caller that disconnects while its call is
-// queued for a slot, at its daemon or at the coordinator. When the slot becomes free, the call is not
-// sent, and the next call in the queue is.
+// queued for a slot, at its daemon or at the coordinator (the daemon that places the calls of a
+// service). When the slot becomes free, the call is not sent, and the next call in the queue is.
 func TestQueuedCallOfDisconnectedCallerIsNotSent(t *testing.T) {
 	f := newFleet(t, 2, 1)
 	f.awaitAllMembers()
--- a/node/onplatform/config_propagation_test.go
+++ b/node/onplatform/config_propagation_test.go
@@ -35,10 +35,10 @@
 // and the next fetches queued behind them. Heartbeats and target updates waited in the same queues, so
 // that the daemons with the new settings were declared dead.
 //
-// On such a day there were 441 fetches for 59 daemons and nine revisions, of which 341 timed out; 1,059
-// heartbeats waited over 0.25 s, up to 3.9 s, at the daemons with the first copies; a draining target
-// became known 4.3 s late. With a fifth of the routes none of this happened. The cause was that a change
-// cost the size of all settings instead of the size of the change.
+// With 59 daemons and nine revisions there were 441 fetches, of which 341 timed out; 1,059 heartbeats
+// waited over 0.25 s, up to 3.9 s, at the daemons with the first copies; a draining target became known
+// 4.3 s late. With a fifth of the routes none of this happened. The cause was that a change cost the size
+// of all settings instead of the size of the change.
 
 const (
 	strongHosts, weakHosts       = 6, 53
@@ -61,7 +61,9 @@
 	parsedTrees  sync.Map // *settings.Tree by number of parts; all daemons share them
 	deathCounter *deathCounter
 	network      *slownet.Network
-	stopFuncs    []func()
+	// stopFuncs stop the fleet. The first ends the context of the daemons; then come two for each daemon,
+	// which close its hub and its server; the last waits for all goroutines.
+	stopFuncs []func()
 }
 
 // simDaemon is a daemon of a simFleet.
@@ -97,9 +99,9 @@
 	return nil
 }
 
-// startSimFleet starts a fleet of strong and weak hosts. Each daemon starts after a delay of up to over,
-// given by the hash of its name.
-func startSimFleet(t *testing.T, strong, weak int, over time.Duration) *simFleet {
+// startSimFleet starts a fleet of strong and weak hosts. Each daemon starts after a delay between 0 and
+// period, given by the hash of its name.
+func startSimFleet(t *testing.T, strong, weak int, period time.Duration) *simFleet {
 	f := &simFleet{t: t, deathCounter: &deathCounter{Handler: slog.DiscardHandler}, network: &slownet.Network{Delay: time.Millisecond}}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -107,7 +109,7 @@
 		d := f.newDaemon(i, i < strong)
 		server := &http.Server{Handler: d.cluster.Hub.Handler()}
 		place := settings.HashKey(d.name)
-		d.startDelay = over * time.Duration(place[0]) / 255
+		d.startDelay = period * time.Duration(place[0]) / 255
 		running.Go(func() {
 			passTime(d.startDelay)
 			running.Go(func() { _ = server.Serve(d.netHost) })
@@ -142,13 +144,13 @@
 
 // newDaemon creates daemon i on a strong or weak host, without starting it.
 func (f *simFleet) newDaemon(i int, strong bool) *simDaemon {
-	cores, link, check := 0.192, weakLinkRate, weakParseSecondsPerByte
+	cores, linkRate, parseSecondsPerByte := 0.192, weakLinkRate, weakParseSecondsPerByte
 	if strong {
-		cores, link, check = 0.8, strongLinkRate, strongParseSecondsPerByte
+		cores, linkRate, parseSecondsPerByte = 0.8, strongLinkRate, strongParseSecondsPerByte
 	}
 	d := &simDaemon{name: fmt.Sprint("edge-", i), dataCentre: fmt.Sprint("dc", i%3)}
 	address := fmt.Sprintf("10.0.0.%d:8229", i)
-	d.netHost = f.network.AddHost(address, link)
+	d.netHost = f.network.AddHost(address, linkRate)
 	d.board = blackboard.New(blackboard.Identity{
 		Name: d.name, Incarnation: 1, DataCentre: d.dataCentre, Region: "r", PeerAddress: address, Cores: cores,
 	}, blackboard.DefaultLimits())
@@ -158,7 +160,7 @@
 	hub.SetHTTPClient(d.netHost.Client())
 	d.settings = &controller.Settings{
 		Board: d.board, Recorder: record, ShouldWatch: func() bool { return f.watchesStore(d) },
-		Parse:   f.parseWithDelay(check),
+		Parse:   f.parseWithDelay(parseSecondsPerByte),
 		OnAdopt: func(*blackboard.SettingsView) { d.cluster.HeartbeatNow() },
 	}
 	d.directory = &controller.Directory{Board: d.board, Recorder: record, OnChange: func() { d.cluster.HeartbeatNow() }}
@@ -291,9 +293,10 @@
 	return []byte(text)
 }
 
-// TestLargeConfigurationChangePropagatesInTime checks that three changes of 1,400 more routes each
-// propagate to 59 hosts of the two kinds within propagationLimit, each followed by a new revision
-// without changes and together with the draining of a target.
+// TestLargeConfigurationChangePropagatesInTime checks that three changes, each of which adds 1,400
+// routes, propagate to 59 hosts of the two kinds within propagationLimit. After each change comes a
+// revision without changes. With each of the six revisions, a target begins to drain, which must
+// become known within the same limit.
 func TestLargeConfigurationChangePropagatesInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startSimFleet(t, strongHosts, weakHosts, 0)
--- a/node/onplatform/crashing_calls_test.go
+++ b/node/onplatform/crashing_calls_test.go
@@ -73,12 +73,12 @@
 			for i := 0; f.crashCount() < 3; i++ {
 				got := f.do(f.newRequestTo(f.daemons[i%len(f.daemons)], path, crashingBody))
 				if got.Status == 503 {
-					t.Fatalf("crashing call that was executed = %d, want a status that does not deny the execution", got.Status)
+					t.Fatalf("crashing call that was executed = %d, want a status that does not mean not executed", got.Status)
 				}
 			}
-			known := time.Now().Add(quarantineTimeLimit)
+			deadline := time.Now().Add(quarantineTimeLimit)
 			for !f.refusedByAll(path, crashingBody) {
-				if time.Now().After(known) {
+				if time.Now().After(deadline) {
 					t.Fatalf("call is still sent after %d crashes, want it refused by all daemons", f.crashCount())
 				}
 			}
@@ -130,18 +130,18 @@
 	f := newFleet(t, 2, 8)
 	f.awaitMembership()
 	f.scriptAll(crashScript)
-	known := time.Now().Add(quarantineTimeLimit)
+	deadline := time.Now().Add(quarantineTimeLimit)
 	for !f.refusedByAll(safePath, crashingBody) {
-		if time.Now().After(known) {
+		if time.Now().After(deadline) {
 			t.Fatalf("call is still sent after %d crashes, want it refused by all daemons", f.crashCount())
 		}
 	}
 	before := f.crashCount()
 	fresh := f.addDaemon(2)
 	f.waitReady(fresh)
-	within := time.Now().Add(quarantineTimeLimit)
+	newDaemonDeadline := time.Now().Add(quarantineTimeLimit)
 	for got := f.do(f.newRequestTo(fresh, safePath, crashingBody)); got.Status != 503; got = f.do(f.newRequestTo(fresh, safePath, crashingBody)) {
-		if time.Now().After(within) {
+		if time.Now().After(newDaemonDeadline) {
 			t.Fatalf("new daemon still sends the crashing call %v after it was ready, want 503", quarantineTimeLimit)
 		}
 	}
@@ -227,7 +227,7 @@
 // several times, while callers send the same sound call. Once they recover, the call must be served
 // again. In a soak test all daemons refused such a call for ten minutes.
 func TestCommonSoundCallIsServedAfterTargetsRecover(t *testing.T) {
-	const recovered = 12 * time.Second // The users' requirement for a fleet whose hosts are back.
+	const recoveryLimit = 12 * time.Second // The users' requirement for a fleet whose hosts are back.
 	f := newFleet(t, 3, 3)
 	f.awaitMembership()
 	for _, d := range f.daemons {
@@ -246,13 +246,14 @@
 	for _, d := range f.daemons {
 		f.eventually("the call to be served by "+d.boot.Name, func() bool { return f.do(f.newRequestTo(d, safePath, soundBody)).Status == 200 })
 	}
-	if took := time.Since(began); took > recovered {
-		t.Errorf("call is served %v after the targets recovered, want %v at most", took, recovered)
+	if took := time.Since(began); took > recoveryLimit {
+		t.Errorf("call is served %v after the targets recovered, want %v at most", took, recoveryLimit)
 	}
 }
 
 // TestTrialEndsWrongQuarantine covers a sound call that no target had answered before and that is
-// quarantined after three crashes by chance. One trial succeeds, and all daemons serve the call again.
+// quarantined after three crashes by chance. After a delay, a daemon sends the call once more as a
+// trial. The trial succeeds, and all daemons serve the call again.
 func TestTrialEndsWrongQuarantine(t *testing.T) {
 	f := newFleet(t, 3, 4)
 	f.awaitMembership()
--- a/node/onplatform/fleet_test.go
+++ b/node/onplatform/fleet_test.go
@@ -195,10 +195,9 @@
 // not answer in time.
 const coordinatorSkipTime = 1200 * time.Millisecond
 
-// TestDaemonsShareOneViewOfTargets checks that with one slot at each of four targets, four concurrent
-// calls through three daemons reach a target each, in every round in which no daemon lost its
-// coordinator. If the daemons did not share one view of the slots, some calls would go to the same
-// target.
+// TestDaemonsShareOneViewOfTargets checks that four concurrent calls through three daemons reach four
+// different targets with one slot each. If the daemons did not share one view of the slots, some calls
+// would go to the same target. A round in which a daemon loses its coordinator does not count.
 func TestDaemonsShareOneViewOfTargets(t *testing.T) {
 	f := newFleet(t, 3, 0)
 	for i := range 4 {
--- a/node/onplatform/harness_test.go
+++ b/node/onplatform/harness_test.go
@@ -41,8 +41,10 @@
 }
 
 // The host, paths, key and services of the test configuration. The paths are one per kind of route: a
-// call of unsafePath is sent to a target at most once, a stream of nonResumablePath is not resumed,
-// promptPath leads to the model engines, and noAuthPath needs no API key.
+// call of safePath may be executed twice, a call of unsafePath is sent to a target at most once, a stream
+// of streamPath is resumed at another target if it breaks, one of nonResumablePath is not, promptPath
+// leads to the model engines, and noAuthPath needs no API key. In the daemon, the targets of a service
+// are a pool with the name of the service. waitTimeout bounds a call and the wait for a condition.
 const (
 	routeHost        = "calls.example"
 	safePath         = "/safe/"
@@ -119,8 +121,8 @@
 // addDaemon starts daemon i with all earlier daemons as seeds. It does not wait until it is ready.
 func (f *fleet) addDaemon(i int) *testDaemon {
 	f.t.Helper()
-	door := f.store.OpenEndpoint()
-	f.t.Cleanup(door.Close)
+	endpoint := f.store.OpenEndpoint()
+	f.t.Cleanup(endpoint.Close)
 	ip, metrics, err := net.SplitHostPort(testaddr.Free(f.t))
 	if err != nil {
 		f.t.Fatal(err)
@@ -128,13 +130,13 @@
 	boot := &platform.Boot{
 		Name: fmt.Sprint("d", i+1), DataCentre: "z1", Region: "r1", IP: ip,
 		CallerAddress: testaddr.Free(f.t), ReadyAddress: testaddr.Free(f.t), PeerAddress: testaddr.Free(f.t),
-		StoreAddress: door.Address(), Regions: map[string]string{"z1": "r1"},
+		StoreAddress: endpoint.Address(), Regions: map[string]string{"z1": "r1"},
 		Bounds: platform.Bounds{ShutdownGrace: 8 * time.Second, RepeatShare: 0.2, RepeatSlack: 100, RepeatWindow: 10 * time.Second},
 	}
 	for _, other := range f.daemons {
 		boot.Seeds = append(boot.Seeds, other.boot.PeerAddress)
 	}
-	d := &testDaemon{storeEndpoint: door, boot: boot, log: &testlog.Buffer{}, exited: make(chan struct{})}
+	d := &testDaemon{storeEndpoint: endpoint, boot: boot, log: &testlog.Buffer{}, exited: make(chan struct{})}
 	// configFileOf derives the fleet's key from the store's address, which differs between daemons
 	// here: they need a common key.
 	file := configFileOf(boot, metrics)
--- a/node/onplatform/host_list_pages_test.go
+++ b/node/onplatform/host_list_pages_test.go
@@ -8,7 +8,8 @@
 )
 
 // TestDaemonServesWithFirstPageOfHostList checks that a daemon is ready and serves with the first page
-// of the store's list while the later pages are held back, and knows all targets once they arrive.
+// of the store's list while the later pages are held back, and knows all targets once they arrive. The
+// first page holds the configuration and page-1 targets.
 func TestDaemonServesWithFirstPageOfHostList(t *testing.T) {
 	f := &fleet{t: t, store: standin.NewStore(), targets: map[string]*standin.Target{}, config: testConfig(1)}
 	f.client = newCallerClient(t)
--- a/node/onplatform/idle_traffic_test.go
+++ b/node/onplatform/idle_traffic_test.go
@@ -48,17 +48,17 @@
 			t.Fatal(err)
 		}
 		t.Run(fmt.Sprint(size, " daemons"), func(t *testing.T) {
-			plays, average := 1, 0.0
+			runs, average := 1, 0.0
 			if smallest == 0 {
-				plays = smallestFleetRuns
+				runs = smallestFleetRuns
 			}
-			for range plays {
+			for range runs {
 				synctest.Test(t, func(t *testing.T) {
 					all := measureIdleTraffic(t, size)
 					if all.busiest > maxControlRate {
 						t.Errorf("the busiest daemon exchanged %.0f bytes a second, want %d at most", all.busiest, maxControlRate)
 					}
-					average += all.average / float64(plays)
+					average += all.average / float64(runs)
 				})
 			}
 			if smallest == 0 {
--- a/node/onplatform/limit_simulation_test.go
+++ b/node/onplatform/limit_simulation_test.go
@@ -22,9 +22,10 @@
 	"github.com/go-faster/errors"
 )
 
-// The platform's rule for declared rate limits: from limitLearnTime after a daemon first relayed a target's
-// limit, the target may get in any limitWindow at most limitFactor times the calls that the limit allows
-// plus limitSlack. Only calls count that come at least relayLeadTime after their daemon relayed the limit.
+// The platform's rule for declared rate limits: within any limitWindow, a target may get at most limitFactor
+// times the calls that its limit allows, plus limitSlack. The rule applies once limitLearnTime has passed
+// since any daemon first relayed the limit to a caller. It counts the calls of each daemon from
+// relayLeadTime after that daemon first relayed the limit.
 const (
 	limitLearnTime = 3 * time.Second
 	limitWindow    = 4 * time.Second
@@ -37,7 +38,7 @@
 type limitedTarget struct {
 	perSecond    float64
 	mu           sync.Mutex
-	firstRelayed map[string]time.Time // when each daemon first relayed the limit, by daemon
+	firstRelayed map[string]time.Time // by daemon: when it first relayed the limit to a caller
 	arrivals     []arrival
 }
 
@@ -107,8 +108,9 @@
 	callTimeout = 3 * time.Second
 )
 
-// minRefusalsPerLateOne is the required minimum of refusals for each one that comes after a third of the
-// goal. Late ones are expected only for requests to a coordinator that stopped.
+// minRefusalsPerLateOne says how rare late refusals must be: at most one in this number may come more than
+// a third of callGoal after the call. Late refusals are expected only for requests to a coordinator that
+// stopped.
 const minRefusalsPerLateOne = 50
 
 // startLoad delivers the settings and the targets to all daemons and starts their workers and callers; each
--- a/node/onplatform/not_executed_test.go
+++ b/node/onplatform/not_executed_test.go
@@ -28,9 +28,9 @@
 		"unsigned":  standin.AnswerUnsigned,
 	}
 	then := map[string]func(http.ResponseWriter, *http.Request, standin.Call){
-		"asks to wait":       withHeader(retryAfterHeader, "5", standin.Reject),
-		"drains":             withHeader(drainingHeader, "1", standin.Reject),
-		"503 without notice": standin.Answer(503, "no"),
+		"asks to wait":               withHeader(retryAfterHeader, "5", standin.Reject),
+		"drains":                     withHeader(drainingHeader, "1", standin.Reject),
+		"503 without X-Not-Executed": standin.Answer(503, "no"),
 	}
 	try := func(name string, run, refuse func(http.ResponseWriter, *http.Request, standin.Call)) {
 		t.Run(name, func(t *testing.T) {
@@ -39,7 +39,7 @@
 			a := f.newRequest(safePath)
 			got := f.do(a)
 			if got.Err == nil && meansNotExecuted(got.Status) {
-				t.Errorf("call that was executed = %d after %d sends, want a status that does not deny the execution", got.Status, len(f.callsWithID(a.ID)))
+				t.Errorf("call that was executed = %d after %d sends, want a status that does not mean not executed", got.Status, len(f.callsWithID(a.ID)))
 			}
 			if len(f.callsWithID(a.ID)) < 1 {
 				t.Error("targets got 0 calls, want 1 at least")
--- a/node/onplatform/onplatform.go
+++ b/node/onplatform/onplatform.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// applyChanges applies the settings that can change while the daemon runs, and logs whether others
-// changed that need a restart.
+// applyChanges applies the settings that can change while the daemon runs, and logs whether a setting
+// changed that applies only after a restart.
 func applyChanges(d *daemon.Daemon, old, next *platform.Boot, log *slog.Logger) {
 	d.UpdatePlatformSettings(next.Seeds, repeatLimitOf(next), next.Bounds.ShutdownGrace)
 	restart := next.CallerAddress != old.CallerAddress || next.ReadyAddress != old.ReadyAddress || next.PeerAddress != old.PeerAddress || next.Name != old.Name || next.StoreAddress != old.StoreAddress
--- a/node/onplatform/quarantine_propagation_test.go
+++ b/node/onplatform/quarantine_propagation_test.go
@@ -18,7 +18,8 @@
 const (
 	// crashingCalls is the number of calls that crash targets at the same time.
 	crashingCalls = 10
-	// crashInterval is the time between two crashes under one call, which it waits in a target's queue.
+	// crashInterval is the time between two crashes under one call, while the call waits in the queue of
+	// the next target.
 	crashInterval = 300 * time.Millisecond
 	// soundCallsPerCrash is the number of sound calls in progress at each target that crashes.
 	soundCallsPerCrash = 15
@@ -64,17 +65,17 @@
 	for i := range crashingCalls {
 		bad = append(bad, poison.KeyOf("/a", fmt.Appendf(nil, "bad %d", i)))
 	}
-	for end := range 3 {
+	for round := range 3 {
 		for i, k := range bad {
-			target := fmt.Sprintf("target %d of call %d", end, i)
-			f.daemons[(7*i+end)%size].reportCrash(poison.Crash{Request: k, Target: target})
+			target := fmt.Sprintf("target %d of call %d", round, i)
+			f.daemons[(7*i+round)%size].reportCrash(poison.Crash{Request: k, Target: target})
 			for n := range soundCallsPerCrash {
-				beside := poison.KeyOf("/b", fmt.Appendf(nil, "sound %d %d %d", i, end, n))
+				beside := poison.KeyOf("/b", fmt.Appendf(nil, "sound %d %d %d", i, round, n))
 				sound = append(sound, beside)
 				f.daemons[(3*n+i)%size].reportCrash(poison.Crash{Request: beside, Target: target})
 			}
 		}
-		if end < 2 {
+		if round < 2 {
 			passTime(crashInterval)
 		}
 	}
--- a/node/onplatform/ready_test.go
+++ b/node/onplatform/ready_test.go
@@ -82,7 +82,7 @@
 			t.Errorf("call that must not be repeated reached targets %d times, want once at most", len(runs))
 		}
 		if len(runs) == 1 && got.Err == nil && meansNotExecuted(got.Status) {
-			t.Errorf("call that reached a target = %d, want a status that does not deny the execution", got.Status)
+			t.Errorf("call that reached a target = %d, want a status that does not mean not executed", got.Status)
 		}
 	}
 }
--- a/node/onplatform/regressions_test.go
+++ b/node/onplatform/regressions_test.go
@@ -20,7 +20,7 @@
 // TestStalePlacementIsCheckedAgainstOwnState checks that a daemon does not send calls to a target that
 // it knows to be draining, even if a coordinator that does not know it yet places them there.
 func TestStalePlacementIsCheckedAgainstOwnState(t *testing.T) {
-	for asker := range 2 { // One of the two coordinates the pool.
+	for asker := range 2 { // Once the coordinator itself, once the other daemon.
 		f := newFleet(t, 2, 2)
 		f.eventually("both daemons to know each other", func() bool {
 			for _, d := range f.daemons {
@@ -60,8 +60,8 @@
 }
 
 // TestAnyDaemonFindsMissedChangeInTime covers a change that all watches miss, while one daemon cannot
-// reach the store but its peers can reach that daemon. If it was the only daemon that polled the store
-// often, the change came 3.6 s late. Whichever daemon is cut off, the change must come within the 3 s
+// reach the store but its peers can reach that daemon. If the daemon that was cut off was the only one
+// that polled the store often, the change came 3.6 s late. Whichever daemon is cut off, the change must come within the 3 s
 // in which the store settles, plus half a second for a busy machine.
 func TestAnyDaemonFindsMissedChangeInTime(t *testing.T) {
 	const within = 3500 * time.Millisecond
--- a/node/onplatform/target_notices_test.go
+++ b/node/onplatform/target_notices_test.go
@@ -9,12 +9,12 @@
 	"doorstack.dev/platform/standin"
 )
 
-// The tests in this file guard against ignored notices in targets' answers. A target announced in an answer
-// that it was draining while the store was down, and the daemon that had relayed the answer sent it calls
-// 2.3 s later. Another target rejected a call and asked the daemon to wait for three seconds; four more
-// calls came within them. No code read the two headers: a target that rejected a call was avoided for a
-// tenth of a second, whatever it asked for. The log had no line about the draining target until the store
-// listed it as draining, 11 s later.
+// The tests in this file guard against ignored notices in targets' answers. A target announced in an
+// answer that it was draining while the store was down, and the daemon that had relayed the answer sent
+// it calls 2.3 s later. Another target rejected a call and asked the daemon to wait for three seconds;
+// four more calls came within that time. No code read the headers of these notices: a target that
+// rejected a call was avoided for a tenth of a second, whatever it asked for. The log had no line about
+// the draining target until the store listed it as draining, 11 s later.
 
 // withHeader returns a script that adds a header to the answers of another script.
 func withHeader(name, value string, answer func(http.ResponseWriter, *http.Request, standin.Call)) func(http.ResponseWriter, *http.Request, standin.Call) {
@@ -34,7 +34,7 @@
 // callCount returns the number of calls that reached a target.
 func (f *fleet) callCount(id string) int { return len(f.targets[id].Calls()) }
 
-// callUntilReached sends calls through a daemon until one of them reaches a target.
+// callUntilReached sends calls through a daemon until one of them reaches the target with the given id.
 func (f *fleet) callUntilReached(d *testDaemon, path, id string) {
 	f.t.Helper()
 	before := f.callCount(id)
@@ -60,7 +60,7 @@
 			if name == "stream" {
 				path = streamPath
 			}
-			for asker := range 2 { // One of the two coordinates the pool.
+			for asker := range 2 { // Once the coordinator itself, once the other daemon.
 				f := newFleet(t, 2, 2)
 				f.awaitMembership()
 				if path == streamPath {
