--- a/node/internal/processes/processes_test.go
+++ b/node/internal/processes/processes_test.go
@@ -212,10 +212,10 @@
 		t.Errorf("explain of a killed daemon's request = %q, want \"did not answer\"", out)
 	}
 
-	// Suspended for longer than the pause detector allows, then continued.
+	// Suspended for long enough that the daemon's pause detector counts a pause, then continued.
 	second.suspend(t)
-	// A suspended process does not answer. The timeout of this request is longer than the gap that the
-	// daemon's pause detector allows.
+	// A suspended process does not answer, so that the process stays suspended for the timeout of this
+	// request. It is longer than the gap from which the pause detector counts a pause.
 	shortTimeout := &http.Client{Timeout: 1500 * time.Millisecond}
 	if answer, err := shortTimeout.Get("http://" + second.admin + "/healthz"); err == nil {
 		_ = answer.Body.Close()
