--- a/model/claim.pml
+++ b/model/claim.pml
@@ -10,12 +10,13 @@
  *
  * docs/design/claims.md maps each step to its function in Go.
  *
- * Rules, each with a switch that removes it (spin -DNO_...):
+ * Switches (spin -DNO_...), each with the rule that it removes:
  *   NO_BASE     a claim needs a majority in every list since the key's creation
  *   NO_MAJORITY a claim needs a majority
  *   NO_ONCE     a witness grants a key to one attempt only
  *   NO_YOUNG    a restarted witness does not grant keys created before its start
- *   NO_PERMIT   a permit expires before witnesses remove the key
+ *   NO_PERMIT   the permission to send that a won claim gives (the permit) expires before
+ *               witnesses remove the key
  *   NO_FINAL    a claimer that gave up never sends
  *
  * ONE runs a single claimer without faults and checks progress: it must send.
@@ -28,6 +29,7 @@
 #define CLAIMERS 2
 #endif
 
+/* Host list l, 0 or 1, consists of the hosts l, l + 1 and l + 2. */
 #define IN(l, w) ((w) >= (l) && (w) <= (l) + 2)
 
 byte currentList = 0;  /* the host list in force */
@@ -168,8 +170,9 @@
 		restarted[w] = true
 	   }
 	:: atomic {
-		/* The key expires: every witness removes it and, if the key has no creation
-		   time, would grant it again. */
+		/* The key expires: every witness removes it. NO_YOUNG's rule does not apply from
+		   then on: the model takes a key without a creation time, which restarted
+		   witnesses too would grant again. */
 		!expired ->
 		expired = true;
 		w = 0;
--- a/model/coordinator.pml
+++ b/model/coordinator.pml
@@ -15,7 +15,7 @@
  *
  * Not in the model: which target is chosen, and the queue in which requests wait.
  *
- * Switches that remove a rule:
+ * Switches, each with the rule that it removes:
  *   NO_FORGET  an answer that arrives after the requester went on without it is dropped
  *   NO_CHECK   a placement is checked against the requester's own list of targets
  *   NO_SAME    a repeated request gets the same answer and is counted once
--- a/model/facts.pml
+++ b/model/facts.pml
@@ -16,13 +16,14 @@
  * targets at once for an outage, by a share that is a parameter of the table), and time in
  * seconds: GRACE stands for the time from the store's return to the end of the grace period.
  *
- * Switches that remove a rule:
+ * Switches, each with the rule that it removes:
  *   NO_DOUBT     a removal around an outage is unconfirmed, and the target stays listed
  *   NO_READ      a removal is confirmed only by a daemon that has read the store since
+ *                the end of the grace period
  *   NO_SILENCE   an unconfirmed removal is not published to peers
  *   NO_WHOLE     a target missing from a full read is not added by older updates
  *   NO_REVISION  an older update does not replace a newer one
- *   NO_REMEMBER  the removal of a target that is not listed leaves a tombstone
+ *   NO_REMEMBER  the revision of a removal is kept even if the target is not listed
  *   NO_TICK      a removal is confirmed after the grace period
  */
 
@@ -44,9 +45,10 @@
 byte firstRead[DAEMONS];                 /* the revision of the first read, which is a full one */
 byte readUpTo[DAEMONS];                  /* the revision up to which the daemon has read the store */
 bool readAfterGrace[DAEMONS];            /* the daemon has read the store since the end of the grace period */
-byte tombstone[DAEMONS];                 /* the newest removal that the daemon confirmed since its start */
-bool published[DAEMONS * REVISIONS * 2]; /* updates that a daemon published, removals first */
+byte tombstone[DAEMONS];                 /* the newest removal known since the start; for the assertion only */
+bool published[DAEMONS * REVISIONS * 2]; /* updates that a daemon published; see PUBLISHED */
 
+/* whether d published the removal (v = 0) or the registration (v = 1) of revision r */
 #define PUBLISHED(d, r, v) published[((d) * REVISIONS + (r)) * 2 + (v)]
 
 inline change(v) {
@@ -89,7 +91,8 @@
 	PUBLISHED(d, r, 1) = true
 }
 
-/* Table.putIfNewer */
+/* Table.addEntry, Table.putIfNewer. An update no newer than the first read, which did not find the
+   target, is ignored; in the grace period the target is listed, with its removal unconfirmed. */
 inline putIfNewer(d, r) {
 	if
 #ifdef NO_REVISION
@@ -187,7 +190,8 @@
 		knownRev[me] = 0; listed[me] = false; unconfirmed[me] = 0; tombstone[me] = 0; firstRead[me] = 0; readUpTo[me] = 0; readAfterGrace[me] = false }
 	:: atomic { phase == SETTLED -> break }
 	od;
-	/* Finally: one more read, after which an unconfirmed removal is confirmed. */
+	/* Finally: one more read, after which an unconfirmed removal is confirmed.
+	   If the store's entry does not match the target, any state is accepted. */
 	atomic {
 		readStore(me);
 		tick(me);
--- a/model/lease.pml
+++ b/model/lease.pml
@@ -15,7 +15,7 @@
  * An order is never executed after one of a later owner, and no token is used by two
  * owners.
  *
- * Switches that remove a rule:
+ * Switches, each with the rule that it removes:
  *   NO_QUORUM    a lease needs a majority
  *   NO_YOUNG     a restarted witness grants nothing for TTL
  *   NO_CLOCK     (CHECKS) a token is the time of the request, so that it increases
@@ -27,6 +27,8 @@
  * ONE runs one daemon without faults, whose order must be executed.
  */
 
+/* END is the last time at which an order is sent; MAX_ROUNDS limits a daemon's attempts to
+   get the lease. */
 #ifdef IGNORES
 #define TTL 3
 #define END 5
@@ -90,7 +92,8 @@
 	:: now < END && rounds < MAX_ROUNDS(me) ->
 		atomic {
 			rounds++;
-			/* Owner.StartRound: the token is the time, never later than the clock shows */
+			/* Owner.StartRound: the token is the time at the start of the round, and no
+			   later one; plus one, as 0 stands for no token */
 #ifdef NO_CLOCK
 			token = rounds;
 #else
@@ -129,7 +132,8 @@
 			(now > acquiredAt + SEND || now > END);
 #endif
 #endif
-			/* Owner.MayOrder, checked in one step with the send */
+			/* Owner.MayOrder, checked in one step with the send; sentAt is END + 1 if no
+			   order is sent */
 			atomic {
 				if
 #ifndef NO_LASTCHECK
--- a/model/membership.pml
+++ b/model/membership.pml
@@ -14,7 +14,7 @@
  * Not in the model: the removal of dead members after a minute, and the choice of
  * neighbours (any daemon may watch any other).
  *
- * Switches that remove a rule:
+ * Switches, each with the rule that it removes:
  *   NO_DENY    a daemon that receives a rumor of its own death refutes it
  *   NO_RAISE   a refutation has a higher incarnation than the rumor
  *   NO_NEWER   a rumor replaces only an older one
@@ -28,6 +28,7 @@
 #define STEPS 7  /* steps before the partition heals and faults end */
 #define ROUNDS 4 /* rounds of heartbeats after that */
 
+/* States; of two rumors of the same incarnation, the higher state counts as newer. */
 #define NONE 0
 #define ALIVE 1
 #define DEAD 2
--- a/model/settings.pml
+++ b/model/settings.pml
@@ -6,19 +6,19 @@
  * change back, and two daemons, which read some of the revisions from the store and request
  * from each other the changes since their own revision. Answers may be lost, or arrive after
  * the daemon has read the store or restarted, and one of them has a corrupted part. Once the
- * store has settled, daemon 1 reaches only its peer.
+ * last revision is published (settled), daemon 1 reaches only its peer.
  *
  * The content in force always matches its revision, and a revision never goes back while a
  * daemon runs; eventually both daemons have the newest revision.
  *
  * The rule that refuses a difference from a revision newer than the one in force has no
- * switch: its digest would not match either; the rule only saves computing it before the
- * full settings are requested.
+ * switch: such a difference would fail the check of its digest too; the rule only saves
+ * computing the digest before the full settings are requested.
  *
  * Not in the model: the validation of a document, which is the same at all daemons, and
  * deleted parts.
  *
- * Switches that remove a rule:
+ * Switches, each with the rule that it removes:
  *   NO_OLDER   a revision that is not newer than the one in force changes nothing
  *   NO_DIGEST  a difference that does not yield its sender's content is refused
  *   NO_WHOLE   after such a refusal the full settings are requested
@@ -71,7 +71,7 @@
 	fi
 }
 
-/* Daemon d sends a request to its peer, whose answer is in flight at once. */
+/* Daemon d sends a request to its peer; the peer answers in the same step. */
 inline requestChanges(d) {
 	since = (needFull[d] -> 0 : rev[d]);
 	needFull[d] = false;
