--- a/bench/play.sh
+++ b/bench/play.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Runs the days of one site in bench/days and prints a line for each: its figures and the
-# rules that were violated. Environment variables: BENCH is the program of the users' bench
-# and SITE a site file of it; MATCH is a pattern for the names of days (default: all), SEEDS
-# the seeds to run each day with (default: the bench's own), JOBS the number of parallel
-# runs (default: 4).
+# Runs the days (scenarios of load and faults) of one site in bench/days and prints a line
+# for each: its figures and the rules that were violated. Environment variables: BENCH is
+# the program of the users' bench and SITE a site file of it; MATCH is a pattern for the
+# names of days (default: all), SEEDS the seeds to run each day with (default: the bench's
+# own), JOBS the number of parallel runs (default: 4).
 set -uo pipefail
 cd "$(dirname "$0")/.."
 days=bench/days/$(basename "$SITE" .toml)
